--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -44,7 +44,7 @@
   return out + '"';
 }
 
-// One gateway on the wire: an adapter round the core, as the sockets are. The bench ends call-outs at their
+// One gateway on the wire: an adapter round the core, as the sockets are. The bench ends attempts at their
 // time and tells of it; an RPC's word on the wire stands for its client.
 class Instance final : private front::Ways {
  public:
@@ -72,12 +72,13 @@
   void answerAborted(SlotRef rpc) override {
     write(R"({{"giveUp":{{"i":{},"id":"{:016x}"}}}})", rpc.packed());
   }
-  std::variant<SlotRef, Outcome> callOut(RpcId, CallOutNo, SlotRef rpc, HostId host, Until until) override {
+  std::variant<SlotRef, Outcome> startAttempt(RpcId, AttemptNumber, SlotRef rpc, HostId host,
+                                              Until until) override {
     write(R"({{"forward":{{"i":{},"id":"{:016x}","host":{},"abandonAt":{}}}}})", rpc.packed(),
           jsonText(front_.nameOf(host)), micros(until.giveUp));
     return SlotRef{};
   }
-  bool giveUp(SlotRef rpc, CallOutNo no, SlotRef) override {
+  bool giveUp(SlotRef rpc, AttemptNumber no, SlotRef) override {
     write(R"({{"abandon":{{"i":{},"id":"{:016x}","sendNo":{}}}}})", rpc.packed(), no.value);
     return false;
   }
@@ -192,7 +193,7 @@
   void takeResult(const Fields& f, Time now) {
     const auto at = rpcs_.find(readRpc(f));
     if (at == rpcs_.end()) return;
-    front_.callOutEnded(now, at->second, {f.need<std::uint32_t>("sendNo")}, outcomeOf(f),
+    front_.attemptEnded(now, at->second, {f.need<std::uint32_t>("sendNo")}, outcomeOf(f),
                         {{},
                          {},
                          f.get("finalUnits", 0.0),
--- a/src/brain.cpp
+++ b/src/brain.cpp
@@ -33,9 +33,9 @@
 constexpr double kTriedSpan = 20.0;  // seconds over which it counts what came of a kind of RPC at a host,
 constexpr double kDoubt = 0.1;       // of an RPC that went well: what is trusted whatever came
 constexpr double kPressFrom = 0.6;   // of the room: from here the cheapest are pushed back
-constexpr double kLeastRoom = 3.0;   // call-outs a host, of all gateways, whatever has been seen
+constexpr double kLeastRoom = 3.0;   // attempts a host, of all gateways, whatever has been seen
 constexpr double kHostSpan = 4.5;    // seconds over which a host's answers are counted
-constexpr double kSpare = 2.0;       // call-outs over that at a host, of all gateways
+constexpr double kSpare = 2.0;       // attempts over that at a host, of all gateways
 constexpr double kHostWait = 0.2;    // of the soft deadline: what may stand at one host
 constexpr double kColdSafety = 0.8;  // of the cold budget
 constexpr double kColdParts = 2;     // the time for which that holds comes in so many parts
@@ -46,7 +46,7 @@
 constexpr double kFullest = 2.0;        // times full, the most that one report counts for
 constexpr double kSilentHost = 5.0;     // usual latencies without a word from a host that owes one
 constexpr double kTakeBack = 2.0;       // as long without a word until what it owes is taken back
-constexpr double kFurtherShare = 0.1;   // further call-outs for overdue ones, of all call-outs
+constexpr double kFurtherShare = 0.1;   // further attempts for overdue ones, of all attempts
 constexpr double kFurtherStore = 10.0;  // of them at once
 constexpr Span kSweep = std::chrono::milliseconds(50);
 
@@ -80,7 +80,7 @@
   Time levelAt{};
   double ceiling = 0;  // this gateway's part of the hard ceiling
   Time ceilingAt{};
-  int open = 0;                        // call-outs out
+  int open = 0;                        // attempts out
   double pending = 0;                  // units not yet published
   double grant = 0;                    // what is left of this gateway's slice
   bool first = true;                   // no RPC has passed yet in this round
@@ -96,24 +96,24 @@
   bool silent = false;  // decided by the divided quota
 };
 
-struct CallOut {
+struct Attempt {
   HostId host;
   Time sentAt;
-  std::function<void(const CallOutEnd&)> next;  // what its end leads to
-  bool out = true, ran = false;                 // still out; may have run
+  std::function<void(const AttemptResult&)> next;  // what its end leads to
+  bool out = true, ran = false;                    // still out; may have run
 };
 
 struct Rpc {
   Arrival asked;
   Time came;
   Book* book;
-  std::vector<CallOut> callOuts;
+  std::vector<Attempt> attempts;
   bool done = false;  // it has had its final answer
   bool mayHaveRun() const {
-    return std::any_of(callOuts.begin(), callOuts.end(), [](const CallOut& c) { return c.out || c.ran; });
+    return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& c) { return c.out || c.ran; });
   }
   int out() const {
-    return static_cast<int>(std::count_if(callOuts.begin(), callOuts.end(), [](auto& c) { return c.out; }));
+    return static_cast<int>(std::count_if(attempts.begin(), attempts.end(), [](auto& c) { return c.out; }));
   }
 };
 
@@ -144,7 +144,7 @@
   std::vector<CellId> cell;
   std::vector<std::optional<Time>> started;
   std::vector<double> latency, credit;
-  std::vector<int> out, unreached;  // call-outs out; and in a row those that found no way to it
+  std::vector<int> out, unreached;  // attempts out; and in a row those that found no way to it
   std::vector<Time> benchedUntil, heard;
   std::vector<ColdPart> coldParts;
   std::vector<std::size_t> able;  // those that may be asked now
@@ -156,8 +156,8 @@
   int outTotal = 0, servingHosts = 0;
   std::vector<double> places;              // whole ones at all hosts, for each method, at the last sweep
   Recent answered, reports, reportedFull;  // answers of all hosts, and how full these said they are
-  double further = kFurtherStore;          // call-outs for overdue ones that may be made now
-  std::deque<std::pair<std::uint64_t, std::size_t>> inOrder;  // call-outs as they went out
+  double further = kFurtherStore;          // attempts for overdue ones that may be made now
+  std::deque<std::pair<std::uint64_t, std::size_t>> inOrder;  // attempts as they went out
 
   Mind(Terms t, std::uint64_t seed, Time at, Port& p)
       : terms(std::move(t)), port(p), chance(static_cast<std::uint32_t>(seed)), born(at) {}
@@ -271,7 +271,7 @@
     for (std::size_t h = 0; h < serving.size(); ++h) warmHosts += serving[h] && warmth(h) >= 1;
     for (std::size_t h = 0; h < serving.size(); ++h) {
       if (!serving[h] || !mayRepeatAt(rpc, method, h)) continue;
-      if (!rpc.callOuts.empty() && rpc.callOuts.back().host.value == h) continue;
+      if (!rpc.attempts.empty() && rpc.attempts.back().host.value == h) continue;
       if (benchedUntil[h] > now || mute(h)) continue;
       if (out[h] + 1 > std::max(1.0, roomOf(h, method))) continue;
       if (const double share = trust(h, rpc.asked); share < 1 && !lucky(share)) continue;
@@ -300,11 +300,11 @@
     return repeat == Repeat::deduplicated && !rpc.asked.marked ? Repeat::nonIdempotent : repeat;
   }
 
-  // May a further call-out go to this host, after those that may have run or still may?
+  // May a further attempt go to this host, after those that may have run or still may?
   bool mayRepeatAt(const Rpc& rpc, const Method& m, std::size_t h) const {
     const Repeat repeat = repeatOf(rpc);
     if (repeat == Repeat::idempotent) return true;
-    return std::all_of(rpc.callOuts.begin(), rpc.callOuts.end(), [&](const CallOut& c) {
+    return std::all_of(rpc.attempts.begin(), rpc.attempts.end(), [&](const Attempt& c) {
       if (!c.out && !c.ran) return true;
       if (repeat == Repeat::nonIdempotent || now >= c.sentAt + m.window) return false;
       const std::size_t at = c.host.value;
@@ -316,8 +316,8 @@
   Time windowEnd(const Rpc& rpc) const {
     const Method& m = terms.methods[rpc.asked.method.value];
     Time end = Time::max();
-    for (const CallOut& c : rpc.callOuts)
-      if (repeatOf(rpc) == Repeat::deduplicated && (c.out || c.ran) && &c != &rpc.callOuts.back())
+    for (const Attempt& c : rpc.attempts)
+      if (repeatOf(rpc) == Repeat::deduplicated && (c.out || c.ran) && &c != &rpc.attempts.back())
         end = std::min(end, c.sentAt + m.window);
     return end;
   }
@@ -331,7 +331,7 @@
     meanLatency += kLatencyGain / 4 * (took - meanLatency);
   }
 
-  void sawEnd(const CallOutEnd& end, const Rpc& rpc) {
+  void sawEnd(const AttemptResult& end, const Rpc& rpc) {
     const std::size_t h = end.host.value;
     --out[h], --outTotal;
     if (end.outcome == Outcome::cancelled || end.outcome == Outcome::notSent) return;
@@ -449,7 +449,7 @@
   double drawn() { return double(chance()) / (double(chance.max()) + 1); }
   bool lucky(double odds) { return odds > drawn(); }
 
-  // A cap on open call-outs goes the quota's way: the time that they were open is published, so the others'
+  // A cap on open attempts goes the quota's way: the time that they were open is published, so the others'
   // use a second is what they have open on the mean. The last place goes by chance, one at least in silence.
   bool hasOpening(const Book& b) {
     const double left = part(b) < 1 ? std::max(1.0, b.plan->open / b.gateways) - b.open
@@ -642,23 +642,23 @@
     const auto host = pick(rpc);
     if (!host) return false;
     const HostId to{static_cast<std::uint32_t>(*host)};
-    const std::size_t no = rpc.callOuts.size();
-    rpc.callOuts.push_back({to, now, [this, &rpc, no](const CallOutEnd& end) { settle(rpc, no, end); }});
+    const std::size_t no = rpc.attempts.size();
+    rpc.attempts.push_back({to, now, [this, &rpc, no](const AttemptResult& end) { settle(rpc, no, end); }});
     ++rpc.book->open;
     if (out[*host]++ == 0) heard[*host] = now;
     ++outTotal;
     if (warmth(*host) < 1) coldParts[*host].left -= rpc.asked.units;
     further = std::min(kFurtherStore, further + (no == 0 ? kFurtherShare : -1));
     inOrder.emplace_back(rpc.asked.rpc.value, no);
-    port.callOut(rpc.asked.rpc, to, {rpc.asked.deadline, windowEnd(rpc)});
+    port.startAttempt(rpc.asked.rpc, to, {rpc.asked.deadline, windowEnd(rpc)});
     keepSweeping();
     return true;
   }
 
-  void settle(Rpc& rpc, std::size_t no, const CallOutEnd& end) {
-    CallOut& callOut = rpc.callOuts[no];
-    callOut.out = false;
-    callOut.ran = end.outcome != Outcome::turnedAway && end.outcome != Outcome::noConnection &&
+  void settle(Rpc& rpc, std::size_t no, const AttemptResult& end) {
+    Attempt& attempt = rpc.attempts[no];
+    attempt.out = false;
+    attempt.ran = end.outcome != Outcome::turnedAway && end.outcome != Outcome::noConnection &&
                   end.outcome != Outcome::notSent;
     --rpc.book->open;
     sawEnd(end, rpc);
@@ -674,7 +674,7 @@
 
   bool mayGoOn(const Rpc& rpc) const {
     const Method& m = terms.methods[rpc.asked.method.value];
-    return further >= 1 && rpc.callOuts.size() < terms.mostCallOuts &&
+    return further >= 1 && rpc.attempts.size() < terms.maxAttempts &&
            now < std::min(rpc.came + m.softDeadline, rpc.asked.deadline);
   }
 
@@ -690,10 +690,10 @@
   }
 
   // Guards against answers that never come, whatever swallows them. A second copy where two may be out; else
-  // the call-out is taken back, but only from a host that is mute. The store of further call-outs keeps it
+  // the attempt is taken back, but only from a host that is mute. The store of further attempts keeps it
   // from becoming a storm when every host is slow, which is where it hurts: work done twice.
   void overdue(Rpc& rpc, std::size_t no) {
-    sawLatency(rpc.callOuts[no].host.value, seconds(now - rpc.callOuts[no].sentAt));
+    sawLatency(rpc.attempts[no].host.value, seconds(now - rpc.attempts[no].sentAt));
     if (rpc.done || repeatOf(rpc) == Repeat::nonIdempotent || !mayGoOn(rpc)) return;
     if (terms.mayCopy)
       send(rpc);
@@ -714,8 +714,8 @@
       const auto [id, no] = inOrder.front();
       inOrder.pop_front();
       const auto at = rpcs.find(id);
-      if (at == rpcs.end() || !at->second.callOuts[no].out) continue;
-      const CallOut& c = at->second.callOuts[no];
+      if (at == rpcs.end() || !at->second.attempts[no].out) continue;
+      const Attempt& c = at->second.attempts[no];
       // Only one that a mute host owes is lost rather than queued.
       if (mute(c.host.value, kTakeBack) && seconds(now - c.sentAt) > kSilentHost * meanLatency)
         overdue(at->second, no);
@@ -761,14 +761,14 @@
   mind_->arrive(arrival);
 }
 
-void Gateway::callOutEnded(Time now, const CallOutEnd& end) {
+void Gateway::attemptEnded(Time now, const AttemptResult& end) {
   mind_->now = now;
   const auto at = mind_->rpcs.find(end.rpc.value);
-  if (at == mind_->rpcs.end() || end.no.value >= at->second.callOuts.size()) return;
-  if (const auto next = std::exchange(at->second.callOuts[end.no.value].next, nullptr)) next(end);
+  if (at == mind_->rpcs.end() || end.no.value >= at->second.attempts.size()) return;
+  if (const auto next = std::exchange(at->second.attempts[end.no.value].next, nullptr)) next(end);
 }
 
-void Gateway::answerStarted(Time, RpcId, CallOutNo) {}
+void Gateway::answerStarted(Time, RpcId, AttemptNumber) {}
 
 void Gateway::clientLeft(Time now, RpcId rpc) {
   mind_->now = now;
--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -9,7 +9,7 @@
 
 namespace merlinbridge {
 
-// How long a call-out may take: it is given up then, and by then its last byte must be on its way, or it
+// How long an attempt may take: it is given up then, and by then its last byte must be on its way, or it
 // never is sent (a repeat whose host would no longer know the first).
 struct Until {
   Time giveUp, written;
@@ -19,8 +19,8 @@
 class Port {
  public:
   virtual ~Port() = default;
-  virtual void callOut(RpcId, HostId, Until) = 0;
-  virtual void cancel(RpcId, CallOutNo) = 0;
+  virtual void startAttempt(RpcId, HostId, Until) = 0;
+  virtual void cancel(RpcId, AttemptNumber) = 0;
   virtual void pushBack(RpcId, Span comeBackAfter) = 0;  // final; 0 gives no advice
   virtual void abort(RpcId) = 0;                         // final
   virtual void addToCount(const CountName&, double units, Span keptFor) = 0;
@@ -46,9 +46,9 @@
   std::optional<double> held, queued, serviceSeconds, perSecond, busy;
 };
 
-struct CallOutEnd {
+struct AttemptResult {
   RpcId rpc;
-  CallOutNo no;
+  AttemptNumber no;
   HostId host;
   Outcome outcome = Outcome::notSent;
   bool closed = false;  // the RPC has had its final answer
@@ -81,8 +81,8 @@
   void hostsChanged(Time now, const std::vector<HostLine>&);  // the lines that changed
   void hostsListed(Time now, const std::vector<HostLine>&);   // all lines: what is missing has gone
   void rpcArrived(Time now, const Arrival&);
-  void callOutEnded(Time now, const CallOutEnd&);
-  void answerStarted(Time now, RpcId, CallOutNo);  // a streamed answer is the client's from here on
+  void attemptEnded(Time now, const AttemptResult&);
+  void answerStarted(Time now, RpcId, AttemptNumber);  // a streamed answer is the client's from here on
   void clientLeft(Time now, RpcId);
   void counted(Time now, const CountName&, CountEnd, double total, Span took);
   void probed(Time now, HostId, bool ok, const LoadReport&);
--- a/src/emulator/doorman.cpp
+++ b/src/emulator/doorman.cpp
@@ -33,8 +33,9 @@
     rpcs_.erase(at);
     front_.clientLeft(now, rpc);
   }
-  void callOutEnded(Time now, RpcId rpc, CallOutNo no, Outcome outcome, const front::Said& said) override {
-    front_.callOutEnded(now, rpc, no, outcome, said);
+  void attemptEnded(Time now, RpcId rpc, AttemptNumber no, Outcome outcome,
+                    const front::Said& said) override {
+    front_.attemptEnded(now, rpc, no, outcome, said);
   }
   void counted(Time now, const CountName& name, CountEnd end, double total, Span took) override {
     front_.counted(now, name, end, total, took);
@@ -50,7 +51,7 @@
   std::size_t sweepAt_ = 64;
 };
 
-// What the policies beside the module share: one call-out for each RPC, and no second.
+// What the policies beside the module share: one attempt for each RPC, and no second.
 class Simple : public Doorman {
  public:
   Simple(const orders::Orders& orders, Time now, front::Deadlines& deadlines, front::Ways& ways)
@@ -69,7 +70,7 @@
     if (!host) return ways_.answerPushedBack(client, terms_.connectPatience);
     const RpcId rpc{++last_};
     const Time by = std::min(arrival.deadline, latest_) - slack_;
-    const auto sent = ways_.callOut(rpc, {0}, client, *host, {by, Time::max()});
+    const auto sent = ways_.startAttempt(rpc, {0}, client, *host, {by, Time::max()});
     if (std::holds_alternative<Outcome>(sent)) return ways_.answerPushedBack(client, Span{0});
     rpcs_[rpc.value] = {client, std::get<SlotRef>(sent),
                         terms_.methods[arrival.method.value].repeat == Repeat::idempotent};
@@ -79,7 +80,7 @@
   void clientLeft(Time, SlotRef client) override {
     if (const auto at = byClient_.find(client.packed()); at != byClient_.end()) giveUp({at->second}, false);
   }
-  void callOutEnded(Time, RpcId rpc, CallOutNo, Outcome outcome, const front::Said& said) override {
+  void attemptEnded(Time, RpcId rpc, AttemptNumber, Outcome outcome, const front::Said& said) override {
     const auto at = rpcs_.find(rpc.value);
     if (at == rpcs_.end()) return;
     const Held held = at->second;
@@ -110,7 +111,7 @@
 
   const Terms terms_;
   const Span slack_;
-  std::vector<std::string> serving_;  // a call-out is made at once, so its place here is the host's number
+  std::vector<std::string> serving_;  // an attempt is made at once, so its place here is the host's number
 
  private:
   struct Held {
--- a/src/emulator/ledger.cpp
+++ b/src/emulator/ledger.cpp
@@ -124,9 +124,9 @@
   if (!open) return breach(now, Rule::lost, rpc, "sent on for a client that is not there");
   if (open->answered) breach(now, Rule::lost, rpc, "sent on after its final answer");
   if (!mayRepeat(now, *open, zone, cell))
-    breach(now, Rule::twice, rpc, fmt::format("call-out {} though an earlier one may have run", no));
+    breach(now, Rule::twice, rpc, fmt::format("attempt {} though an earlier one may have run", no));
   if (!s_.mayCopy && std::any_of(open->outs.begin(), open->outs.end(), [](const Out& o) { return o.out; }))
-    breach(now, Rule::twice, rpc, fmt::format("call-out {} while another is out", no));
+    breach(now, Rule::twice, rpc, fmt::format("attempt {} while another is out", no));
   if (const auto at = notServing_.find({open->asked.gateway.value, machine.value});
       at != notServing_.end() && now > at->second + s_.drainGrace)
     breach(now, Rule::drain, rpc,
--- a/src/emulator/ledger.hpp
+++ b/src/emulator/ledger.hpp
@@ -53,7 +53,7 @@
   std::optional<bool> reached(Time, TryId, std::uint32_t no);
   void ran(Time, TryId, std::uint32_t no, MachineNo, std::uint32_t zone, std::int64_t cell);
   void served(Time, TryId, std::uint32_t no);  // the host has written its answer
-  // The gateway has it that this call-out is over; proven: by the protocol's table it has never run.
+  // The gateway has it that this attempt is over; proven: by the protocol's table it has never run.
   void over(Time, TryId, std::uint32_t no, bool proven);
 
   // Work has come to a host that started then. True: it is cold and falls over under it.
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -232,7 +232,7 @@
   s.longestAdvice = rules.span("longest_advice", ms(2000));
   s.mayCancel = rules.flag("may_cancel", true);
   s.mayCopy = rules.flag("may_copy", false);
-  s.mostCallOuts = rules.whole<std::uint32_t>("most_call_outs", 3, 1, 100);
+  s.maxAttempts = rules.whole<std::uint32_t>("most_call_outs", 3, 1, 100);
   rules.done();
 
   readFaults(t, s);
@@ -267,7 +267,7 @@
   o.terms.counterPatience = counterPatience;
   o.terms.mostUnits = std::max(1.0, 4 * units);
   o.terms.mayCancel = mayCancel, o.terms.mayCopy = mayCopy, o.terms.mayAdvise = true;
-  o.terms.mostCallOuts = mostCallOuts;
+  o.terms.maxAttempts = maxAttempts;
   o.terms.longestAdvice = longestAdvice, o.terms.connectPatience = connectPatience;
   o.terms.coldShare = coldShare, o.terms.tipMultiple = tipMultiple;
   o.terms.coldSpan = cold, o.terms.tipSpan = tip;
@@ -346,7 +346,7 @@
   out += "\n[rules]\n";
   time("drain_grace", s.drainGrace), time("answer_slack", s.answerSlack);
   time("longest_advice", s.longestAdvice), line("may_cancel", s.mayCancel), line("may_copy", s.mayCopy);
-  line("most_call_outs", s.mostCallOuts);
+  line("most_call_outs", s.maxAttempts);
   for (const Fault& f : s.faults) {
     out += "\n[[fault]]\n";
     word("kind", wordOf(f.kind));
--- a/src/emulator/scenario.hpp
+++ b/src/emulator/scenario.hpp
@@ -94,7 +94,7 @@
 
   Span drainGrace{}, answerSlack{}, longestAdvice{};
   bool mayCancel = true, mayCopy = false;
-  std::uint32_t mostCallOuts = 1;
+  std::uint32_t maxAttempts = 1;
 
   std::vector<Fault> faults;
 
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -65,7 +65,7 @@
 
 struct Attempt {
   RpcId rpc;
-  CallOutNo no;
+  AttemptNumber no;
   TryId tryId;
   std::uint32_t machine;
   std::uint64_t machineLife;
@@ -105,8 +105,8 @@
   void answerOk(SlotRef client, std::string_view, std::string_view) override;
   void answerPushedBack(SlotRef client, Span comeBackAfter) override;
   void answerAborted(SlotRef client) override;
-  std::variant<SlotRef, Outcome> callOut(RpcId, CallOutNo, SlotRef client, HostId, Until) override;
-  bool giveUp(SlotRef client, CallOutNo, SlotRef link) override;
+  std::variant<SlotRef, Outcome> startAttempt(RpcId, AttemptNumber, SlotRef client, HostId, Until) override;
+  bool giveUp(SlotRef client, AttemptNumber, SlotRef link) override;
   void probe(HostId) override {}
   void count(const CountName&, double units, Span keptFor) override;
   void hostGone(HostId host) override;
@@ -602,7 +602,7 @@
         else if (!over.fresh || over.connected)
           --host.connections;
       }
-      at.doorman->callOutEnded(agenda.now(), over.rpc, over.no, outcome, said);
+      at.doorman->attemptEnded(agenda.now(), over.rpc, over.no, outcome, said);
       arm(at);
     });
   }
@@ -911,7 +911,7 @@
   std::vector<double> weights, methodWeights, planWeights;
   front::Slots<Wish> wishes;
   front::Slots<Try> tries;
-  std::unordered_map<std::uint64_t, SlotRef> tryOf;  // by id, while call-outs of it are out; looked up only
+  std::unordered_map<std::uint64_t, SlotRef> tryOf;  // by id, while attempts of it are out; looked up only
   std::size_t tryOfSweep = 1024;
   std::uint64_t lastTry = 0;
   orders::Orders orders;
@@ -949,8 +949,8 @@
   w.agenda.after(w.delay(), [&world = w, client] { world.answerCame(client, Answer::aborted, Span{0}); });
 }
 
-std::variant<SlotRef, Outcome> Node::callOut(RpcId rpc, CallOutNo callOutNo, SlotRef client, HostId host,
-                                             Until) {
+std::variant<SlotRef, Outcome> Node::startAttempt(RpcId rpc, AttemptNumber attemptNumber, SlotRef client,
+                                                  HostId host, Until) {
   const Try* const t = w.tries.find(client);
   if (!t) return Outcome::notSent;
   const std::string& address = doorman->addressOf(host);
@@ -965,15 +965,15 @@
   }
   const bool fresh = rest.empty();
   if (!fresh) rest.pop_back();
-  const SlotRef ref = attempts.add(Attempt{rpc, callOutNo, t->id, m, machine.life, fresh});
+  const SlotRef ref = attempts.add(Attempt{rpc, attemptNumber, t->id, m, machine.life, fresh});
   w.tryOf[t->id.value] = client;
   if (w.tryOf.size() > w.tryOfSweep) {
     std::erase_if(w.tryOf, [this](const auto& at) { return !w.tries.find(at.second); });
     w.tryOfSweep = std::max<std::size_t>(1024, 2 * w.tryOf.size());
   }
-  w.ledger.sent(now, t->id, callOutNo.value, {m}, machine.zone, machine.cell);
-  ++w.tally.callOuts, ++w.second().callOuts;
-  if (callOutNo.value > 0) ++w.tally.further;
+  w.ledger.sent(now, t->id, attemptNumber.value, {m}, machine.zone, machine.cell);
+  ++w.tally.attempts, ++w.second().attempts;
+  if (attemptNumber.value > 0) ++w.tally.further;
   if (fresh) ++w.tally.connects, ++w.second().connects;
   w.print(20'000 + m);
   const Span way = fresh ? 2 * w.delay() + w.delay() : w.delay();
@@ -981,7 +981,7 @@
   return ref;
 }
 
-bool Node::giveUp(SlotRef, CallOutNo, SlotRef link) {
+bool Node::giveUp(SlotRef, AttemptNumber, SlotRef link) {
   const Attempt* const a = attempts.find(link);
   if (!a) return true;
   const Attempt given = *a;
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -56,17 +56,17 @@
   settle(now, rpc);
 }
 
-void Front::callOutEnded(Time now, RpcId rpc, CallOutNo no, Outcome outcome, const Said& said) {
+void Front::attemptEnded(Time now, RpcId rpc, AttemptNumber no, Outcome outcome, const Said& said) {
   now_ = now;
   Rpc* const row = find(rpc);
-  if (!row || no.value >= row->callOuts.size() || !row->callOuts[no.value].out) return;
-  CallOut& callOut = row->callOuts[no.value];
-  callOut.out = false;
-  --row->out, --outAt_[callOut.host.value];
+  if (!row || no.value >= row->attempts.size() || !row->attempts[no.value].out) return;
+  Attempt& attempt = row->attempts[no.value];
+  attempt.out = false;
+  --row->out, --outAt_[attempt.host.value];
   if ((outcome == Outcome::ok || said.answered) && owed(rpc) && !said.answered)
     ways_.answerOk(row->client, said.body, said.type);
-  gateway_.callOutEnded(
-      now, {rpc, no, callOut.host, outcome, row->answered, said.took.value_or(now - callOut.sentAt),
+  gateway_.attemptEnded(
+      now, {rpc, no, attempt.host, outcome, row->answered, said.took.value_or(now - attempt.sentAt),
             outcome == Outcome::ok ? said.trueUnits : 0, said.load});
   settle(now, rpc);
 }
@@ -117,12 +117,12 @@
   } else {
     gateway_.hostsChanged(now, lines);
   }
-  // Guards against a connection that comes up so late that its call-out is new to a host that drains by then.
+  // Guards against a connection that comes up so late that its attempt is new to a host that drains by then.
   rpcs_.each([&](SlotRef slot, const Rpc& row) {
-    for (std::uint32_t no = 0; no < row.callOuts.size(); ++no)
-      if (const CallOut& c = row.callOuts[no]; c.out && off[c.host.value] && ways_.unwritten(c.link))
+    for (std::uint32_t no = 0; no < row.attempts.size(); ++no)
+      if (const Attempt& c = row.attempts[no]; c.out && off[c.host.value] && ways_.unwritten(c.link))
         soon_.emplace_back([this, rpc = RpcId{slot.packed()}, no](Time at) {
-          closeCallOut(at, rpc, {no}, Outcome::notSent);
+          abandonAttempt(at, rpc, {no}, Outcome::notSent);
         });
   });
   settle(now, {});
@@ -182,37 +182,37 @@
   return row && !row->answered && ways_.clientThere(row->client);
 }
 
-void Front::callOut(RpcId rpc, HostId host, Until until) {
+void Front::startAttempt(RpcId rpc, HostId host, Until until) {
   Rpc* const row = find(rpc);
   if (!row) return;
   // Guards against an attempt for a client whose end has come and is handled only after this, as in a late
   // turn.
   const bool wanted = wants(rpc);
   if (!wanted) soon_.emplace_back([this, rpc](Time now) { clientLeft(now, rpc); });
-  const CallOutNo no{static_cast<std::uint32_t>(row->callOuts.size())};
-  row->callOuts.push_back({host, now_, {}, true});
+  const AttemptNumber no{static_cast<std::uint32_t>(row->attempts.size())};
+  row->attempts.push_back({host, now_, {}, true});
   ++row->out, ++outAt_[host.value];
   const Time by = std::min(until.giveUp, row->deadline);
   std::variant<SlotRef, Outcome> sent = Outcome::notSent;
-  if (wanted) sent = ways_.callOut(rpc, no, row->client, host, {by, until.written});
+  if (wanted) sent = ways_.startAttempt(rpc, no, row->client, host, {by, until.written});
   if (const Outcome* const at = std::get_if<Outcome>(&sent)) {
-    soon_.emplace_back([this, rpc, no, outcome = *at](Time now) { callOutEnded(now, rpc, no, outcome); });
+    soon_.emplace_back([this, rpc, no, outcome = *at](Time now) { attemptEnded(now, rpc, no, outcome); });
     return;
   }
-  row->callOuts[no.value].link = std::get<SlotRef>(sent);
+  row->attempts[no.value].link = std::get<SlotRef>(sent);
   if (keepsTime_ && by < row->deadline)
-    deadlines_.add(by, [this, rpc, no](Time now) { closeCallOut(now, rpc, no, Outcome::noAnswer); });
+    deadlines_.add(by, [this, rpc, no](Time now) { abandonAttempt(now, rpc, no, Outcome::noAnswer); });
 }
 
-void Front::cancel(RpcId rpc, CallOutNo no) {
-  soon_.emplace_back([this, rpc, no](Time now) { closeCallOut(now, rpc, no, Outcome::cancelled); });
+void Front::cancel(RpcId rpc, AttemptNumber no) {
+  soon_.emplace_back([this, rpc, no](Time now) { abandonAttempt(now, rpc, no, Outcome::cancelled); });
 }
 
-void Front::closeCallOut(Time now, RpcId rpc, CallOutNo no, Outcome outcome) {
+void Front::abandonAttempt(Time now, RpcId rpc, AttemptNumber no, Outcome outcome) {
   const Rpc* const row = find(rpc);
-  if (!row || no.value >= row->callOuts.size() || !row->callOuts[no.value].out) return;
-  if (ways_.unwritten(row->callOuts[no.value].link)) outcome = Outcome::notSent;
-  if (ways_.giveUp(row->client, no, row->callOuts[no.value].link)) callOutEnded(now, rpc, no, outcome);
+  if (!row || no.value >= row->attempts.size() || !row->attempts[no.value].out) return;
+  if (ways_.unwritten(row->attempts[no.value].link)) outcome = Outcome::notSent;
+  if (ways_.giveUp(row->client, no, row->attempts[no.value].link)) attemptEnded(now, rpc, no, outcome);
 }
 
 void Front::pushBack(RpcId rpc, Span comeBackAfter) {
@@ -246,8 +246,8 @@
 // The RPC's time is up: what is out is given up, and the module answers; an RPC that it holds all the same is
 // aborted here, so that none is lost.
 void Front::expire(Time now, RpcId rpc) {
-  for (std::uint32_t no = 0; keepsTime_ && find(rpc) && no < find(rpc)->callOuts.size(); ++no)
-    closeCallOut(now, rpc, {no}, Outcome::noAnswer);
+  for (std::uint32_t no = 0; keepsTime_ && find(rpc) && no < find(rpc)->attempts.size(); ++no)
+    abandonAttempt(now, rpc, {no}, Outcome::noAnswer);
   if (const Rpc* const row = owed(rpc)) {
     ways_.answerAborted(row->client);
     gateway_.clientLeft(now, rpc);
@@ -266,10 +266,10 @@
     }
     settling_ = false;
   }
-  // Guards against a call-out that goes on its way once its client has left, or has its answer.
-  for (std::uint32_t no = 0; find(rpc) && find(rpc)->answered && no < find(rpc)->callOuts.size(); ++no)
-    if (const CallOut& c = find(rpc)->callOuts[no]; c.out && ways_.unwritten(c.link))
-      closeCallOut(now, rpc, {no}, Outcome::notSent);
+  // Guards against an attempt that goes on its way once its client has left, or has its answer.
+  for (std::uint32_t no = 0; find(rpc) && find(rpc)->answered && no < find(rpc)->attempts.size(); ++no)
+    if (const Attempt& c = find(rpc)->attempts[no]; c.out && ways_.unwritten(c.link))
+      abandonAttempt(now, rpc, {no}, Outcome::notSent);
   const Rpc* const row = find(rpc);
   if (!row || !row->answered || row->out > 0) return;
   deadlines_.drop(row->by);
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -22,9 +22,10 @@
   virtual void answerPushedBack(SlotRef client, Span comeBackAfter) = 0;
   virtual void answerAborted(SlotRef client) = 0;
   // Either the link that carries it, or the outcome that it had at once.
-  virtual std::variant<SlotRef, Outcome> callOut(RpcId, CallOutNo, SlotRef client, HostId, Until) = 0;
+  virtual std::variant<SlotRef, Outcome> startAttempt(RpcId, AttemptNumber, SlotRef client, HostId,
+                                                      Until) = 0;
   // True: it has ended by that. Else its end is still to come.
-  virtual bool giveUp(SlotRef client, CallOutNo, SlotRef link) = 0;
+  virtual bool giveUp(SlotRef client, AttemptNumber, SlotRef link) = 0;
   // Not all of it is written yet: given up now, it never reaches a host.
   virtual bool unwritten(SlotRef) { return false; }
   // False: its connection has ended, be that end read yet or not.
@@ -44,7 +45,7 @@
   bool answered = false;          // the client has had its answer without the core's doing
 };
 
-// Who ends call-outs at their time: the core, by its deadlines, or the adapter.
+// Who ends attempts at their time: the core, by its deadlines, or the adapter.
 enum class Timekeeper { core, adapter };
 
 // The core of the daemon, without I/O: the RPCs in numbered slots, the hosts' names and addresses, and all
@@ -64,7 +65,7 @@
 
   RpcId rpcArrived(Time now, SlotRef client, Arrival);
   void clientLeft(Time now, RpcId);
-  void callOutEnded(Time now, RpcId, CallOutNo, Outcome, const Said& = {});
+  void attemptEnded(Time now, RpcId, AttemptNumber, Outcome, const Said& = {});
   void counted(Time now, const CountName&, CountEnd, double total, Span took);
   void probed(Time now, HostId, bool ok, const LoadReport&);
   void hostsTold(Time now, const orders::Roster&);
@@ -72,7 +73,7 @@
   void endBy(Time);
 
  private:
-  struct CallOut {
+  struct Attempt {
     HostId host;
     Time sentAt;
     SlotRef link;
@@ -84,11 +85,11 @@
     Deadlines::Ticket by;
     bool answered = false;
     std::uint32_t out = 0;
-    std::vector<CallOut> callOuts;
+    std::vector<Attempt> attempts;
   };
 
-  void callOut(RpcId, HostId, Until) override;
-  void cancel(RpcId, CallOutNo) override;
+  void startAttempt(RpcId, HostId, Until) override;
+  void cancel(RpcId, AttemptNumber) override;
   void pushBack(RpcId, Span comeBackAfter) override;
   void abort(RpcId) override;
   void addToCount(const CountName&, double units, Span keptFor) override;
@@ -98,7 +99,7 @@
 
   Rpc* find(RpcId rpc) { return rpcs_.find(SlotRef::unpacked(rpc.value)); }
   Rpc* owed(RpcId);
-  void closeCallOut(Time now, RpcId, CallOutNo, Outcome);
+  void abandonAttempt(Time now, RpcId, AttemptNumber, Outcome);
   void expire(Time now, RpcId);
   void settle(Time now, RpcId);
   std::optional<HostId> numberOf(const orders::RosterLine&);
--- a/src/ids.hpp
+++ b/src/ids.hpp
@@ -24,8 +24,8 @@
 using MachineId = Id<struct MachineKind, std::uint32_t>;
 using MethodId = Id<struct MethodKind, std::uint32_t>;
 using PlanId = Id<struct PlanKind, std::uint32_t>;
-// Call-outs of one RPC count from 0.
-using CallOutNo = Id<struct CallOutKind, std::uint32_t>;
+// Attempts of one RPC count from 0.
+using AttemptNumber = Id<struct AttemptKind, std::uint32_t>;
 
 // Names a count on the counter service: what is counted, for whom, in which slot of time.
 struct CountName {
--- a/src/net/gate.cpp
+++ b/src/net/gate.cpp
@@ -75,7 +75,8 @@
   if (Client* const client = loop_.find<Client>(ref)) client->answer(502, "", "");
 }
 
-std::variant<SlotRef, Outcome> Gate::callOut(RpcId rpc, CallOutNo no, SlotRef ref, HostId host, Until until) {
+std::variant<SlotRef, Outcome> Gate::startAttempt(RpcId rpc, AttemptNumber no, SlotRef ref, HostId host,
+                                                  Until until) {
   Client* const client = loop_.find<Client>(ref);
   if (!client) return Outcome::notSent;
   const http::Message& asked = client->asked();
@@ -92,7 +93,7 @@
   if (!asked.body().empty() || asked.method() != "GET")
     fmt::format_to(std::back_inserter(message_), FMT_COMPILE("Content-Length: {}\r\n"), asked.body().size());
   message_.append("\r\n").append(asked.body());
-  return hosts_.callOut(host, message_, rpc, no, until);
+  return hosts_.startAttempt(host, message_, rpc, no, until);
 }
 
 bool Gate::clientThere(SlotRef ref) {
--- a/src/net/gate.hpp
+++ b/src/net/gate.hpp
@@ -31,8 +31,8 @@
   void answerOk(SlotRef client, std::string_view body, std::string_view type) override;
   void answerPushedBack(SlotRef client, Span comeBackAfter) override;
   void answerAborted(SlotRef client) override;
-  std::variant<SlotRef, Outcome> callOut(RpcId, CallOutNo, SlotRef client, HostId, Until) override;
-  bool giveUp(SlotRef, CallOutNo, SlotRef link) override { return hosts_.giveUp(link), true; }
+  std::variant<SlotRef, Outcome> startAttempt(RpcId, AttemptNumber, SlotRef client, HostId, Until) override;
+  bool giveUp(SlotRef, AttemptNumber, SlotRef link) override { return hosts_.giveUp(link), true; }
   bool unwritten(SlotRef link) override { return hosts_.unwritten(link); }
   bool clientThere(SlotRef client) override;
   void probe(HostId host) override { hosts_.probe(host); }
@@ -45,7 +45,7 @@
   Hosts hosts_;
   Counter counter_;
   Watch watch_;
-  std::string message_;  // the call-out that is being written
+  std::string message_;  // the attempt that is being written
   front::Front front_;
 };
 
--- a/src/net/hosts.cpp
+++ b/src/net/hosts.cpp
@@ -25,8 +25,8 @@
 HostLink::HostLink(Loop& loop, Hosts& hosts, HostId host)
     : Connection(loop), hosts_(hosts), host_(host), since_(loop.now()) {}
 
-std::optional<Outcome> HostLink::carry(std::string_view message, RpcId rpc, CallOutNo no, Until until) {
-  doing_ = Doing::callOut, rpc_ = rpc, no_ = no;
+std::optional<Outcome> HostLink::carry(std::string_view message, RpcId rpc, AttemptNumber no, Until until) {
+  doing_ = Doing::attempt, rpc_ = rpc, no_ = no;
   writtenBy_ = until.written, giveUp_ = until.giveUp;
   if (!isUp()) {
     waiting_ = message;
@@ -71,13 +71,13 @@
   send({message});
   // It broke before the last byte was written: it never ran.
   if (!std::exchange(starting_, false))
-    return hosts_.front_->callOutEnded(loop_.now(), rpc_, no_, Outcome::noConnection);
+    return hosts_.front_->attemptEnded(loop_.now(), rpc_, no_, Outcome::noConnection);
   if (!allWritten()) watchWait();
 }
 
 // Guards against an attempt whose connection comes up after its window, or once its client has gone.
 bool HostLink::mayWrite() const {
-  return loop_.now() < writtenBy_ && (doing_ != Doing::callOut || starting_ || hosts_.front_->wants(rpc_));
+  return loop_.now() < writtenBy_ && (doing_ != Doing::attempt || starting_ || hosts_.front_->wants(rpc_));
 }
 
 // By the protocol's table.
@@ -128,7 +128,7 @@
   if (!keeps) hosts_.close(ref());
   if (keeps && outcome != Outcome::ok) leaveAndRest();
   const SlotRef mine = ref();
-  if (doing == Doing::callOut) hosts_.front_->callOutEnded(now, rpc_, no_, outcome, said);
+  if (doing == Doing::attempt) hosts_.front_->attemptEnded(now, rpc_, no_, outcome, said);
   if (doing == Doing::probe) hosts_.front_->probed(now, host_, outcome == Outcome::ok, said.load);
   if (keeps && outcome == Outcome::ok && loop_.find(mine)) leaveAndRest();
 }
@@ -145,8 +145,8 @@
 Time HostLink::waitEnds() const {
   if (!isUp()) return std::min(since_ + hosts_.connectPatience_, writtenBy_);
   if (doing_ == Doing::probe) return since_ + hosts_.connectPatience_;
-  // The call-out has a deadline of its own.
-  if (doing_ == Doing::callOut) return allWritten() ? loop_.now() + hosts_.idle_ : writtenBy_;
+  // The attempt has a deadline of its own.
+  if (doing_ == Doing::attempt) return allWritten() ? loop_.now() + hosts_.idle_ : writtenBy_;
   return since_ + hosts_.idle_;
 }
 
@@ -169,8 +169,8 @@
       connectPatience_(connectPatience),
       proving_(connectPatience / kProving) {}
 
-std::variant<SlotRef, Outcome> Hosts::callOut(HostId host, std::string_view message, RpcId rpc, CallOutNo no,
-                                              Until until) {
+std::variant<SlotRef, Outcome> Hosts::startAttempt(HostId host, std::string_view message, RpcId rpc,
+                                                   AttemptNumber no, Until until) {
   HostLink* const link = linkTo(host);
   if (!link) return Outcome::notSent;
   const SlotRef ref = link->ref();
@@ -184,7 +184,7 @@
 }
 
 // Guards against a second answer that comes some milliseconds after the first, which would be taken for the
-// answer to the next call-out; and against stray bytes, or an end, that came in this very turn. Hurts a host
+// answer to the next attempt; and against stray bytes, or an end, that came in this very turn. Hurts a host
 // that is asked again at once: it gets a further connection.
 HostLink* Hosts::linkTo(HostId host) {
   if (resting_.size() <= host.value) resting_.resize(host.value + 1);
--- a/src/net/hosts.hpp
+++ b/src/net/hosts.hpp
@@ -16,21 +16,21 @@
 inline constexpr std::string_view kDeadlineField = "\r\nReq-Deadline-Ms: ";
 long millisecondsLeft(Span);  // rounded up, one at least
 
-// A connection to a host: one call-out or probe at a time, between them it rests.
+// A connection to a host: one attempt or probe at a time, between them it rests.
 class HostLink final : public Connection {
  public:
   HostLink(Loop&, Hosts&, HostId);
 
   // What it is to carry, or the outcome that this had at once.
-  std::optional<Outcome> carry(std::string_view message, RpcId, CallOutNo, Until);
+  std::optional<Outcome> carry(std::string_view message, RpcId, AttemptNumber, Until);
   void probe(std::string_view message);
   HostId host() const { return host_; }
   bool resting() const { return doing_ == Doing::nothing; }
-  bool unwritten() const { return doing_ == Doing::callOut && !(isUp() && allWritten() && waiting_.empty()); }
+  bool unwritten() const { return doing_ == Doing::attempt && !(isUp() && allWritten() && waiting_.empty()); }
   Time since() const { return since_; }
 
  private:
-  enum class Doing { nothing, callOut, probe };
+  enum class Doing { nothing, attempt, probe };
 
   void bytesCame() override;
   void broken() override;
@@ -50,18 +50,18 @@
   Doing doing_ = Doing::nothing;
   bool starting_ = false;
   RpcId rpc_{};
-  CallOutNo no_{};
+  AttemptNumber no_{};
   Time since_, writtenBy_ = Time::max(), giveUp_{};
   std::string waiting_;  // the request, until the connection is up
 };
 
-// The connections to hosts, kept for the next call-out, within their share of the descriptors.
+// The connections to hosts, kept for the next attempt, within their share of the descriptors.
 class Hosts {
  public:
   Hosts(Loop&, std::size_t most, Span idle, Span connectPatience);
 
   void serve(front::Front& front) { front_ = &front; }
-  std::variant<SlotRef, Outcome> callOut(HostId, std::string_view message, RpcId, CallOutNo, Until);
+  std::variant<SlotRef, Outcome> startAttempt(HostId, std::string_view message, RpcId, AttemptNumber, Until);
   void probe(HostId);
   void giveUp(SlotRef);
   bool unwritten(SlotRef);
--- a/src/orders/terms_reader.cpp
+++ b/src/orders/terms_reader.cpp
@@ -54,7 +54,7 @@
       .mayCancel = limits.get("cancel", false),
       .mayCopy = limits.get("secondCopies", false),
       .mayAdvise = limits.get("retryAfter", false),
-      .mostCallOuts = limits.get("tryLimit", 1u),
+      .maxAttempts = limits.get("tryLimit", 1u),
       .longestAdvice = limits.span("maxRetryAfter", Span{0}),
       .connectPatience = connectPatience,
       .coldShare = rules.need<double>("startCapacity"),
--- a/src/terms.hpp
+++ b/src/terms.hpp
@@ -21,7 +21,7 @@
 
 struct Plan {
   double rate = 0, burst = 0;                                  // the quota's bucket; rate 0: none
-  int open = 0;                                                // call-outs out at once; 0: no such cap
+  int open = 0;                                                // attempts out at once; 0: no such cap
   double ceilingRate = 0, ceilingBurst = 0, ceilingSlack = 0;  // the hard ceiling; rate 0: none
   double price = 1;
 };
@@ -35,7 +35,7 @@
   Span counterPatience{};  // a call to it ends unanswered after this long
   double mostUnits = 1;    // of one RPC
   bool mayCancel = false, mayCopy = false, mayAdvise = false;
-  std::uint32_t mostCallOuts = 1;
+  std::uint32_t maxAttempts = 1;
   Span longestAdvice{}, connectPatience{};
   double coldShare = 1, tipMultiple = 1;  // a host starts with this share of its capacity or more,
   Span coldSpan{}, tipSpan{};  // is warm by then, and falls when over-driven so many times for so long
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -10,7 +10,7 @@
 int passed(World& w, std::uint32_t gateway, std::uint64_t customer, std::uint32_t plan, int n,
            double units = 1) {
   int out = 0;
-  for (int i = 0; i < n; ++i) out += w.ask(gateway, customer, plan, 0, units).callOuts > 0;
+  for (int i = 0; i < n; ++i) out += w.ask(gateway, customer, plan, 0, units).attempts > 0;
   return out;
 }
 
@@ -83,7 +83,7 @@
   CHECK(w.countCalls == calls);
 }
 
-TEST_CASE("a cap on open call-outs is held") {
+TEST_CASE("a cap on open attempts is held") {
   World w(plainTerms(), 1);
   CHECK(passed(w, 0, 5, 1, 5) <= 2);
   w.runFor(100ms);
@@ -93,7 +93,7 @@
 TEST_CASE("what is pushed back is answered at once") {
   World w(plainTerms(), 1);
   for (int i = 0; i < 20; ++i) w.ask(0, 5, 0, 0, 1);
-  for (const auto& [id, t] : w.tries) CHECK((t.callOuts > 0 || (t.pushedBack && t.endedAt == t.cameAt)));
+  for (const auto& [id, t] : w.tries) CHECK((t.attempts > 0 || (t.pushedBack && t.endedAt == t.cameAt)));
 }
 
 TEST_CASE("no hosts: pushed back at once") {
@@ -125,7 +125,7 @@
   w.runFor(3s);
   CHECK(w.hosts[0].taken > 0);
   const auto unserved = std::count_if(w.tries.begin(), w.tries.end(), [](const auto& t) {
-    return t.second.callOuts > 0 && !t.second.served;
+    return t.second.attempts > 0 && !t.second.served;
   });
   CHECK(unserved <= 3);
 }
@@ -149,8 +149,8 @@
   int low = 0, high = 0;
   for (int step = 0; step < 800; ++step) {
     w.runFor(10ms);
-    low += w.ask(0, 100 + step % 80, 0, 0, 1).callOuts > 0;
-    high += w.ask(0, 300 + step % 80, 0, 1, 1).callOuts > 0;
+    low += w.ask(0, 100 + step % 80, 0, 0, 1).attempts > 0;
+    high += w.ask(0, 300 + step % 80, 0, 1, 1).attempts > 0;
   }
   CHECK(high > 2 * low);
 }
@@ -176,7 +176,7 @@
   CHECK(passed(w, 0, 5, 0, 3, 1) == 1);
 }
 
-TEST_CASE("a cap on open call-outs is shared by the gateways once they have told each other") {
+TEST_CASE("a cap on open attempts is shared by the gateways once they have told each other") {
   World w(plainTerms(), 1);
   for (auto& host : w.hosts) host.service = 400ms;
   double out = 0;
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -77,7 +77,7 @@
                              : rule_ == Rule::cold ? hosts_.size() - 1
                                                    : last_ % hosts_.size();
     const auto sent =
-        ways_.callOut(rpc, {0}, client, {static_cast<std::uint32_t>(host)}, {a.deadline, Time::max()});
+        ways_.startAttempt(rpc, {0}, client, {static_cast<std::uint32_t>(host)}, {a.deadline, Time::max()});
     rpcs_[rpc.value] = {client, a.method, 0, std::get<SlotRef>(sent)};
     deadlines_.add(std::max(now, a.deadline - 50ms), [this, rpc](Time) {
       const auto at = rpcs_.find(rpc.value);
@@ -89,7 +89,7 @@
     });
   }
   void clientLeft(Time, SlotRef) override {}
-  void callOutEnded(Time, RpcId rpc, CallOutNo, Outcome outcome, const front::Said& said) override {
+  void attemptEnded(Time, RpcId rpc, AttemptNumber, Outcome outcome, const front::Said& said) override {
     const auto at = rpcs_.find(rpc.value);
     if (at == rpcs_.end()) return;
     Held& held = at->second;
@@ -101,7 +101,7 @@
       return;
     }
     if (rule_ == Rule::twice && held.no == 0) {  // whatever the method
-      const auto sent = ways_.callOut(rpc, {++held.no}, held.client, {0}, {Time::max(), Time::max()});
+      const auto sent = ways_.startAttempt(rpc, {++held.no}, held.client, {0}, {Time::max(), Time::max()});
       if (const SlotRef* const link = std::get_if<SlotRef>(&sent)) held.link = *link;
       return;
     }
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -10,20 +10,20 @@
 
 namespace {
 
-// Writes down what the core has done, and answers call-outs with links numbered from 1.
+// Writes down what the core has done, and answers attempts with links numbered from 1.
 struct Written final : front::Ways {
   void answerOk(SlotRef, std::string_view body, std::string_view) override {
     answers.push_back("ok " + std::string(body));
   }
   void answerPushedBack(SlotRef, Span) override { answers.emplace_back("pushed back"); }
   void answerAborted(SlotRef) override { answers.emplace_back("aborted"); }
-  std::variant<SlotRef, Outcome> callOut(RpcId rpc, CallOutNo no, SlotRef, HostId host,
-                                         Until until) override {
+  std::variant<SlotRef, Outcome> startAttempt(RpcId rpc, AttemptNumber no, SlotRef, HostId host,
+                                              Until until) override {
     calls.push_back({rpc, no, host, until});
     if (atOnce) return *atOnce;
     return SlotRef{static_cast<std::uint32_t>(calls.size()), 1};
   }
-  bool giveUp(SlotRef, CallOutNo, SlotRef link) override { return givenUp.push_back(link.slot), true; }
+  bool giveUp(SlotRef, AttemptNumber, SlotRef link) override { return givenUp.push_back(link.slot), true; }
   bool unwritten(SlotRef link) override { return dialling.contains(link.slot); }
   bool clientThere(SlotRef) override { return there; }
   void probe(HostId) override {}
@@ -33,7 +33,7 @@
 
   struct Call {
     RpcId rpc;
-    CallOutNo no;
+    AttemptNumber no;
     HostId host;
     Until until;
   };
@@ -80,8 +80,8 @@
 TEST_CASE("a host's answer goes to the client once, whatever comes after it") {
   Core core;
   const RpcId rpc = core.ask(0);
-  core.front.callOutEnded(core.now, rpc, {0}, Outcome::ok, {"body", {}, 0, {}});
-  core.front.callOutEnded(core.now, rpc, {0}, Outcome::ok, {"again", {}, 0, {}});
+  core.front.attemptEnded(core.now, rpc, {0}, Outcome::ok, {"body", {}, 0, {}});
+  core.front.attemptEnded(core.now, rpc, {0}, Outcome::ok, {"again", {}, 0, {}});
   core.front.clientLeft(core.now, rpc);
   core.pass(2s);
   CHECK(core.ways.answers == std::vector<std::string>{"ok body"});
@@ -91,10 +91,10 @@
 TEST_CASE("what comes late for an earlier tenant of a slot is not taken for the later one's") {
   Core core;
   const RpcId first = core.ask(0);
-  core.front.callOutEnded(core.now, first, {0}, Outcome::ok, {"one", {}, 0, {}});
+  core.front.attemptEnded(core.now, first, {0}, Outcome::ok, {"one", {}, 0, {}});
   const RpcId second = core.ask(0);
   CHECK((first.value & 0xffffffff) == (second.value & 0xffffffff));
-  core.front.callOutEnded(core.now, first, {0}, Outcome::ok, {"late", {}, 0, {}});
+  core.front.attemptEnded(core.now, first, {0}, Outcome::ok, {"late", {}, 0, {}});
   CHECK(core.ways.answers.size() == 1);
   CHECK(core.front.unanswered() == 1);
 }
@@ -135,10 +135,10 @@
   CHECK(core.ways.gone == std::vector<std::uint32_t>{1});
 }
 
-TEST_CASE("a call-out that ends at once is told after the module has had its say") {
+TEST_CASE("an attempt that ends at once is told after the module has had its say") {
   Core core;
   core.ways.atOnce = Outcome::noConnection;
-  core.ask(3);  // non-idempotent, but none of its call-outs ran
+  core.ask(3);  // non-idempotent, but none of its attempts ran
   CHECK(core.ways.calls.size() == 2);
   CHECK(core.ways.answers == std::vector<std::string>{"pushed back"});
   CHECK(core.front.unanswered() == 0);
@@ -148,7 +148,7 @@
   Core core;
   const RpcId rpc = core.ask(0);
   core.front.clientLeft(core.now, rpc);
-  core.front.callOutEnded(core.now, rpc, {0}, Outcome::noConnection);
+  core.front.attemptEnded(core.now, rpc, {0}, Outcome::noConnection);
   core.pass(2s);
   CHECK(core.ways.calls.size() == 1);
   CHECK(core.ways.answers.empty());
@@ -206,7 +206,7 @@
   front.hostsTold(now, all);
   for (std::uint64_t n = 0; n < 200; ++n) {
     const RpcId rpc = front.rpcArrived(now, {0, 1}, {{}, {n + 1}, {1}, {0}, now + 1s, 1, 1024});
-    front.callOutEnded(now, rpc, {0}, Outcome::ok, {"body", {}, 0, {}});
+    front.attemptEnded(now, rpc, {0}, Outcome::ok, {"body", {}, 0, {}});
   }
   CHECK(ways.calls.size() == 200);
   std::vector<std::uint32_t> asked;
@@ -295,7 +295,7 @@
   Core core(4);
   const RpcId rpc = core.front.rpcArrived(core.now, {0, 1}, {{}, {1}, {1}, {1}, core.now + 1s, 1, 1, marked});
   core.pass(20ms);
-  core.front.callOutEnded(core.now, rpc, {0}, first);
+  core.front.attemptEnded(core.now, rpc, {0}, first);
   const bool ran = first == Outcome::error || first == Outcome::lost;
   CHECK(core.ways.calls.size() == (ran && !marked ? 1 : 2));
   if (ran && !marked) CHECK(core.ways.answers == std::vector<std::string>{"aborted"});  // no pushback, either
@@ -333,7 +333,7 @@
   CHECK(core.ways.calls[0].until.written == Time::max());
   const Time first = core.now;
   core.pass(20ms);
-  core.front.callOutEnded(core.now, rpc, {0}, Outcome::error);
+  core.front.attemptEnded(core.now, rpc, {0}, Outcome::error);
   REQUIRE(core.ways.calls.size() == 2);
   CHECK(core.ways.calls[1].until.written == first + 2s);
 }
@@ -356,13 +356,13 @@
   for (int n = 0; n < 5; ++n) {  // what is usual for a host
     const RpcId rpc = core.ask(0);
     core.pass(10ms);
-    core.front.callOutEnded(core.now, rpc, {0}, Outcome::ok);
+    core.front.attemptEnded(core.now, rpc, {0}, Outcome::ok);
   }
   const std::size_t before = core.ways.calls.size();
   if (kind == Kind::first) core.ways.there = stays;
   const RpcId rpc = core.ask(0);
   core.ways.there = stays;
-  if (kind == Kind::retry) core.front.callOutEnded(core.now, rpc, {0}, Outcome::turnedAway);
+  if (kind == Kind::retry) core.front.attemptEnded(core.now, rpc, {0}, Outcome::turnedAway);
   for (int n = 0; kind == Kind::hedge && n < 30; ++n) core.pass(10ms);
   const std::size_t begun = core.ways.calls.size() - before;
   const std::size_t whileThere = kind == Kind::first ? 0 : 1;
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -120,7 +120,7 @@
   CHECK(d.until([&] { return asked.host->ended(); }));
 }
 
-TEST_CASE("a second answer that comes after the next call-out is not taken for its own") {
+TEST_CASE("a second answer that comes after the next attempt is not taken for its own") {
   Doorstep d;
   Asked asked(d);
   asked.host->say(Doorstep::ok("one"));
@@ -270,7 +270,7 @@
   CHECK(got.find("one") < got.find("live\n"));
 }
 
-TEST_CASE("what a client sends on ahead does not spoil the call-outs that are still to come") {
+TEST_CASE("what a client sends on ahead does not spoil the attempts that are still to come") {
   FarListener other;
   Doorstep d(128, "");
   std::optional<Far> watch, second;
--- a/tests/standins/reality.cpp
+++ b/tests/standins/reality.cpp
@@ -21,7 +21,7 @@
 using emulator::Scenario;
 using emulator::Tally;
 
-// Part of what is asked, of tries, of call-outs; and times, which the kernel's own delays make longer on
+// Part of what is asked, of tries, of attempts; and times, which the kernel's own delays make longer on
 // sockets.
 constexpr double kPartMay = 0.05, kRatioMay = 0.1, kP50May = 4, kP99May = 40, kP99Ratio = 0.3;
 
@@ -52,7 +52,7 @@
       R"("limits":{{"connectTimeout":{},"connIdle":{},"cancel":{},"secondCopies":{},"tryLimit":{},"retryAfter":true,"maxRetryAfter":{}}},)"
       R"("rules":{{"startCapacity":{},"tipMultiple":{},"cold":{},"fall":{},"answerSlack":{},"drainGrace":{}}}}})",
       s.gateways, me, methods, plans, s.counter, us(s.counterPatience), std::max(1.0, 4 * s.units),
-      us(s.connectPatience), us(s.idle), s.mayCancel, s.mayCopy, s.mostCallOuts, us(s.longestAdvice),
+      us(s.connectPatience), us(s.idle), s.mayCancel, s.mayCopy, s.maxAttempts, us(s.longestAdvice),
       s.coldShare, s.tipMultiple, us(s.cold), us(s.tip), us(s.answerSlack), us(s.drainGrace));
 }
 
@@ -324,7 +324,7 @@
     io.run_for(std::chrono::milliseconds(20));
   Tally t = std::move(clients.tally);
   for (const auto& host : hosts)
-    t.callOuts += host->asked, t.connects += host->connects(), t.unitsSent += host->units;
+    t.attempts += host->asked, t.connects += host->connects(), t.unitsSent += host->units;
   t.countCalls = counter.calls;
   if (!daemons.end()) throw lab::Unfit("a daemon did not end with 0");
   return t;
@@ -353,9 +353,9 @@
     hold("pushed_back", part(emulated.pushedBack, emulated.tries), part(real.pushedBack, real.tries),
          kPartMay);
     const double tries = part(emulated.tries, emulated.asked),
-                 calls = part(emulated.callOuts, emulated.tries);
+                 calls = part(emulated.attempts, emulated.tries);
     hold("tries", tries, part(real.tries, real.asked), kRatioMay * tries);
-    hold("call_outs", calls, part(real.callOuts, real.tries), kRatioMay * calls);
+    hold("call_outs", calls, part(real.attempts, real.tries), kRatioMay * calls);
     hold("units_sent", emulated.unitsSent, real.unitsSent, kRatioMay * emulated.unitsSent);
     const double p50 = 1e3 * emulated.latency.within(0.5), p99 = 1e3 * emulated.latency.within(0.99);
     hold("p50_ms", p50, 1e3 * real.latency.within(0.5), kP50May);
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -35,14 +35,14 @@
   t.gateways = gateways;
   t.counter = true, t.counterPatience = 50ms, t.mostUnits = 4;
   t.mayCancel = t.mayAdvise = true;
-  t.mostCallOuts = 5, t.longestAdvice = 1s, t.connectPatience = 250ms;
+  t.maxAttempts = 5, t.longestAdvice = 1s, t.connectPatience = 250ms;
   t.coldShare = 0.16, t.tipMultiple = 3, t.coldSpan = 10s, t.tipSpan = 2s;
   return t;
 }
 
 class World {
  public:
-  // What befalls the call-outs and counts from now on; the chances may be set at any time.
+  // What befalls the attempts and counts from now on; the chances may be set at any time.
   struct Chances {
     double lost = 0, error = 0, mute = 0, refused = 0, countLost = 0, countSlow = 0;
   } chances;
@@ -66,7 +66,7 @@
     Time cameAt{}, endedAt{};
     std::vector<std::pair<HostId, Time>> mayHaveRun;
     std::map<std::uint32_t, HostId> out;
-    std::uint32_t callOuts = 0;
+    std::uint32_t attempts = 0;
   };
 
   World(Terms t, std::uint64_t seed) : terms(std::move(t)), dice_(static_cast<unsigned>(seed)) {
@@ -164,12 +164,12 @@
   }
   const Method& methodOf(const Try& t) const { return terms.methods[t.asked.method.value]; }
 
-  void judgeCallOut(Try& t, HostId to, Time writtenBy) {
+  void judgeAttempt(Try& t, HostId to, Time writtenBy) {
     const Method& m = methodOf(t);
     Host& host = hosts[to.value];
-    if (t.finals > 0) blame("a call-out after the final answer");
-    if (t.outNow > 0 && !terms.mayCopy) blame("two call-outs out at once");
-    if (t.callOuts >= terms.mostCallOuts) blame("too many call-outs");
+    if (t.finals > 0) blame("an attempt after the final answer");
+    if (t.outNow > 0 && !terms.mayCopy) blame("two attempts out at once");
+    if (t.attempts >= terms.maxAttempts) blame("too many attempts");
     if (!t.mayHaveRun.empty() && m.repeat == Repeat::nonIdempotent) blame("a second effect");
     if (m.repeat == Repeat::deduplicated)
       for (const auto& [ranAt, when] : t.mayHaveRun) {
@@ -178,8 +178,8 @@
         if (now > when + m.window) blame("a repeat after the window");
         if (writtenBy > when + m.window) blame("a repeat that may be written after the window");
       }
-    if (!host.serving) blame("a call-out to a host that drains or is gone");
-    if (t.callOuts == 0) drawCeiling(t);
+    if (!host.serving) blame("an attempt to a host that drains or is gone");
+    if (t.attempts == 0) drawCeiling(t);
     if (!host.started) return;
     const double warm = std::min(1.0, seconds(now - *host.started) / seconds(terms.coldSpan));
     host.sent.emplace_back(now, t.asked.units);
@@ -217,7 +217,7 @@
     const bool proven = outcome == Outcome::turnedAway || outcome == Outcome::noConnection;
     if (!proven) t.mayHaveRun.emplace_back(host, now - took);
     if (outcome == Outcome::ok && t.finals == 0) ++t.finals, t.served = true, t.endedAt = now;
-    nodes_[g].gateway->callOutEnded(now, {rpc,
+    nodes_[g].gateway->attemptEnded(now, {rpc,
                                           {no},
                                           host,
                                           outcome,
@@ -229,10 +229,10 @@
 
   struct Way final : Port {
     Way(World& world, std::uint32_t number, std::uint64_t lifeNo) : w(world), g(number), life(lifeNo) {}
-    void callOut(RpcId rpc, HostId host, Until until) override {
+    void startAttempt(RpcId rpc, HostId host, Until until) override {
       Try& t = w.tries[rpc.value];
-      w.judgeCallOut(t, host, until.written);
-      const std::uint32_t no = t.callOuts++;
+      w.judgeAttempt(t, host, until.written);
+      const std::uint32_t no = t.attempts++;
       ++t.outNow;
       t.out[no] = host;
       Outcome outcome = Outcome::ok;
@@ -253,7 +253,7 @@
         world.end(gw, l, rpc, no, host, outcome, took);
       });
     }
-    void cancel(RpcId rpc, CallOutNo no) override {
+    void cancel(RpcId rpc, AttemptNumber no) override {
       const Try& t = w.tries[rpc.value];
       if (!t.out.contains(no.value)) return;
       w.at(w.now, [&world = w, gw = g, l = life, rpc, no, host = t.out.at(no.value)] {
