--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -45,7 +45,7 @@
 }
 
 // One gateway on the wire: an adapter round the core, as the sockets are. The bench ends attempts at their
-// time and tells of it; an RPC's word on the wire stands for its client.
+// time and tells of it; a request's word on the wire stands for its client.
 class Instance final : private front::Ways {
  public:
   Instance(std::int64_t number, const Fields& init, Time now, Output& out)
@@ -66,20 +66,20 @@
 
  private:
   void answerOk(SlotRef, std::string_view, std::string_view) override {}  // the bench has seen to it
-  void answerPushedBack(SlotRef rpc, Span comeBackAfter) override {
-    write(R"({{"sayNo":{{"i":{},"id":"{:016x}","holdOff":{}}}}})", rpc.packed(), micros(comeBackAfter));
+  void answerPushedBack(SlotRef requestId, Span comeBackAfter) override {
+    write(R"({{"sayNo":{{"i":{},"id":"{:016x}","holdOff":{}}}}})", requestId.packed(), micros(comeBackAfter));
   }
-  void answerAborted(SlotRef rpc) override {
-    write(R"({{"giveUp":{{"i":{},"id":"{:016x}"}}}})", rpc.packed());
+  void answerAborted(SlotRef requestId) override {
+    write(R"({{"giveUp":{{"i":{},"id":"{:016x}"}}}})", requestId.packed());
   }
-  std::variant<SlotRef, Outcome> startAttempt(RpcId, AttemptNumber, SlotRef rpc, HostId host,
+  std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef requestId, HostId host,
                                               Until until) override {
-    write(R"({{"forward":{{"i":{},"id":"{:016x}","host":{},"abandonAt":{}}}}})", rpc.packed(),
+    write(R"({{"forward":{{"i":{},"id":"{:016x}","host":{},"abandonAt":{}}}}})", requestId.packed(),
           jsonText(front_.nameOf(host)), micros(until.giveUp));
     return SlotRef{};
   }
-  bool giveUp(SlotRef rpc, AttemptNumber no, SlotRef) override {
-    write(R"({{"abandon":{{"i":{},"id":"{:016x}","sendNo":{}}}}})", rpc.packed(), no.value);
+  bool giveUp(SlotRef requestId, AttemptNumber no, SlotRef) override {
+    write(R"({{"abandon":{{"i":{},"id":"{:016x}","sendNo":{}}}}})", requestId.packed(), no.value);
     return false;
   }
   void probe(HostId host) override {
@@ -106,8 +106,8 @@
     if (message == "fired") return takeFired(now);
     if (message == "counted") return takeCounted(f, now);
     if (message == "cancelledByClient") {
-      const auto at = rpcs_.find(readRpc(f));
-      if (at == rpcs_.end()) return;
+      const auto at = requests_.find(readRequestId(f));
+      if (at == requests_.end()) return;
       front_.clientLeft(now, at->second);
       return forget(at);
     }
@@ -131,30 +131,30 @@
                        name.slot.value);
   }
 
-  static std::uint64_t readRpc(const Fields& f) {
+  static std::uint64_t readRequestId(const Fields& f) {
     const auto text = f.need<std::string_view>("id");
-    std::uint64_t rpc = 0;
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), rpc, 16);
+    std::uint64_t requestId = 0;
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), requestId, 16);
     if (text.size() != 16 || error != std::errc{} || end != text.data() + text.size())
       f.blame("id", "is not 16 hex digits");
-    return rpc;
+    return requestId;
   }
 
   void takeDemand(const Fields& f, Time now) {
-    const std::uint64_t word = readRpc(f);
-    const RpcId rpc = front_.rpcArrived(now, SlotRef::unpacked(word),
-                                        {{},
-                                         {f.get("apiKey", std::uint64_t{0})},
-                                         {f.get("tariff", 0u)},
-                                         {f.get("class", 0u)},
-                                         Time(f.span("dropDead")),
-                                         f.get("costUnits", 1.0),
-                                         f.get("doors", 0u)});
-    if (front_.holds(rpc)) rpcs_.emplace(word, rpc);
+    const std::uint64_t word = readRequestId(f);
+    const RequestId requestId = front_.requestArrived(now, SlotRef::unpacked(word),
+                                                      {{},
+                                                       {f.get("apiKey", std::uint64_t{0})},
+                                                       {f.get("tariff", 0u)},
+                                                       {f.get("class", 0u)},
+                                                       Time(f.span("dropDead")),
+                                                       f.get("costUnits", 1.0),
+                                                       f.get("doors", 0u)});
+    if (front_.holds(requestId)) requests_.emplace(word, requestId);
   }
 
-  void forget(std::unordered_map<std::uint64_t, RpcId>::iterator at) {
-    if (!front_.holds(at->second)) rpcs_.erase(at);
+  void forget(std::unordered_map<std::uint64_t, RequestId>::iterator at) {
+    if (!front_.holds(at->second)) requests_.erase(at);
   }
 
   void takeFired(Time now) {
@@ -191,8 +191,8 @@
   }
 
   void takeResult(const Fields& f, Time now) {
-    const auto at = rpcs_.find(readRpc(f));
-    if (at == rpcs_.end()) return;
+    const auto at = requests_.find(readRequestId(f));
+    if (at == requests_.end()) return;
     front_.attemptEnded(now, at->second, {f.need<std::uint32_t>("sendNo")}, outcomeOf(f),
                         {{},
                          {},
@@ -240,8 +240,8 @@
   Output& out_;
   std::vector<std::string> loadNames_;
   front::Deadlines deadlines_;
-  Time wokenAt_ = Time::max();                     // the bench wakes it then, or before
-  std::unordered_map<std::uint64_t, RpcId> rpcs_;  // by their words on the wire
+  Time wokenAt_ = Time::max();                             // the bench wakes it then, or before
+  std::unordered_map<std::uint64_t, RequestId> requests_;  // by their words on the wire
   front::Front front_;
 };
 
--- a/src/brain.cpp
+++ b/src/brain.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr Span kSlot = std::chrono::seconds(10);  // the design's slot of a count
-constexpr double kKept = 3.0;   // slots for which a count is kept, and a customer who sends no RPC
+constexpr double kKept = 3.0;   // slots for which a count is kept, and a customer who sends no request
 constexpr double kRound = 2.0;  // a round, in patiences of the counter
 // Calls to the counter in one patience, of all gateways: at first, and what one more of them is worth.
 constexpr double kCallsFirst = 12.0, kCallsMost = 120.0, kCallsLeast = 0.6;
@@ -30,8 +30,8 @@
 // Of one answer in a host's latency, and most where answers come seldom, over so many seconds.
 constexpr double kLatencyGain = 0.06, kLatencyMost = 0.3, kLatencySpan = 10.0;
 constexpr double kWeightSpan = 4.0;  // most and least square of a host's speed, over the mean's
-constexpr double kTriedSpan = 20.0;  // seconds over which it counts what came of a kind of RPC at a host,
-constexpr double kDoubt = 0.1;       // of an RPC that went well: what is trusted whatever came
+constexpr double kTriedSpan = 20.0;  // seconds over which it counts what came of a kind of request at a host,
+constexpr double kDoubt = 0.1;       // of a request that went well: what is trusted whatever came
 constexpr double kPressFrom = 0.6;   // of the room: from here the cheapest are pushed back
 constexpr double kLeastRoom = 3.0;   // attempts a host, of all gateways, whatever has been seen
 constexpr double kHostSpan = 4.5;    // seconds over which a host's answers are counted
@@ -68,7 +68,7 @@
 };
 
 struct Tried {
-  Recent well, badly;  // what came of one kind of RPC at one host
+  Recent well, badly;  // what came of one kind of request at one host
 };
 
 // What this gateway knows of one customer.
@@ -83,7 +83,7 @@
   int open = 0;                        // attempts out
   double pending = 0;                  // units not yet published
   double grant = 0;                    // what is left of this gateway's slice
-  bool first = true;                   // no RPC has passed yet in this round
+  bool first = true;                   // no request has passed yet in this round
   double ownRate = 0, othersRate = 0;  // use a second, over the look-back
   double ownUse = 0, othersUse = 0;    // since the last round
   double foreseen = 0;                 // of the others' use since then, already off the level
@@ -103,7 +103,7 @@
   bool out = true, ran = false;                    // still out; may have run
 };
 
-struct Rpc {
+struct PendingRequest {
   Arrival asked;
   Time came;
   Book* book;
@@ -127,7 +127,7 @@
   Time now = born;
 
   std::map<CustomerId, Book> books;
-  std::unordered_map<std::uint64_t, Rpc> rpcs;
+  std::unordered_map<std::uint64_t, PendingRequest> requests;
   std::map<CountName, std::deque<std::function<void(CountEnd, double)>>> asked;
   std::unordered_map<std::uint64_t, std::function<void()>> timers;
   std::uint64_t lastTimer = 0;
@@ -169,7 +169,7 @@
     Time at{};
   };
   Told silence{"counter silent: quotas divided among the gateways", "counter back: quotas shared again"};
-  Told shedding{"hosts have no room: RPCs pushed back, the least worth first", "hosts have room again"};
+  Told shedding{"hosts have no room: requests pushed back, the least worth first", "hosts have room again"};
   Time lastShed{}, booksSwept{};
 
   void tell(Told& told, bool on) {
@@ -263,18 +263,18 @@
 
   // The weighted rotation over the hosts that may be asked. Bent only to pass over those that sit out,
   // that are mute, or that have no room.
-  std::optional<std::size_t> pick(const Rpc& rpc) {
-    const Method& method = terms.methods[rpc.asked.method.value];
+  std::optional<std::size_t> pick(const PendingRequest& requestId) {
+    const Method& method = terms.methods[requestId.asked.method.value];
     able.clear();
     double total = 0;
     warmHosts = 0;
     for (std::size_t h = 0; h < serving.size(); ++h) warmHosts += serving[h] && warmth(h) >= 1;
     for (std::size_t h = 0; h < serving.size(); ++h) {
-      if (!serving[h] || !mayRepeatAt(rpc, method, h)) continue;
-      if (!rpc.attempts.empty() && rpc.attempts.back().host.value == h) continue;
+      if (!serving[h] || !mayRepeatAt(requestId, method, h)) continue;
+      if (!requestId.attempts.empty() && requestId.attempts.back().host.value == h) continue;
       if (benchedUntil[h] > now || mute(h)) continue;
       if (out[h] + 1 > std::max(1.0, roomOf(h, method))) continue;
-      if (const double share = trust(h, rpc.asked); share < 1 && !lucky(share)) continue;
+      if (const double share = trust(h, requestId.asked); share < 1 && !lucky(share)) continue;
       const double w = weight(h);
       // Guards against many gateways that give the same host its turn at once: its place in the rotation
       // is drawn, be it that this gateway has just started or that the host has.
@@ -286,7 +286,7 @@
       const auto best = std::max_element(able.begin(), able.end(),
                                          [this](auto a, auto b) { return credit[a] < credit[b]; });
       const std::size_t h = *best;
-      if (coldRoom(h, rpc.asked.units)) return credit[h] -= total, h;
+      if (coldRoom(h, requestId.asked.units)) return credit[h] -= total, h;
       // Its turn stays owed until it has room.
       credit[h] -= weight(h), total -= weight(h);
       able.erase(best);
@@ -294,17 +294,17 @@
     return std::nullopt;
   }
 
-  // Guards against a repeat that no host can know for one: without its mark a deduplicated RPC has none.
-  Repeat repeatOf(const Rpc& rpc) const {
-    const Repeat repeat = terms.methods[rpc.asked.method.value].repeat;
-    return repeat == Repeat::deduplicated && !rpc.asked.marked ? Repeat::nonIdempotent : repeat;
+  // Guards against a repeat that no host can know for one: without its mark a deduplicated request has none.
+  Repeat repeatOf(const PendingRequest& requestId) const {
+    const Repeat repeat = terms.methods[requestId.asked.method.value].repeat;
+    return repeat == Repeat::deduplicated && !requestId.asked.marked ? Repeat::nonIdempotent : repeat;
   }
 
   // May a further attempt go to this host, after those that may have run or still may?
-  bool mayRepeatAt(const Rpc& rpc, const Method& m, std::size_t h) const {
-    const Repeat repeat = repeatOf(rpc);
+  bool mayRepeatAt(const PendingRequest& requestId, const Method& m, std::size_t h) const {
+    const Repeat repeat = repeatOf(requestId);
     if (repeat == Repeat::idempotent) return true;
-    return std::all_of(rpc.attempts.begin(), rpc.attempts.end(), [&](const Attempt& c) {
+    return std::all_of(requestId.attempts.begin(), requestId.attempts.end(), [&](const Attempt& c) {
       if (!c.out && !c.ran) return true;
       if (repeat == Repeat::nonIdempotent || now >= c.sentAt + m.window) return false;
       const std::size_t at = c.host.value;
@@ -313,11 +313,11 @@
   }
 
   // Guards against a repeat that is dialling, or waits to be written, while the hosts forget the first.
-  Time windowEnd(const Rpc& rpc) const {
-    const Method& m = terms.methods[rpc.asked.method.value];
+  Time windowEnd(const PendingRequest& requestId) const {
+    const Method& m = terms.methods[requestId.asked.method.value];
     Time end = Time::max();
-    for (const Attempt& c : rpc.attempts)
-      if (repeatOf(rpc) == Repeat::deduplicated && (c.out || c.ran) && &c != &rpc.attempts.back())
+    for (const Attempt& c : requestId.attempts)
+      if (repeatOf(requestId) == Repeat::deduplicated && (c.out || c.ran) && &c != &requestId.attempts.back())
         end = std::min(end, c.sentAt + m.window);
     return end;
   }
@@ -331,7 +331,7 @@
     meanLatency += kLatencyGain / 4 * (took - meanLatency);
   }
 
-  void sawEnd(const AttemptResult& end, const Rpc& rpc) {
+  void sawEnd(const AttemptResult& end, const PendingRequest& requestId) {
     const std::size_t h = end.host.value;
     --out[h], --outTotal;
     if (end.outcome == Outcome::cancelled || end.outcome == Outcome::notSent) return;
@@ -341,17 +341,17 @@
       (badly ? kinds[h][kind].badly : kinds[h][kind].well).add(now, kTriedSpan, 1);
     };
     if (ok || end.outcome == Outcome::error || end.outcome == Outcome::noAnswer)
-      tried(rpc.asked.method.value, !ok);
-    if (ok || full) tried(terms.methods.size() + rpc.asked.plan.value, full);
+      tried(requestId.asked.method.value, !ok);
+    if (ok || full) tried(terms.methods.size() + requestId.asked.plan.value, full);
     if (end.outcome != Outcome::noAnswer && end.outcome != Outcome::noConnection) heard[h] = now;
     if (end.outcome == Outcome::ok) {
       sawLatency(h, seconds(end.took), heardBefore);
       answeredAt[h].add(now, kHostSpan, 1);
       answered.add(now, kHostSpan, 1);
       unreached[h] = 0;
-      if (end.load.held && end.load.perSecond) sawReport(h, end.load, rpc.asked.method);
-      usualUnits += kLatencyGain * (rpc.asked.units - usualUnits);
-      if (warmth(h) >= 1) carried.add(now, kCarriedSpan, rpc.asked.units / std::max(1, warmHosts));
+      if (end.load.held && end.load.perSecond) sawReport(h, end.load, requestId.asked.method);
+      usualUnits += kLatencyGain * (requestId.asked.units - usualUnits);
+      if (warmth(h) >= 1) carried.add(now, kCarriedSpan, requestId.asked.units / std::max(1, warmHosts));
     } else if (end.outcome == Outcome::noConnection || end.outcome == Outcome::lost) {
       // Guards against gone hosts that are still listed, each found out anew by every gateway, over and over.
       const double times = std::min(kSitOutMost, std::exp2(unreached[h]++)) * (0.5 + drawn());
@@ -414,7 +414,7 @@
     const double span = seconds(now - b.levelAt),
                  others = std::min(p.rate * (1 - slice(b)), kForesee * b.othersRate);
     const double taken = part(b) < 1 ? 0 : others * span;
-    // For the same reason the part of the bucket holds the largest RPC, though it fills no faster for it.
+    // For the same reason the part of the bucket holds the largest request, though it fills no faster for it.
     const double most = std::max(p.burst * part(b), std::min(p.burst, terms.mostUnits));
     b.level = std::min(most, b.level + p.rate * part(b) * span - taken);
     b.grant = std::min(p.burst * slice(b), b.grant + p.rate * slice(b) * span);
@@ -437,11 +437,12 @@
 
   bool hasRoom(const Book& b, double units) {
     if (b.plan->rate <= 0) return true;
-    // A new customer's first RPC passes, in silence too: its burst over many gateways may not hold one.
+    // A new customer's first request passes, in silence too: its burst over many gateways may not hold one.
     if (!b.known && b.first) return units <= b.plan->burst;
     if (b.level >= units) return b.first || part(b) < 1 || units <= b.grant;
-    // Guards against parts smaller than one RPC, where many gateways see one customer seldom: once the others
-    // may have used more than this RPC since the last total, what is left for this gateway goes by chance.
+    // Guards against parts smaller than one request, where many gateways see one customer seldom: once the
+    // others may have used more than this request since the last total, what is left for this gateway goes by
+    // chance.
     const bool blind =
         part(b) < 1 || seconds(now - b.roundAt) * std::min(b.othersRate, b.plan->rate) >= units;
     return blind && lucky(b.level / units);
@@ -588,7 +589,7 @@
     if (b.busy) keepRounds(b);
   }
 
-  // ---- an RPC's life ----
+  // ---- a request's life ----
 
   // How much of the hosts' room is taken. What hosts tell of their load comes late, what is out here may be a
   // handful: where there are both, half of each. Guards against jams at more gateways than one can see.
@@ -616,89 +617,94 @@
     keepRounds(b);
     const Plan& p = *b.plan;
     if (!hasRoom(b, a.units))
-      return advise(a.rpc, p.rate > 0 ? std::max(0.0, a.units - b.level) / p.rate : 0);
-    if (p.open > 0 && !hasOpening(b)) return advise(a.rpc, meanLatency);
+      return advise(a.requestId, p.rate > 0 ? std::max(0.0, a.units - b.level) / p.rate : 0);
+    if (p.open > 0 && !hasOpening(b)) return advise(a.requestId, meanLatency);
     if (p.ceilingRate > 0 && b.ceiling - a.units < -p.ceilingSlack / b.gateways)
-      return advise(a.rpc, (a.units - b.ceiling) * b.gateways / p.ceilingRate);
+      return advise(a.requestId, (a.units - b.ceiling) * b.gateways / p.ceilingRate);
     if (pressure(method) >= kPressFrom + (1 - kPressFrom) * standing(a)) return shed(a, meanLatency);
-    Rpc& rpc = rpcs.emplace(a.rpc.value, Rpc{a, now, &b, {}}).first->second;
-    if (send(rpc)) return draw(b, a.units);
+    PendingRequest& requestId =
+        requests.emplace(a.requestId.value, PendingRequest{a, now, &b, {}}).first->second;
+    if (send(requestId)) return draw(b, a.units);
     shed(a, seconds(kSweep));
-    rpcs.erase(a.rpc.value);
+    requests.erase(a.requestId.value);
   }
 
   void shed(const Arrival& a, double wait) {
     lastShed = now;
     tell(shedding, true);
     keepSweeping();
-    advise(a.rpc, wait);
+    advise(a.requestId, wait);
   }
 
-  void advise(RpcId rpc, double wait) {
-    port.pushBack(rpc, terms.mayAdvise ? std::clamp(spanOf(wait), Span{0}, terms.longestAdvice) : Span{0});
+  void advise(RequestId requestId, double wait) {
+    port.pushBack(requestId,
+                  terms.mayAdvise ? std::clamp(spanOf(wait), Span{0}, terms.longestAdvice) : Span{0});
   }
 
-  bool send(Rpc& rpc) {
-    const auto host = pick(rpc);
+  bool send(PendingRequest& requestId) {
+    const auto host = pick(requestId);
     if (!host) return false;
     const HostId to{static_cast<std::uint32_t>(*host)};
-    const std::size_t no = rpc.attempts.size();
-    rpc.attempts.push_back({to, now, [this, &rpc, no](const AttemptResult& end) { settle(rpc, no, end); }});
-    ++rpc.book->open;
+    const std::size_t no = requestId.attempts.size();
+    requestId.attempts.push_back(
+        {to, now, [this, &requestId, no](const AttemptResult& end) { settle(requestId, no, end); }});
+    ++requestId.book->open;
     if (out[*host]++ == 0) heard[*host] = now;
     ++outTotal;
-    if (warmth(*host) < 1) coldParts[*host].left -= rpc.asked.units;
+    if (warmth(*host) < 1) coldParts[*host].left -= requestId.asked.units;
     further = std::min(kFurtherStore, further + (no == 0 ? kFurtherShare : -1));
-    inOrder.emplace_back(rpc.asked.rpc.value, no);
-    port.startAttempt(rpc.asked.rpc, to, {rpc.asked.deadline, windowEnd(rpc)});
+    inOrder.emplace_back(requestId.asked.requestId.value, no);
+    port.startAttempt(requestId.asked.requestId, to, {requestId.asked.deadline, windowEnd(requestId)});
     keepSweeping();
     return true;
   }
 
-  void settle(Rpc& rpc, std::size_t no, const AttemptResult& end) {
-    Attempt& attempt = rpc.attempts[no];
+  void settle(PendingRequest& requestId, std::size_t no, const AttemptResult& end) {
+    Attempt& attempt = requestId.attempts[no];
     attempt.out = false;
     attempt.ran = end.outcome != Outcome::turnedAway && end.outcome != Outcome::noConnection &&
                   end.outcome != Outcome::notSent;
-    --rpc.book->open;
-    sawEnd(end, rpc);
-    if (sharesOpen(*rpc.book)) rpc.book->pending += seconds(end.took), rpc.book->ownUse += seconds(end.took);
-    if (end.outcome == Outcome::ok && end.trueUnits > 0 && rpc.book->plan->rate > 0) {
-      const double more = end.trueUnits - rpc.asked.units;
-      rpc.book->level -= more, rpc.book->pending += more;
+    --requestId.book->open;
+    sawEnd(end, requestId);
+    if (sharesOpen(*requestId.book))
+      requestId.book->pending += seconds(end.took), requestId.book->ownUse += seconds(end.took);
+    if (end.outcome == Outcome::ok && end.trueUnits > 0 && requestId.book->plan->rate > 0) {
+      const double more = end.trueUnits - requestId.asked.units;
+      requestId.book->level -= more, requestId.book->pending += more;
     }
-    rpc.done = rpc.done || end.closed;
-    if (!rpc.done && !(mayGoOn(rpc) && send(rpc)) && rpc.out() == 0) finish(rpc);
-    if (rpc.done && rpc.out() == 0) rpcs.erase(rpc.asked.rpc.value);
+    requestId.done = requestId.done || end.closed;
+    if (!requestId.done && !(mayGoOn(requestId) && send(requestId)) && requestId.out() == 0)
+      finish(requestId);
+    if (requestId.done && requestId.out() == 0) requests.erase(requestId.asked.requestId.value);
   }
 
-  bool mayGoOn(const Rpc& rpc) const {
-    const Method& m = terms.methods[rpc.asked.method.value];
-    return further >= 1 && rpc.attempts.size() < terms.maxAttempts &&
-           now < std::min(rpc.came + m.softDeadline, rpc.asked.deadline);
+  bool mayGoOn(const PendingRequest& requestId) const {
+    const Method& m = terms.methods[requestId.asked.method.value];
+    return further >= 1 && requestId.attempts.size() < terms.maxAttempts &&
+           now < std::min(requestId.came + m.softDeadline, requestId.asked.deadline);
   }
 
-  void finish(Rpc& rpc) {
-    const Method& m = terms.methods[rpc.asked.method.value];
-    rpc.done = true;
-    const Repeat repeat = repeatOf(rpc);
-    if (repeat == Repeat::idempotent || !rpc.mayHaveRun() ||
+  void finish(PendingRequest& requestId) {
+    const Method& m = terms.methods[requestId.asked.method.value];
+    requestId.done = true;
+    const Repeat repeat = repeatOf(requestId);
+    if (repeat == Repeat::idempotent || !requestId.mayHaveRun() ||
         (repeat == Repeat::deduplicated && m.group == Group::all))
-      advise(rpc.asked.rpc, 0);
+      advise(requestId.asked.requestId, 0);
     else
-      port.abort(rpc.asked.rpc);
+      port.abort(requestId.asked.requestId);
   }
 
   // Guards against answers that never come, whatever swallows them. A second copy where two may be out; else
   // the attempt is taken back, but only from a host that is mute. The store of further attempts keeps it
   // from becoming a storm when every host is slow, which is where it hurts: work done twice.
-  void overdue(Rpc& rpc, std::size_t no) {
-    sawLatency(rpc.attempts[no].host.value, seconds(now - rpc.attempts[no].sentAt));
-    if (rpc.done || repeatOf(rpc) == Repeat::nonIdempotent || !mayGoOn(rpc)) return;
+  void overdue(PendingRequest& requestId, std::size_t no) {
+    sawLatency(requestId.attempts[no].host.value, seconds(now - requestId.attempts[no].sentAt));
+    if (requestId.done || repeatOf(requestId) == Repeat::nonIdempotent || !mayGoOn(requestId)) return;
     if (terms.mayCopy)
-      send(rpc);
+      send(requestId);
     else if (terms.mayCancel)
-      port.cancel(rpc.asked.rpc, {static_cast<std::uint32_t>(no)});
+      port.cancel(requestId.asked.requestId, {static_cast<std::uint32_t>(no)});
   }
 
   // ---- what is looked at now and then ----
@@ -713,8 +719,8 @@
     for (std::size_t n = inOrder.size(); n > 0; --n) {
       const auto [id, no] = inOrder.front();
       inOrder.pop_front();
-      const auto at = rpcs.find(id);
-      if (at == rpcs.end() || !at->second.attempts[no].out) continue;
+      const auto at = requests.find(id);
+      if (at == requests.end() || !at->second.attempts[no].out) continue;
       const Attempt& c = at->second.attempts[no];
       // Only one that a mute host owes is lost rather than queued.
       if (mute(c.host.value, kTakeBack) && seconds(now - c.sentAt) > kSilentHost * meanLatency)
@@ -756,24 +762,24 @@
   hostsChanged(now, lines);
 }
 
-void Gateway::rpcArrived(Time now, const Arrival& arrival) {
+void Gateway::requestArrived(Time now, const Arrival& arrival) {
   mind_->now = now;
   mind_->arrive(arrival);
 }
 
 void Gateway::attemptEnded(Time now, const AttemptResult& end) {
   mind_->now = now;
-  const auto at = mind_->rpcs.find(end.rpc.value);
-  if (at == mind_->rpcs.end() || end.no.value >= at->second.attempts.size()) return;
+  const auto at = mind_->requests.find(end.requestId.value);
+  if (at == mind_->requests.end() || end.no.value >= at->second.attempts.size()) return;
   if (const auto next = std::exchange(at->second.attempts[end.no.value].next, nullptr)) next(end);
 }
 
-void Gateway::answerStarted(Time, RpcId, AttemptNumber) {}
+void Gateway::answerStarted(Time, RequestId, AttemptNumber) {}
 
-void Gateway::clientLeft(Time now, RpcId rpc) {
+void Gateway::clientLeft(Time now, RequestId requestId) {
   mind_->now = now;
-  const auto at = mind_->rpcs.find(rpc.value);
-  if (at != mind_->rpcs.end()) at->second.done = true;
+  const auto at = mind_->requests.find(requestId.value);
+  if (at != mind_->requests.end()) at->second.done = true;
 }
 
 void Gateway::counted(Time now, const CountName& name, CountEnd end, double total, Span took) {
--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -19,10 +19,10 @@
 class Port {
  public:
   virtual ~Port() = default;
-  virtual void startAttempt(RpcId, HostId, Until) = 0;
-  virtual void cancel(RpcId, AttemptNumber) = 0;
-  virtual void pushBack(RpcId, Span comeBackAfter) = 0;  // final; 0 gives no advice
-  virtual void abort(RpcId) = 0;                         // final
+  virtual void startAttempt(RequestId, HostId, Until) = 0;
+  virtual void cancel(RequestId, AttemptNumber) = 0;
+  virtual void pushBack(RequestId, Span comeBackAfter) = 0;  // final; 0 gives no advice
+  virtual void abort(RequestId) = 0;                         // final
   virtual void addToCount(const CountName&, double units, Span keptFor) = 0;
   virtual void wakeAt(Time, TimerId) = 0;
   virtual void probe(HostId) = 0;
@@ -30,13 +30,13 @@
 };
 
 struct Arrival {
-  RpcId rpc;
+  RequestId requestId;
   CustomerId customer;
   PlanId plan;
   MethodId method;
   Time deadline;               // the client gives up on this try
   double units = 0;            // a guess where they are settled after the answer
-  std::uint32_t gateways = 1;  // through which the customer's RPCs come
+  std::uint32_t gateways = 1;  // through which the customer's requests come
   bool marked = true;          // bears what a repeat of a deduplicated method is known by
 };
 
@@ -47,11 +47,11 @@
 };
 
 struct AttemptResult {
-  RpcId rpc;
+  RequestId requestId;
   AttemptNumber no;
   HostId host;
   Outcome outcome = Outcome::notSent;
-  bool closed = false;  // the RPC has had its final answer
+  bool closed = false;  // the request has had its final answer
   Span took{};
   double trueUnits = 0;  // 0: not told
   LoadReport load;
@@ -80,10 +80,10 @@
 
   void hostsChanged(Time now, const std::vector<HostLine>&);  // the lines that changed
   void hostsListed(Time now, const std::vector<HostLine>&);   // all lines: what is missing has gone
-  void rpcArrived(Time now, const Arrival&);
+  void requestArrived(Time now, const Arrival&);
   void attemptEnded(Time now, const AttemptResult&);
-  void answerStarted(Time now, RpcId, AttemptNumber);  // a streamed answer is the client's from here on
-  void clientLeft(Time now, RpcId);
+  void answerStarted(Time now, RequestId, AttemptNumber);  // a streamed answer is the client's from here on
+  void clientLeft(Time now, RequestId);
   void counted(Time now, const CountName&, CountEnd, double total, Span took);
   void probed(Time now, HostId, bool ok, const LoadReport&);
   void woken(Time now, TimerId);
--- a/src/emulator/doorman.cpp
+++ b/src/emulator/doorman.cpp
@@ -18,24 +18,24 @@
   Own(const orders::Orders& orders, Time now, front::Deadlines& deadlines, front::Ways& ways)
       : front_(orders, now, deadlines, ways) {}
 
-  void rpcArrived(Time now, SlotRef client, const Arrival& arrival) override {
-    const RpcId rpc = front_.rpcArrived(now, client, arrival);
-    if (front_.holds(rpc)) rpcs_[client.packed()] = rpc;
-    if (rpcs_.size() > sweepAt_) {
-      std::erase_if(rpcs_, [this](const auto& at) { return !front_.holds(at.second); });
-      sweepAt_ = std::max<std::size_t>(64, 2 * rpcs_.size());
+  void requestArrived(Time now, SlotRef client, const Arrival& arrival) override {
+    const RequestId requestId = front_.requestArrived(now, client, arrival);
+    if (front_.holds(requestId)) requests_[client.packed()] = requestId;
+    if (requests_.size() > sweepAt_) {
+      std::erase_if(requests_, [this](const auto& at) { return !front_.holds(at.second); });
+      sweepAt_ = std::max<std::size_t>(64, 2 * requests_.size());
     }
   }
   void clientLeft(Time now, SlotRef client) override {
-    const auto at = rpcs_.find(client.packed());
-    if (at == rpcs_.end()) return;
-    const RpcId rpc = at->second;
-    rpcs_.erase(at);
-    front_.clientLeft(now, rpc);
+    const auto at = requests_.find(client.packed());
+    if (at == requests_.end()) return;
+    const RequestId requestId = at->second;
+    requests_.erase(at);
+    front_.clientLeft(now, requestId);
   }
-  void attemptEnded(Time now, RpcId rpc, AttemptNumber no, Outcome outcome,
+  void attemptEnded(Time now, RequestId requestId, AttemptNumber no, Outcome outcome,
                     const front::Said& said) override {
-    front_.attemptEnded(now, rpc, no, outcome, said);
+    front_.attemptEnded(now, requestId, no, outcome, said);
   }
   void counted(Time now, const CountName& name, CountEnd end, double total, Span took) override {
     front_.counted(now, name, end, total, took);
@@ -47,11 +47,12 @@
 
  private:
   front::Front front_;
-  std::unordered_map<std::uint64_t, RpcId> rpcs_;  // by client, looked up and never walked in its order
+  std::unordered_map<std::uint64_t, RequestId>
+      requests_;  // by client, looked up and never walked in its order
   std::size_t sweepAt_ = 64;
 };
 
-// What the policies beside the module share: one attempt for each RPC, and no second.
+// What the policies beside the module share: one attempt for each request, and no second.
 class Simple : public Doorman {
  public:
   Simple(const orders::Orders& orders, Time now, front::Deadlines& deadlines, front::Ways& ways)
@@ -65,26 +66,27 @@
     Simple::hostsTold(now, known);
   }
 
-  void rpcArrived(Time now, SlotRef client, const Arrival& arrival) override {
+  void requestArrived(Time now, SlotRef client, const Arrival& arrival) override {
     const auto host = admits(now, arrival) ? choose(now) : std::nullopt;
     if (!host) return ways_.answerPushedBack(client, terms_.connectPatience);
-    const RpcId rpc{++last_};
+    const RequestId requestId{++last_};
     const Time by = std::min(arrival.deadline, latest_) - slack_;
-    const auto sent = ways_.startAttempt(rpc, {0}, client, *host, {by, Time::max()});
+    const auto sent = ways_.startAttempt(requestId, {0}, client, *host, {by, Time::max()});
     if (std::holds_alternative<Outcome>(sent)) return ways_.answerPushedBack(client, Span{0});
-    rpcs_[rpc.value] = {client, std::get<SlotRef>(sent),
-                        terms_.methods[arrival.method.value].repeat == Repeat::idempotent};
-    byClient_[client.packed()] = rpc.value;
-    deadlines_.add(std::max(now, by), [this, rpc](Time) { giveUp(rpc, true); });
+    requests_[requestId.value] = {client, std::get<SlotRef>(sent),
+                                  terms_.methods[arrival.method.value].repeat == Repeat::idempotent};
+    byClient_[client.packed()] = requestId.value;
+    deadlines_.add(std::max(now, by), [this, requestId](Time) { giveUp(requestId, true); });
   }
   void clientLeft(Time, SlotRef client) override {
     if (const auto at = byClient_.find(client.packed()); at != byClient_.end()) giveUp({at->second}, false);
   }
-  void attemptEnded(Time, RpcId rpc, AttemptNumber, Outcome outcome, const front::Said& said) override {
-    const auto at = rpcs_.find(rpc.value);
-    if (at == rpcs_.end()) return;
+  void attemptEnded(Time, RequestId requestId, AttemptNumber, Outcome outcome,
+                    const front::Said& said) override {
+    const auto at = requests_.find(requestId.value);
+    if (at == requests_.end()) return;
     const Held held = at->second;
-    drop(rpc);
+    drop(requestId);
     if (outcome == Outcome::ok) return ways_.answerOk(held.client, said.body, said.type);
     if (held.idempotent || outcome == Outcome::turnedAway || outcome == Outcome::noConnection)
       return ways_.answerPushedBack(held.client, Span{0});
@@ -100,7 +102,7 @@
   }
   const std::string& addressOf(HostId host) const override { return serving_[host.value]; }
   void endBy(Time by) override { latest_ = by; }
-  std::size_t unanswered() const override { return rpcs_.size(); }
+  std::size_t unanswered() const override { return requests_.size(); }
 
  protected:
   virtual bool admits(Time, const Arrival&) { return true; }
@@ -118,15 +120,15 @@
     SlotRef client, link;
     bool idempotent = false;
   };
-  void drop(RpcId rpc) {
-    byClient_.erase(rpcs_.at(rpc.value).client.packed());
-    rpcs_.erase(rpc.value);
+  void drop(RequestId requestId) {
+    byClient_.erase(requests_.at(requestId.value).client.packed());
+    requests_.erase(requestId.value);
   }
-  void giveUp(RpcId rpc, bool answer) {
-    const auto at = rpcs_.find(rpc.value);
-    if (at == rpcs_.end()) return;
+  void giveUp(RequestId requestId, bool answer) {
+    const auto at = requests_.find(requestId.value);
+    if (at == requests_.end()) return;
     const Held held = at->second;
-    drop(rpc);
+    drop(requestId);
     ways_.giveUp(held.client, {0}, held.link);
     if (answer) ways_.answerAborted(held.client);
   }
@@ -140,7 +142,7 @@
  private:
   std::uint64_t last_ = 0;
   Time latest_ = Time::max();
-  std::unordered_map<std::uint64_t, Held> rpcs_;
+  std::unordered_map<std::uint64_t, Held> requests_;
   std::unordered_map<std::uint64_t, std::uint64_t> byClient_;
 };
 
--- a/src/emulator/doorman.hpp
+++ b/src/emulator/doorman.hpp
@@ -13,9 +13,9 @@
 class Doorman {
  public:
   virtual ~Doorman() = default;
-  virtual void rpcArrived(Time, front::SlotRef client, const Arrival&) = 0;
+  virtual void requestArrived(Time, front::SlotRef client, const Arrival&) = 0;
   virtual void clientLeft(Time, front::SlotRef client) = 0;
-  virtual void attemptEnded(Time, RpcId, AttemptNumber, Outcome, const front::Said&) = 0;
+  virtual void attemptEnded(Time, RequestId, AttemptNumber, Outcome, const front::Said&) = 0;
   virtual void counted(Time, const CountName&, CountEnd, double total, Span took) = 0;
   virtual void hostsTold(Time, const orders::Roster&) = 0;
   virtual const std::string& addressOf(HostId) const = 0;
--- a/src/emulator/ledger.cpp
+++ b/src/emulator/ledger.cpp
@@ -11,7 +11,7 @@
 // Breaches of one rule that are written down in words; all are counted.
 constexpr std::uint64_t kInWords = 5;
 constexpr Span kWindow = std::chrono::seconds(10);
-// What binary fractions lose when units are drawn and filled; no RPC is so small.
+// What binary fractions lose when units are drawn and filled; no request is so small.
 constexpr double kRounding = 1e-6;
 
 }  // namespace
@@ -27,21 +27,21 @@
   if (share > 0 && work > 0) meanWork_ = work / share, capacity_ = s.cores / meanWork_;
 }
 
-Ledger::Open* Ledger::find(TryId rpc) {
-  const auto at = open_.find(rpc.value);
+Ledger::Open* Ledger::find(TryId attemptId) {
+  const auto at = open_.find(attemptId.value);
   return at == open_.end() ? nullptr : &at->second;
 }
 
-void Ledger::close(TryId rpc) {
-  const Open* const open = find(rpc);
+void Ledger::close(TryId attemptId) {
+  const Open* const open = find(attemptId);
   if (open && (open->answered || open->left) &&
       std::none_of(open->outs.begin(), open->outs.end(), [](const Out& o) { return o.out; }))
-    open_.erase(rpc.value);
+    open_.erase(attemptId.value);
 }
 
-void Ledger::breach(Time at, Rule rule, TryId rpc, std::string what) {
+void Ledger::breach(Time at, Rule rule, TryId attemptId, std::string what) {
   if (counts_[static_cast<std::size_t>(rule)]++ < kInWords)
-    first_.push_back({at, rule, rpc, std::move(what)});
+    first_.push_back({at, rule, attemptId, std::move(what)});
 }
 
 std::uint64_t Ledger::all() const {
@@ -53,38 +53,38 @@
 // ---- the client's side: one whole answer in time ----
 
 // What comes to a gateway after its time is late by no fault of the gateway's: it has the slack from then on.
-void Ledger::taken(Time now, TryId rpc, const Asked& asked) {
-  Open& open = open_.emplace(rpc.value, Open{asked, {}, false, false, false}).first->second;
+void Ledger::taken(Time now, TryId attemptId, const Asked& asked) {
+  Open& open = open_.emplace(attemptId.value, Open{asked, {}, false, false, false}).first->second;
   open.asked.deadline = std::max(asked.deadline, now);
 }
 
-void Ledger::clientLeft(Time now, TryId rpc) {
-  Open* const open = find(rpc);
+void Ledger::clientLeft(Time now, TryId attemptId) {
+  Open* const open = find(attemptId);
   if (!open) return;
   if (!open->answered && !open->left && now > open->asked.deadline + s_.answerSlack)
-    breach(now, Rule::lost, rpc, "never answered");
+    breach(now, Rule::lost, attemptId, "never answered");
   open->left = true;
-  close(rpc);
+  close(attemptId);
 }
 
-void Ledger::answered(Time now, TryId rpc, Answer how) {
-  Open* const open = find(rpc);
+void Ledger::answered(Time now, TryId attemptId, Answer how) {
+  Open* const open = find(attemptId);
   if (!open)
-    return breach(now, Rule::lost, rpc, "an answer to what was never asked, or to a client long gone");
-  if (open->answered) return breach(now, Rule::lost, rpc, "a second final answer");
+    return breach(now, Rule::lost, attemptId, "an answer to what was never asked, or to a client long gone");
+  if (open->answered) return breach(now, Rule::lost, attemptId, "a second final answer");
   open->answered = true;
   if (!open->left && now > open->asked.deadline + s_.answerSlack)
-    breach(now, Rule::lost, rpc,
+    breach(now, Rule::lost, attemptId,
            fmt::format("answered {:.3f} s after its time", seconds(now - open->asked.deadline)));
   const bool served =
       std::any_of(open->outs.begin(), open->outs.end(), [](const Out& o) { return o.served; });
-  if (how == Answer::ok && !served) breach(now, Rule::lost, rpc, "an answer that no host has made");
+  if (how == Answer::ok && !served) breach(now, Rule::lost, attemptId, "an answer that no host has made");
   if (how == Answer::pushedBack && mayHaveRun(*open)) {
     const MethodTerms& m = s_.methods[open->asked.method];
     if (m.repeat == Repeat::nonIdempotent || (m.repeat == Repeat::deduplicated && m.group != Group::all))
-      breach(now, Rule::twice, rpc, "pushed back though it may have run");
+      breach(now, Rule::twice, attemptId, "pushed back though it may have run");
   }
-  close(rpc);
+  close(attemptId);
 }
 
 // What it held is the clients' to ask again: it has not ended it, its machine has.
@@ -96,10 +96,10 @@
 
 void Ledger::finish(Time now) {
   std::vector<std::uint64_t> late;
-  for (const auto& [rpc, open] : open_)
-    if (!open.answered && !open.left && now > open.asked.deadline + s_.answerSlack) late.push_back(rpc);
+  for (const auto& [attemptId, open] : open_)
+    if (!open.answered && !open.left && now > open.asked.deadline + s_.answerSlack) late.push_back(attemptId);
   std::sort(late.begin(), late.end());
-  for (const std::uint64_t rpc : late) breach(now, Rule::lost, {rpc}, "never answered");
+  for (const std::uint64_t attemptId : late) breach(now, Rule::lost, {attemptId}, "never answered");
 }
 
 // ---- the hosts' side: no effect twice ----
@@ -118,26 +118,27 @@
   });
 }
 
-void Ledger::sent(Time now, TryId rpc, std::uint32_t no, MachineNo machine, std::uint32_t zone,
+void Ledger::sent(Time now, TryId attemptId, std::uint32_t no, MachineNo machine, std::uint32_t zone,
                   std::int64_t cell) {
-  Open* const open = find(rpc);
-  if (!open) return breach(now, Rule::lost, rpc, "sent on for a client that is not there");
-  if (open->answered) breach(now, Rule::lost, rpc, "sent on after its final answer");
+  Open* const open = find(attemptId);
+  if (!open) return breach(now, Rule::lost, attemptId, "sent on for a client that is not there");
+  if (open->answered) breach(now, Rule::lost, attemptId, "sent on after its final answer");
   if (!mayRepeat(now, *open, zone, cell))
-    breach(now, Rule::twice, rpc, fmt::format("attempt {} though an earlier one may have run", no));
+    breach(now, Rule::twice, attemptId, fmt::format("attempt {} though an earlier one may have run", no));
   if (!s_.mayCopy && std::any_of(open->outs.begin(), open->outs.end(), [](const Out& o) { return o.out; }))
-    breach(now, Rule::twice, rpc, fmt::format("attempt {} while another is out", no));
+    breach(now, Rule::twice, attemptId, fmt::format("attempt {} while another is out", no));
   if (const auto at = notServing_.find({open->asked.gateway.value, machine.value});
       at != notServing_.end() && now > at->second + s_.drainGrace)
-    breach(now, Rule::drain, rpc,
+    breach(now, Rule::drain, attemptId,
            fmt::format("sent to host {} {:.3f} s after gateway {} was told that it drains", machine.value,
                        seconds(now - at->second), open->asked.gateway.value));
   open->outs.resize(std::max<std::size_t>(open->outs.size(), no + 1));
   open->outs[no] = {machine, zone, cell, now};
 }
 
-void Ledger::ran(Time now, TryId rpc, std::uint32_t no, MachineNo, std::uint32_t zone, std::int64_t cell) {
-  Open* const open = find(rpc);
+void Ledger::ran(Time now, TryId attemptId, std::uint32_t no, MachineNo, std::uint32_t zone,
+                 std::int64_t cell) {
+  Open* const open = find(attemptId);
   if (!open || no >= open->outs.size()) return;
   const MethodTerms& m = s_.methods[open->asked.method];
   // Beside what the table allows: did the same effect really come twice?
@@ -148,35 +149,35 @@
         (m.group == Group::all || (m.group == Group::zone ? o.zone == zone : o.cell == cell));
     if (dropped) return;
     ++runsTwice_;
-    breach(now, Rule::twice, rpc, "its effect came twice");
+    breach(now, Rule::twice, attemptId, "its effect came twice");
     break;
   }
   open->outs[no].ran = true;
 }
 
-void Ledger::served(Time, TryId rpc, std::uint32_t no) {
-  Open* const open = find(rpc);
+void Ledger::served(Time, TryId attemptId, std::uint32_t no) {
+  Open* const open = find(attemptId);
   if (open && no < open->outs.size()) open->outs[no].served = true;
 }
 
-void Ledger::over(Time now, TryId rpc, std::uint32_t no, bool proven) {
-  Open* const open = find(rpc);
+void Ledger::over(Time now, TryId attemptId, std::uint32_t no, bool proven) {
+  Open* const open = find(attemptId);
   if (!open || no >= open->outs.size()) return;
   Out& out = open->outs[no];
-  if (proven && out.ran) breach(now, Rule::twice, rpc, "told as never run, though it has run");
+  if (proven && out.ran) breach(now, Rule::twice, attemptId, "told as never run, though it has run");
   out.out = false, out.proven = proven;
-  close(rpc);
+  close(attemptId);
 }
 
 // ---- quotas and ceilings ----
 
-std::optional<bool> Ledger::reached(Time now, TryId rpc, std::uint32_t) {
-  Open* const open = find(rpc);
+std::optional<bool> Ledger::reached(Time now, TryId attemptId, std::uint32_t) {
+  Open* const open = find(attemptId);
   if (!open || std::exchange(open->drawn, true)) return std::nullopt;
-  return draw(now, rpc, *open);
+  return draw(now, attemptId, *open);
 }
 
-std::optional<bool> Ledger::draw(Time now, TryId rpc, Open& open) {
+std::optional<bool> Ledger::draw(Time now, TryId attemptId, Open& open) {
   const Plan& p = s_.plans[open.asked.plan].plan;
   const double units = open.asked.units;
   unitsSent_ += units;
@@ -196,7 +197,7 @@
   if (p.ceilingRate > 0) {
     purse.ceiling -= units;
     if (purse.ceiling < -p.ceilingSlack - kRounding)
-      breach(now, Rule::ceiling, rpc,
+      breach(now, Rule::ceiling, attemptId,
              fmt::format("customer {:x}: {:.3f} units under the ceiling's slack", open.asked.customer,
                          -p.ceilingSlack - purse.ceiling));
     purse.window.emplace_back(now, units), purse.inWindow += units;
@@ -269,11 +270,12 @@
   nearestCold_ = std::max(nearestCold_, cold.sum / budget);
   if (cold.sum <= budget) return false;
   if (3 * cold.sumTold > 2 * cold.sum)
-    breach(now, Rule::cold, {},
-           fmt::format(
-               "host {} fell: {:.1f} RPCs of mean work in {:.1f} s while cold, {:.1f} of them from gateways "
-               "told of its start",
-               machine.value, cold.sum, seconds(s_.tip), cold.sumTold));
+    breach(
+        now, Rule::cold, {},
+        fmt::format(
+            "host {} fell: {:.1f} requests of mean work in {:.1f} s while cold, {:.1f} of them from gateways "
+            "told of its start",
+            machine.value, cold.sum, seconds(s_.tip), cold.sumTold));
   cold_.erase(machine.value);
   return true;
 }
--- a/src/emulator/ledger.hpp
+++ b/src/emulator/ledger.hpp
@@ -25,7 +25,7 @@
 struct Breach {
   Time at;
   Rule rule;
-  TryId rpc;  // 0 where it is no single RPC's
+  TryId attemptId;  // 0 where it is no single request's
   std::string what;
 };
 
@@ -120,7 +120,7 @@
   std::optional<bool> draw(Time, TryId, Open&);
 
   const Scenario& s_;
-  double capacity_ = 1, meanWork_ = 1;  // RPCs a second that a warm host carries; seconds of one
+  double capacity_ = 1, meanWork_ = 1;  // requests a second that a warm host carries; seconds of one
   std::unordered_map<std::uint64_t, Open> open_;
   std::unordered_map<std::uint64_t, Purse> purses_;
   std::size_t sweepAt_ = 1024;
--- a/src/emulator/scenario.hpp
+++ b/src/emulator/scenario.hpp
@@ -20,7 +20,7 @@
   hostKill,         // a share of the hosts dies; their connections are refused; back, cold, after it
   hostHang,         // takes what comes and answers nothing
   hostSlow,         // takes `factor` times as long
-  hostErr,          // ends a part `factor` of its RPCs as errors
+  hostErr,          // ends a part `factor` of its requests as errors
   hostVanish,       // says nothing any more, to old connections and new ones
   hostReplace,      // a share is replaced by new, cold ones, in steps, the old ones drained
   zoneCut,          // one zone and the others do not reach each other
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -22,8 +22,8 @@
 using front::SlotRef;
 
 constexpr Time kBegin{std::chrono::seconds(1'700'000'000)};
-// The protocol's: so long after it is told to end a gateway is still sent new RPCs, and what of its time is
-// left.
+// The protocol's: so long after it is told to end a gateway is still sent new requests, and what of its time
+// is left.
 constexpr Span kStillComing = std::chrono::milliseconds(700), kLongestKept = std::chrono::seconds(3),
                kSpared = std::chrono::milliseconds(150);
 constexpr Span kSentAgain = std::chrono::milliseconds(200);  // what a lost message comes late by
@@ -57,14 +57,14 @@
   std::uint32_t gateway;
   std::uint64_t gatewayLife;
   SlotRef attempt;
-  TryId rpc;
+  TryId requestId;
   std::uint32_t no;
   Span work;
   bool running = false;
 };
 
 struct Attempt {
-  RpcId rpc;
+  RequestId requestId;
   AttemptNumber no;
   TryId tryId;
   std::uint32_t machine;
@@ -105,7 +105,8 @@
   void answerOk(SlotRef client, std::string_view, std::string_view) override;
   void answerPushedBack(SlotRef client, Span comeBackAfter) override;
   void answerAborted(SlotRef client) override;
-  std::variant<SlotRef, Outcome> startAttempt(RpcId, AttemptNumber, SlotRef client, HostId, Until) override;
+  std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
+                                              Until) override;
   bool giveUp(SlotRef client, AttemptNumber, SlotRef link) override;
   void probe(HostId) override {}
   void count(const CountName&, double units, Span keptFor) override;
@@ -266,7 +267,7 @@
               wish.deadline,
               wish.units,
               std::min(sc.spread, sc.gateways)};
-    node.doorman->rpcArrived(agenda.now(), ref, a);
+    node.doorman->requestArrived(agenda.now(), ref, a);
     arm(node);
   }
   // This try is over without a result; may the client ask once more?
@@ -535,7 +536,7 @@
     Machine& m = machines[job.machine];
     job.running = true;
     ++m.running;
-    ledger.ran(agenda.now(), job.rpc, job.no, {job.machine}, m.zone, m.cell);
+    ledger.ran(agenda.now(), job.requestId, job.no, {job.machine}, m.zone, m.cell);
     if (marked(Trouble::hostHang, job.machine)) return;
     double slow = 1 / warmth(m);
     for (const auto& [key, a] : active)
@@ -554,7 +555,7 @@
     const bool err = any(Trouble::hostErr, [&](const Active& a) {
       return job.machine < a.marked.size() && a.marked[job.machine] && works.lucky(a.fault->factor);
     });
-    if (!err) ledger.served(agenda.now(), job.rpc, job.no);
+    if (!err) ledger.served(agenda.now(), job.requestId, job.no);
     endAttempt(job.gateway, job.gatewayLife, job.attempt, err ? Outcome::error : Outcome::ok);
     next(job.machine);
   }
@@ -602,7 +603,7 @@
         else if (!over.fresh || over.connected)
           --host.connections;
       }
-      at.doorman->attemptEnded(agenda.now(), over.rpc, over.no, outcome, said);
+      at.doorman->attemptEnded(agenda.now(), over.requestId, over.no, outcome, said);
       arm(at);
     });
   }
@@ -949,8 +950,8 @@
   w.agenda.after(w.delay(), [&world = w, client] { world.answerCame(client, Answer::aborted, Span{0}); });
 }
 
-std::variant<SlotRef, Outcome> Node::startAttempt(RpcId rpc, AttemptNumber attemptNumber, SlotRef client,
-                                                  HostId host, Until) {
+std::variant<SlotRef, Outcome> Node::startAttempt(RequestId requestId, AttemptNumber attemptNumber,
+                                                  SlotRef client, HostId host, Until) {
   const Try* const t = w.tries.find(client);
   if (!t) return Outcome::notSent;
   const std::string& address = doorman->addressOf(host);
@@ -965,7 +966,7 @@
   }
   const bool fresh = rest.empty();
   if (!fresh) rest.pop_back();
-  const SlotRef ref = attempts.add(Attempt{rpc, attemptNumber, t->id, m, machine.life, fresh});
+  const SlotRef ref = attempts.add(Attempt{requestId, attemptNumber, t->id, m, machine.life, fresh});
   w.tryOf[t->id.value] = client;
   if (w.tryOf.size() > w.tryOfSweep) {
     std::erase_if(w.tryOf, [this](const auto& at) { return !w.tries.find(at.second); });
--- a/src/front/ask.cpp
+++ b/src/front/ask.cpp
@@ -7,7 +7,7 @@
 namespace merlinbridge::front {
 namespace {
 
-// What a count can hold exactly; whatever claims more is no RPC.
+// What a count can hold exactly; whatever claims more is no request.
 constexpr double kMostUnits = 1e6;
 
 template <class T, class... Base>
--- a/src/front/ask.hpp
+++ b/src/front/ask.hpp
@@ -16,10 +16,10 @@
   Names<MachineId> machines;
 };
 
-// What a client's message says of its RPC; where it cannot be one, `fault` says why.
+// What a client's message says of its request; where it cannot be one, `fault` says why.
 struct Ask {
   std::string_view fault;
-  Arrival arrival;  // without the RPC's id; the deadline counted from the time given
+  Arrival arrival;  // without the request's id; the deadline counted from the time given
 };
 
 Ask readAsk(const http::Message&, const Words&, const Terms&, Time came);
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -8,7 +8,7 @@
 
 // Hosts that may have a number at once.
 constexpr std::size_t kMostHosts = 4096;
-// Of the longest deadline: an RPC that knew a host which has been gone for longer is no more.
+// Of the longest deadline: a request that knew a host which has been gone for longer is no more.
 constexpr int kForgotten = 2;
 
 }  // namespace
@@ -31,44 +31,44 @@
 
 // ---- from the adapters to the module ----
 
-RpcId Front::rpcArrived(Time now, SlotRef client, Arrival arrival) {
+RequestId Front::requestArrived(Time now, SlotRef client, Arrival arrival) {
   now_ = now;
   // Answered while the client still waits: the slack that the rules allow, and the loop's own delay, before.
   if (keepsTime_) arrival.deadline = std::max(now, arrival.deadline - slack_ - deadlines_.late(now));
   arrival.deadline = std::min(arrival.deadline, latest_);
   const Time deadline = keepsTime_ ? arrival.deadline : arrival.deadline + slack_;
-  const SlotRef slot = rpcs_.add();
-  const RpcId rpc{slot.packed()};
-  Rpc& row = *rpcs_.find(slot);
+  const SlotRef slot = requests_.add();
+  const RequestId requestId{slot.packed()};
+  PendingRequest& row = *requests_.find(slot);
   row.client = client, row.deadline = deadline;
-  row.by = deadlines_.add(deadline, [this, rpc](Time at) { expire(at, rpc); });
+  row.by = deadlines_.add(deadline, [this, requestId](Time at) { expire(at, requestId); });
   ++unanswered_;
-  arrival.rpc = rpc;
-  gateway_.rpcArrived(now, arrival);
-  settle(now, rpc);
-  return rpc;
+  arrival.requestId = requestId;
+  gateway_.requestArrived(now, arrival);
+  settle(now, requestId);
+  return requestId;
 }
 
-void Front::clientLeft(Time now, RpcId rpc) {
+void Front::clientLeft(Time now, RequestId requestId) {
   now_ = now;
-  if (!owed(rpc)) return;
-  gateway_.clientLeft(now, rpc);
-  settle(now, rpc);
+  if (!owed(requestId)) return;
+  gateway_.clientLeft(now, requestId);
+  settle(now, requestId);
 }
 
-void Front::attemptEnded(Time now, RpcId rpc, AttemptNumber no, Outcome outcome, const Said& said) {
+void Front::attemptEnded(Time now, RequestId requestId, AttemptNumber no, Outcome outcome, const Said& said) {
   now_ = now;
-  Rpc* const row = find(rpc);
+  PendingRequest* const row = find(requestId);
   if (!row || no.value >= row->attempts.size() || !row->attempts[no.value].out) return;
   Attempt& attempt = row->attempts[no.value];
   attempt.out = false;
   --row->out, --outAt_[attempt.host.value];
-  if ((outcome == Outcome::ok || said.answered) && owed(rpc) && !said.answered)
+  if ((outcome == Outcome::ok || said.answered) && owed(requestId) && !said.answered)
     ways_.answerOk(row->client, said.body, said.type);
   gateway_.attemptEnded(
-      now, {rpc, no, attempt.host, outcome, row->answered, said.took.value_or(now - attempt.sentAt),
+      now, {requestId, no, attempt.host, outcome, row->answered, said.took.value_or(now - attempt.sentAt),
             outcome == Outcome::ok ? said.trueUnits : 0, said.load});
-  settle(now, rpc);
+  settle(now, requestId);
 }
 
 void Front::counted(Time now, const CountName& name, CountEnd end, double total, Span took) {
@@ -118,25 +118,26 @@
     gateway_.hostsChanged(now, lines);
   }
   // Guards against a connection that comes up so late that its attempt is new to a host that drains by then.
-  rpcs_.each([&](SlotRef slot, const Rpc& row) {
+  requests_.each([&](SlotRef slot, const PendingRequest& row) {
     for (std::uint32_t no = 0; no < row.attempts.size(); ++no)
       if (const Attempt& c = row.attempts[no]; c.out && off[c.host.value] && ways_.unwritten(c.link))
-        soon_.emplace_back([this, rpc = RpcId{slot.packed()}, no](Time at) {
-          abandonAttempt(at, rpc, {no}, Outcome::notSent);
+        soon_.emplace_back([this, requestId = RequestId{slot.packed()}, no](Time at) {
+          abandonAttempt(at, requestId, {no}, Outcome::notSent);
         });
   });
   settle(now, {});
 }
 
-// Guards against RPCs whose time is longer than the gateway's own, as with hosts that hang: the end would
+// Guards against requests whose time is longer than the gateway's own, as with hosts that hang: the end would
 // find them without an answer.
 void Front::endBy(Time latest) {
   latest_ = latest;
-  rpcs_.each([this](SlotRef slot, Rpc& row) {
+  requests_.each([this](SlotRef slot, PendingRequest& row) {
     if (row.answered || row.deadline <= latest_) return;
     deadlines_.drop(row.by);
     row.deadline = latest_;
-    row.by = deadlines_.add(latest_, [this, rpc = RpcId{slot.packed()}](Time at) { expire(at, rpc); });
+    row.by = deadlines_.add(latest_,
+                            [this, requestId = RequestId{slot.packed()}](Time at) { expire(at, requestId); });
   });
 }
 
@@ -148,7 +149,7 @@
 std::optional<HostId> Front::numberOf(const orders::RosterLine& line) {
   if (const auto known = hosts_.find(line.name)) return known;
   if (line.gone) return std::nullopt;  // never heard of, and no more
-  // Guards against work for every RPC that grows with all the hosts that there ever were.
+  // Guards against work for every request that grows with all the hosts that there ever were.
   for (std::uint32_t h = 0; h < gone_.size(); ++h) {
     if (!gone_[h] || outAt_[h] > 0) continue;
     if (now_ - goneAt_[h] <= kForgotten * forgets_ && hosts_.size() < kMostHosts) continue;
@@ -168,59 +169,62 @@
 
 // ---- from the module to the adapters ----
 
-// The RPC, if its client still waits; from here on it has its answer.
-Front::Rpc* Front::owed(RpcId rpc) {
-  Rpc* const row = find(rpc);
+// The request, if its client still waits; from here on it has its answer.
+Front::PendingRequest* Front::owed(RequestId requestId) {
+  PendingRequest* const row = find(requestId);
   if (!row || row->answered) return nullptr;
   row->answered = true;
   --unanswered_;
   return row;
 }
 
-bool Front::wants(RpcId rpc) {
-  const Rpc* const row = find(rpc);
+bool Front::wants(RequestId requestId) {
+  const PendingRequest* const row = find(requestId);
   return row && !row->answered && ways_.clientThere(row->client);
 }
 
-void Front::startAttempt(RpcId rpc, HostId host, Until until) {
-  Rpc* const row = find(rpc);
+void Front::startAttempt(RequestId requestId, HostId host, Until until) {
+  PendingRequest* const row = find(requestId);
   if (!row) return;
   // Guards against an attempt for a client whose end has come and is handled only after this, as in a late
   // turn.
-  const bool wanted = wants(rpc);
-  if (!wanted) soon_.emplace_back([this, rpc](Time now) { clientLeft(now, rpc); });
+  const bool wanted = wants(requestId);
+  if (!wanted) soon_.emplace_back([this, requestId](Time now) { clientLeft(now, requestId); });
   const AttemptNumber no{static_cast<std::uint32_t>(row->attempts.size())};
   row->attempts.push_back({host, now_, {}, true});
   ++row->out, ++outAt_[host.value];
   const Time by = std::min(until.giveUp, row->deadline);
   std::variant<SlotRef, Outcome> sent = Outcome::notSent;
-  if (wanted) sent = ways_.startAttempt(rpc, no, row->client, host, {by, until.written});
+  if (wanted) sent = ways_.startAttempt(requestId, no, row->client, host, {by, until.written});
   if (const Outcome* const at = std::get_if<Outcome>(&sent)) {
-    soon_.emplace_back([this, rpc, no, outcome = *at](Time now) { attemptEnded(now, rpc, no, outcome); });
+    soon_.emplace_back(
+        [this, requestId, no, outcome = *at](Time now) { attemptEnded(now, requestId, no, outcome); });
     return;
   }
   row->attempts[no.value].link = std::get<SlotRef>(sent);
   if (keepsTime_ && by < row->deadline)
-    deadlines_.add(by, [this, rpc, no](Time now) { abandonAttempt(now, rpc, no, Outcome::noAnswer); });
+    deadlines_.add(
+        by, [this, requestId, no](Time now) { abandonAttempt(now, requestId, no, Outcome::noAnswer); });
 }
 
-void Front::cancel(RpcId rpc, AttemptNumber no) {
-  soon_.emplace_back([this, rpc, no](Time now) { abandonAttempt(now, rpc, no, Outcome::cancelled); });
+void Front::cancel(RequestId requestId, AttemptNumber no) {
+  soon_.emplace_back(
+      [this, requestId, no](Time now) { abandonAttempt(now, requestId, no, Outcome::cancelled); });
 }
 
-void Front::abandonAttempt(Time now, RpcId rpc, AttemptNumber no, Outcome outcome) {
-  const Rpc* const row = find(rpc);
+void Front::abandonAttempt(Time now, RequestId requestId, AttemptNumber no, Outcome outcome) {
+  const PendingRequest* const row = find(requestId);
   if (!row || no.value >= row->attempts.size() || !row->attempts[no.value].out) return;
   if (ways_.unwritten(row->attempts[no.value].link)) outcome = Outcome::notSent;
-  if (ways_.giveUp(row->client, no, row->attempts[no.value].link)) attemptEnded(now, rpc, no, outcome);
+  if (ways_.giveUp(row->client, no, row->attempts[no.value].link)) attemptEnded(now, requestId, no, outcome);
 }
 
-void Front::pushBack(RpcId rpc, Span comeBackAfter) {
-  if (const Rpc* const row = owed(rpc)) ways_.answerPushedBack(row->client, comeBackAfter);
+void Front::pushBack(RequestId requestId, Span comeBackAfter) {
+  if (const PendingRequest* const row = owed(requestId)) ways_.answerPushedBack(row->client, comeBackAfter);
 }
 
-void Front::abort(RpcId rpc) {
-  if (const Rpc* const row = owed(rpc)) ways_.answerAborted(row->client);
+void Front::abort(RequestId requestId) {
+  if (const PendingRequest* const row = owed(requestId)) ways_.answerAborted(row->client);
 }
 
 void Front::addToCount(const CountName& name, double units, Span keptFor) {
@@ -243,20 +247,20 @@
   ways_.note(line);
 }
 
-// The RPC's time is up: what is out is given up, and the module answers; an RPC that it holds all the same is
-// aborted here, so that none is lost.
-void Front::expire(Time now, RpcId rpc) {
-  for (std::uint32_t no = 0; keepsTime_ && find(rpc) && no < find(rpc)->attempts.size(); ++no)
-    abandonAttempt(now, rpc, {no}, Outcome::noAnswer);
-  if (const Rpc* const row = owed(rpc)) {
+// The request's time is up: what is out is given up, and the module answers; a request that it holds all the
+// same is aborted here, so that none is lost.
+void Front::expire(Time now, RequestId requestId) {
+  for (std::uint32_t no = 0; keepsTime_ && find(requestId) && no < find(requestId)->attempts.size(); ++no)
+    abandonAttempt(now, requestId, {no}, Outcome::noAnswer);
+  if (const PendingRequest* const row = owed(requestId)) {
     ways_.answerAborted(row->client);
-    gateway_.clientLeft(now, rpc);
+    gateway_.clientLeft(now, requestId);
   }
-  settle(now, rpc);
+  settle(now, requestId);
 }
 
 // After every call of the module: the ends that came meanwhile, in order, and the row if it is done with.
-void Front::settle(Time now, RpcId rpc) {
+void Front::settle(Time now, RequestId requestId) {
   if (!settling_) {
     settling_ = true;
     while (!soon_.empty()) {
@@ -267,13 +271,14 @@
     settling_ = false;
   }
   // Guards against an attempt that goes on its way once its client has left, or has its answer.
-  for (std::uint32_t no = 0; find(rpc) && find(rpc)->answered && no < find(rpc)->attempts.size(); ++no)
-    if (const Attempt& c = find(rpc)->attempts[no]; c.out && ways_.unwritten(c.link))
-      abandonAttempt(now, rpc, {no}, Outcome::notSent);
-  const Rpc* const row = find(rpc);
+  for (std::uint32_t no = 0;
+       find(requestId) && find(requestId)->answered && no < find(requestId)->attempts.size(); ++no)
+    if (const Attempt& c = find(requestId)->attempts[no]; c.out && ways_.unwritten(c.link))
+      abandonAttempt(now, requestId, {no}, Outcome::notSent);
+  const PendingRequest* const row = find(requestId);
   if (!row || !row->answered || row->out > 0) return;
   deadlines_.drop(row->by);
-  rpcs_.drop(SlotRef::unpacked(rpc.value));
+  requests_.drop(SlotRef::unpacked(requestId.value));
 }
 
 }  // namespace merlinbridge::front
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -22,7 +22,7 @@
   virtual void answerPushedBack(SlotRef client, Span comeBackAfter) = 0;
   virtual void answerAborted(SlotRef client) = 0;
   // Either the link that carries it, or the outcome that it had at once.
-  virtual std::variant<SlotRef, Outcome> startAttempt(RpcId, AttemptNumber, SlotRef client, HostId,
+  virtual std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
                                                       Until) = 0;
   // True: it has ended by that. Else its end is still to come.
   virtual bool giveUp(SlotRef client, AttemptNumber, SlotRef link) = 0;
@@ -48,8 +48,8 @@
 // Who ends attempts at their time: the core, by its deadlines, or the adapter.
 enum class Timekeeper { core, adapter };
 
-// The core of the daemon, without I/O: the RPCs in numbered slots, the hosts' names and addresses, and all
-// deadlines. It carries the module's decisions to the adapters and hands back what came of them.
+// The core of the daemon, without I/O: the requests in numbered slots, the hosts' names and addresses, and
+// all deadlines. It carries the module's decisions to the adapters and hands back what came of them.
 class Front final : private Port {
  public:
   Front(const orders::Orders&, Time now, Deadlines&, Ways&, Timekeeper = Timekeeper::core);
@@ -59,13 +59,13 @@
   const std::string& addressOf(HostId host) const { return addresses_[host.value]; }
   const std::string& nameOf(HostId host) const { return hosts_.word(host); }
   HostId hostNamed(std::string_view name) const;  // throws std::out_of_range
-  bool holds(RpcId rpc) { return find(rpc) != nullptr; }
+  bool holds(RequestId requestId) { return find(requestId) != nullptr; }
   std::size_t unanswered() const { return unanswered_; }
-  bool wants(RpcId);  // it has had no answer, and its client is there to get one
+  bool wants(RequestId);  // it has had no answer, and its client is there to get one
 
-  RpcId rpcArrived(Time now, SlotRef client, Arrival);
-  void clientLeft(Time now, RpcId);
-  void attemptEnded(Time now, RpcId, AttemptNumber, Outcome, const Said& = {});
+  RequestId requestArrived(Time now, SlotRef client, Arrival);
+  void clientLeft(Time now, RequestId);
+  void attemptEnded(Time now, RequestId, AttemptNumber, Outcome, const Said& = {});
   void counted(Time now, const CountName&, CountEnd, double total, Span took);
   void probed(Time now, HostId, bool ok, const LoadReport&);
   void hostsTold(Time now, const orders::Roster&);
@@ -79,7 +79,7 @@
     SlotRef link;
     bool out = false;
   };
-  struct Rpc {
+  struct PendingRequest {
     SlotRef client;
     Time deadline;
     Deadlines::Ticket by;
@@ -88,20 +88,20 @@
     std::vector<Attempt> attempts;
   };
 
-  void startAttempt(RpcId, HostId, Until) override;
-  void cancel(RpcId, AttemptNumber) override;
-  void pushBack(RpcId, Span comeBackAfter) override;
-  void abort(RpcId) override;
+  void startAttempt(RequestId, HostId, Until) override;
+  void cancel(RequestId, AttemptNumber) override;
+  void pushBack(RequestId, Span comeBackAfter) override;
+  void abort(RequestId) override;
   void addToCount(const CountName&, double units, Span keptFor) override;
   void wakeAt(Time, TimerId) override;
   void probe(HostId) override;
   void note(const std::string& line) override;
 
-  Rpc* find(RpcId rpc) { return rpcs_.find(SlotRef::unpacked(rpc.value)); }
-  Rpc* owed(RpcId);
-  void abandonAttempt(Time now, RpcId, AttemptNumber, Outcome);
-  void expire(Time now, RpcId);
-  void settle(Time now, RpcId);
+  PendingRequest* find(RequestId requestId) { return requests_.find(SlotRef::unpacked(requestId.value)); }
+  PendingRequest* owed(RequestId);
+  void abandonAttempt(Time now, RequestId, AttemptNumber, Outcome);
+  void expire(Time now, RequestId);
+  void settle(Time now, RequestId);
   std::optional<HostId> numberOf(const orders::RosterLine&);
 
   const Terms terms_;
@@ -111,7 +111,7 @@
   Words words_;
   Deadlines& deadlines_;
   Ways& ways_;
-  Slots<Rpc> rpcs_;
+  Slots<PendingRequest> requests_;
   std::size_t unanswered_ = 0;
   std::deque<std::function<void(Time)>> soon_;  // ends that came while the module was still at it
   bool settling_ = false;
--- a/src/ids.hpp
+++ b/src/ids.hpp
@@ -13,7 +13,7 @@
   auto operator<=>(const Id&) const = default;  // NOLINT(modernize-use-nullptr): clang-tidy 14 misreads <=>
 };
 
-using RpcId = Id<struct RpcKind>;
+using RequestId = Id<struct RequestKind>;
 using CustomerId = Id<struct CustomerKind>;
 using TimerId = Id<struct TimerKind>;
 using SlotId = Id<struct SlotKind, std::int64_t>;
@@ -24,7 +24,7 @@
 using MachineId = Id<struct MachineKind, std::uint32_t>;
 using MethodId = Id<struct MethodKind, std::uint32_t>;
 using PlanId = Id<struct PlanKind, std::uint32_t>;
-// Attempts of one RPC count from 0.
+// Attempts of one request count from 0.
 using AttemptNumber = Id<struct AttemptKind, std::uint32_t>;
 
 // Names a count on the counter service: what is counted, for whom, in which slot of time.
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -56,8 +56,8 @@
     out += fmt::format("  {:<16} {:.6g}\n", name, value);
   out += fmt::format("  {:<16} {}\n  {:<16} {:016x}\n", "events", t.events, "print", t.print);
   for (const emulator::Breach& b : t.first)
-    out += fmt::format("RULE BROKEN at {:.4f} s: {}, RPC {}: {}\n", seconds(b.at.time_since_epoch()),
-                       wordOf(b.rule), b.rpc.value, b.what);
+    out += fmt::format("RULE BROKEN at {:.4f} s: {}, request {}: {}\n", seconds(b.at.time_since_epoch()),
+                       wordOf(b.rule), b.attemptId.value, b.what);
   return out;
 }
 
@@ -174,7 +174,7 @@
       most, tried);
   putFile(out, emulator::writeScenario(least));
   std::cout << fmt::format(
-      "{} after {} plays: {} gateways, {} hosts, {} faults, {:.3g} s, {:g} RPCs a second\n", out, tried,
+      "{} after {} plays: {} gateways, {} hosts, {} faults, {:.3g} s, {:g} requests a second\n", out, tried,
       least.gateways, least.hosts, least.faults.size(), seconds(least.length), least.rate);
   return 0;
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -147,7 +147,7 @@
         break;
       case Phase::finishing:
         gate_.partRested();
-        log_(Level::info, "finishing", "ends what rests, RPCs still to answer: ", gate_.unanswered());
+        log_(Level::info, "finishing", "ends what rests, requests still to answer: ", gate_.unanswered());
         lookWhetherDone();
         break;
       case Phase::gone:
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -52,14 +52,14 @@
 
 void Client::bytesCame() {
   if (lingering_) return buffer_.drop(buffer_.size());
-  if (!rpc_ && !message_.begun()) since_ = loop_.now();
-  if (!rpc_) readOn();
-  if (!rpc_ && message_.begun()) watchWait();
+  if (!requestId_ && !message_.begun()) since_ = loop_.now();
+  if (!requestId_) readOn();
+  if (!requestId_ && message_.begun()) watchWait();
   if (full()) watchEnd();
 }
 
 // Guards against a client that sends much on ahead and goes: its end stands behind what is not read, and may
-// even wait at its own end for room here. While its RPC waits, more of it is read, as long as all clients
+// even wait at its own end for room here. While its request waits, more of it is read, as long as all clients
 // together leave room for that; after that, only an end that has come can be seen.
 void Client::watchEnd() {
   if (std::exchange(watchingEnd_, true)) return;
@@ -80,7 +80,7 @@
 // Reads requests as long as there are whole ones and none waits for its answer.
 void Client::readOn() {
   if (std::exchange(reading_, true)) return;
-  while (isUp() && !rpc_ && !lingering_ && allWritten() && !buffer_.empty()) {
+  while (isUp() && !requestId_ && !lingering_ && allWritten() && !buffer_.empty()) {
     const auto stage = message_.advance(buffer_.data(), came());
     if (stage == http::Message::Stage::bad) {
       lastAnswer_ = true;
@@ -103,9 +103,9 @@
   if (!named && path == "/health/ready")
     return clients_.ready_ ? refuse(200, "ready\n") : refuse(503, "not ready\n");
   if (!named && path == "/health/live") return refuse(200, "live\n");
-  // Their answers are framed in other ways than a host's answer to an RPC.
+  // Their answers are framed in other ways than a host's answer to a request.
   if (message_.method() == "HEAD" || message_.method() == "CONNECT")
-    return refuse(405, "not an RPC's method\n");
+    return refuse(405, "not a request's method\n");
   // Guards against a request that was sent on ahead by a client that has gone since.
   if (full() && hungUp()) return broken();
   const Time now = loop_.now();
@@ -113,8 +113,8 @@
   const front::Ask ask = front::readAsk(message_, front.words(), front.terms(), now);
   if (!ask.fault.empty()) return refuse(400, std::string(ask.fault) + "\n");
   asking_ = true;
-  const RpcId rpc = front.rpcArrived(now, ref(), ask.arrival);
-  if (std::exchange(asking_, false)) rpc_ = rpc;
+  const RequestId requestId = front.requestArrived(now, ref(), ask.arrival);
+  if (std::exchange(asking_, false)) requestId_ = requestId;
 }
 
 void Client::refuse(int status, std::string_view why) {
@@ -124,7 +124,7 @@
 void Client::answer(int status, std::string_view fields, std::string_view body) {
   if (!isUp()) return;
   asking_ = false;
-  rpc_.reset();
+  requestId_.reset();
   const bool whole = message_.stage() == http::Message::Stage::done;
   // Guards against a request that was taken behind this one and that the end would drop.
   const bool more = clients_.leaving_ && whole && (buffer_.size() > message_.size() || unread());
@@ -144,7 +144,7 @@
 }
 
 void Client::written() {
-  if (lastAnswer_ && !rpc_ && !message_.begun()) return part(clients_.longest_);
+  if (lastAnswer_ && !requestId_ && !message_.begun()) return part(clients_.longest_);
   goOnReading();
   if (!reading_ && !buffer_.empty()) readOnSoon();
   if (resting()) clients_.rested();
@@ -172,17 +172,17 @@
 }
 
 bool Client::full() const {
-  return (rpc_ || reading_) && buffer_.size() > std::max(message_.size() + http::kMostHead, mayHold_);
+  return (requestId_ || reading_) && buffer_.size() > std::max(message_.size() + http::kMostHead, mayHold_);
 }
 
 // The end of a client right behind what it sent is its leaving, also where that would be read too late.
 std::size_t Client::readsOnTo() const {
-  return lingering_ || rpc_ ? 0 : http::kMostHead + http::kMostBody;
+  return lingering_ || requestId_ ? 0 : http::kMostHead + http::kMostBody;
 }
 
 Time Client::waitEnds() const {
   if (lingering_) return partsBy_;
-  if (rpc_) return loop_.now() + clients_.longest_;  // its answer has a deadline of its own
+  if (requestId_) return loop_.now() + clients_.longest_;  // its answer has a deadline of its own
   return since_ + (message_.begun() || !allWritten() ? clients_.longest_ : clients_.idle_);
 }
 
@@ -199,10 +199,10 @@
 }
 
 void Client::broken() {
-  const auto rpc = std::exchange(rpc_, std::nullopt);
+  const auto requestId = std::exchange(requestId_, std::nullopt);
   clients_.closed(ref());
   loop_.bury(ref());
-  if (rpc) clients_.front_->clientLeft(loop_.now(), *rpc);
+  if (requestId) clients_.front_->clientLeft(loop_.now(), *requestId);
 }
 
 Clients::Clients(Loop& loop, const Endpoint& at, std::size_t most, Span idle, Span longestDeadline)
@@ -273,8 +273,8 @@
   if (paused_) goOnAcceptingSoon();
 }
 
-// Guards against a client that waits at the door for ever: all places were taken by RPCs when it came, and
-// now rest.
+// Guards against a client that waits at the door for ever: all places were taken by requests when it came,
+// and now rest.
 void Clients::rested() {
   if (paused_ && all_.size() >= most_) goOnAcceptingSoon();
 }
--- a/src/net/clients.hpp
+++ b/src/net/clients.hpp
@@ -11,7 +11,7 @@
 
 class Clients;
 
-// A client's connection: one RPC at a time, whose message stays in the buffer until it has its answer.
+// A client's connection: one request at a time, whose message stays in the buffer until it has its answer.
 class Client final : public Connection {
  public:
   Client(Loop&, Socket, Clients&);
@@ -22,7 +22,7 @@
     return message_;
   }
   void answer(int status, std::string_view fields, std::string_view body);
-  bool resting() const { return !rpc_ && !message_.begun() && allWritten() && !lingering_; }
+  bool resting() const { return !requestId_ && !message_.begun() && allWritten() && !lingering_; }
   Time since() const { return since_; }
   bool lingering() const { return lingering_; }
   std::size_t held() const { return buffer_.size(); }
@@ -45,7 +45,7 @@
 
   Clients& clients_;
   http::Message message_{http::Message::Kind::request};
-  std::optional<RpcId> rpc_;
+  std::optional<RequestId> requestId_;
   bool reading_ = false, asking_ = false, lastAnswer_ = false, lingering_ = false;
   bool watchingEnd_ = false;
   std::size_t mayHold_ = 0;  // where it may send on more ahead than others
--- a/src/net/gate.cpp
+++ b/src/net/gate.cpp
@@ -11,7 +11,7 @@
 // Kept for the log, the loop, the listener, the counter and discovery.
 constexpr std::size_t kOwnDescriptors = 32;
 
-// Clients and hosts share evenly what is left: an RPC needs one of each.
+// Clients and hosts share evenly what is left: a request needs one of each.
 std::size_t shareOf(std::size_t descriptors) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) == 0) descriptors = std::min<std::size_t>(descriptors, limit.rlim_cur);
@@ -75,8 +75,8 @@
   if (Client* const client = loop_.find<Client>(ref)) client->answer(502, "", "");
 }
 
-std::variant<SlotRef, Outcome> Gate::startAttempt(RpcId rpc, AttemptNumber no, SlotRef ref, HostId host,
-                                                  Until until) {
+std::variant<SlotRef, Outcome> Gate::startAttempt(RequestId requestId, AttemptNumber no, SlotRef ref,
+                                                  HostId host, Until until) {
   Client* const client = loop_.find<Client>(ref);
   if (!client) return Outcome::notSent;
   const http::Message& asked = client->asked();
@@ -93,7 +93,7 @@
   if (!asked.body().empty() || asked.method() != "GET")
     fmt::format_to(std::back_inserter(message_), FMT_COMPILE("Content-Length: {}\r\n"), asked.body().size());
   message_.append("\r\n").append(asked.body());
-  return hosts_.startAttempt(host, message_, rpc, no, until);
+  return hosts_.startAttempt(host, message_, requestId, no, until);
 }
 
 bool Gate::clientThere(SlotRef ref) {
--- a/src/net/gate.hpp
+++ b/src/net/gate.hpp
@@ -31,7 +31,8 @@
   void answerOk(SlotRef client, std::string_view body, std::string_view type) override;
   void answerPushedBack(SlotRef client, Span comeBackAfter) override;
   void answerAborted(SlotRef client) override;
-  std::variant<SlotRef, Outcome> startAttempt(RpcId, AttemptNumber, SlotRef client, HostId, Until) override;
+  std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
+                                              Until) override;
   bool giveUp(SlotRef, AttemptNumber, SlotRef link) override { return hosts_.giveUp(link), true; }
   bool unwritten(SlotRef link) override { return hosts_.unwritten(link); }
   bool clientThere(SlotRef client) override;
--- a/src/net/hosts.cpp
+++ b/src/net/hosts.cpp
@@ -25,8 +25,9 @@
 HostLink::HostLink(Loop& loop, Hosts& hosts, HostId host)
     : Connection(loop), hosts_(hosts), host_(host), since_(loop.now()) {}
 
-std::optional<Outcome> HostLink::carry(std::string_view message, RpcId rpc, AttemptNumber no, Until until) {
-  doing_ = Doing::attempt, rpc_ = rpc, no_ = no;
+std::optional<Outcome> HostLink::carry(std::string_view message, RequestId requestId, AttemptNumber no,
+                                       Until until) {
+  doing_ = Doing::attempt, requestId_ = requestId, no_ = no;
   writtenBy_ = until.written, giveUp_ = until.giveUp;
   if (!isUp()) {
     waiting_ = message;
@@ -71,13 +72,14 @@
   send({message});
   // It broke before the last byte was written: it never ran.
   if (!std::exchange(starting_, false))
-    return hosts_.front_->attemptEnded(loop_.now(), rpc_, no_, Outcome::noConnection);
+    return hosts_.front_->attemptEnded(loop_.now(), requestId_, no_, Outcome::noConnection);
   if (!allWritten()) watchWait();
 }
 
 // Guards against an attempt whose connection comes up after its window, or once its client has gone.
 bool HostLink::mayWrite() const {
-  return loop_.now() < writtenBy_ && (doing_ != Doing::attempt || starting_ || hosts_.front_->wants(rpc_));
+  return loop_.now() < writtenBy_ &&
+         (doing_ != Doing::attempt || starting_ || hosts_.front_->wants(requestId_));
 }
 
 // By the protocol's table.
@@ -128,7 +130,7 @@
   if (!keeps) hosts_.close(ref());
   if (keeps && outcome != Outcome::ok) leaveAndRest();
   const SlotRef mine = ref();
-  if (doing == Doing::attempt) hosts_.front_->attemptEnded(now, rpc_, no_, outcome, said);
+  if (doing == Doing::attempt) hosts_.front_->attemptEnded(now, requestId_, no_, outcome, said);
   if (doing == Doing::probe) hosts_.front_->probed(now, host_, outcome == Outcome::ok, said.load);
   if (keeps && outcome == Outcome::ok && loop_.find(mine)) leaveAndRest();
 }
@@ -169,12 +171,12 @@
       connectPatience_(connectPatience),
       proving_(connectPatience / kProving) {}
 
-std::variant<SlotRef, Outcome> Hosts::startAttempt(HostId host, std::string_view message, RpcId rpc,
+std::variant<SlotRef, Outcome> Hosts::startAttempt(HostId host, std::string_view message, RequestId requestId,
                                                    AttemptNumber no, Until until) {
   HostLink* const link = linkTo(host);
   if (!link) return Outcome::notSent;
   const SlotRef ref = link->ref();
-  if (const auto ended = link->carry(message, rpc, no, until)) return *ended;
+  if (const auto ended = link->carry(message, requestId, no, until)) return *ended;
   return ref;
 }
 
--- a/src/net/hosts.hpp
+++ b/src/net/hosts.hpp
@@ -22,7 +22,7 @@
   HostLink(Loop&, Hosts&, HostId);
 
   // What it is to carry, or the outcome that this had at once.
-  std::optional<Outcome> carry(std::string_view message, RpcId, AttemptNumber, Until);
+  std::optional<Outcome> carry(std::string_view message, RequestId, AttemptNumber, Until);
   void probe(std::string_view message);
   HostId host() const { return host_; }
   bool resting() const { return doing_ == Doing::nothing; }
@@ -49,7 +49,7 @@
   http::Message message_{http::Message::Kind::answer};
   Doing doing_ = Doing::nothing;
   bool starting_ = false;
-  RpcId rpc_{};
+  RequestId requestId_{};
   AttemptNumber no_{};
   Time since_, writtenBy_ = Time::max(), giveUp_{};
   std::string waiting_;  // the request, until the connection is up
@@ -61,7 +61,8 @@
   Hosts(Loop&, std::size_t most, Span idle, Span connectPatience);
 
   void serve(front::Front& front) { front_ = &front; }
-  std::variant<SlotRef, Outcome> startAttempt(HostId, std::string_view message, RpcId, AttemptNumber, Until);
+  std::variant<SlotRef, Outcome> startAttempt(HostId, std::string_view message, RequestId, AttemptNumber,
+                                              Until);
   void probe(HostId);
   void giveUp(SlotRef);
   bool unwritten(SlotRef);
--- a/src/terms.hpp
+++ b/src/terms.hpp
@@ -13,7 +13,7 @@
 
 struct Method {
   Repeat repeat = Repeat::nonIdempotent;
-  Group group = Group::cell;  // the hosts that discard repeats of a deduplicated RPC
+  Group group = Group::cell;  // the hosts that discard repeats of a deduplicated request
   Span window{};              // and for how long
   Span softDeadline{};        // an answer is wanted by then
   double utility = 1;
@@ -33,7 +33,7 @@
   std::uint32_t gateways = 1;
   bool counter = false;    // is there a counter service
   Span counterPatience{};  // a call to it ends unanswered after this long
-  double mostUnits = 1;    // of one RPC
+  double mostUnits = 1;    // of one request
   bool mayCancel = false, mayCopy = false, mayAdvise = false;
   std::uint32_t maxAttempts = 1;
   Span longestAdvice{}, connectPatience{};
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -27,7 +27,7 @@
     d_.settle();
     look();
     for (Client& client : clients_) {
-      INFO("the last RPC of a client that stayed: " << client.asked);
+      INFO("the last request of a client that stayed: " << client.asked);
       // Whoever stayed has its answer, or an end in good order before it was heard.
       if (client.here && client.asked > 0) CHECK((client.answered || (told_ && client.far.over)));
       client.far.close();
@@ -40,13 +40,13 @@
  private:
   struct Client {
     Far far;
-    int asked = 0;  // the number of its RPC, 0 where it has none
+    int asked = 0;  // the number of its request, 0 where it has none
     bool here = true, answered = true, half = false;
   };
   struct Host {
     Far far;
     std::size_t seen = 0;  // of what it has got
-    int at = 0;            // the RPC that it has to answer
+    int at = 0;            // the request that it has to answer
   };
 
   std::uint32_t below(std::uint32_t n) { return static_cast<std::uint32_t>(chance_() % n); }
@@ -91,7 +91,7 @@
       return client.far.say("POST /pay/a HTTP/1.1\r\nReq-Id: 0001\r\nContent-Length: 9\r\n\r\nha");
     }
     client.asked = ++last_, client.answered = false, client.far.got.clear();
-    std::string message = Doorstep::rpc(below(2) ? "look" : "pay", below(2) ? std::to_string(last_) : "");
+    std::string message = Doorstep::request(below(2) ? "look" : "pay", below(2) ? std::to_string(last_) : "");
     message.replace(message.find("00ff"), 4, std::to_string(last_));
     client.far.say(message);
   }
@@ -169,19 +169,19 @@
       const std::string& got = host.far.read();
       for (std::size_t at = 0; (at = got.find("Req-Id: ", host.seen)) != std::string::npos;
            host.seen = at + 8) {
-        const int rpc = std::stoi(got.substr(at + 8));
-        INFO("RPC " << rpc << " has come to a host");
-        CHECK(host.at == 0);  // one at a time
-        CHECK(rpc != 1);      // half a request
-        CHECK_FALSE(gone_.contains(rpc));
-        host.at = rpc;
+        const int requestId = std::stoi(got.substr(at + 8));
+        INFO("request " << requestId << " has come to a host");
+        CHECK(host.at == 0);    // one at a time
+        CHECK(requestId != 1);  // half a request
+        CHECK_FALSE(gone_.contains(requestId));
+        host.at = requestId;
         // It may have run: where it must not run twice, it must not come again.
         const bool pays =
             got.rfind("/pay/", at) > got.rfind("/look/", at) || got.rfind("/look/", at) == std::string::npos;
-        if (pays) CHECK(paid_.insert(rpc).second);
+        if (pays) CHECK(paid_.insert(requestId).second);
       }
     }
-    for (const int rpc : left_) gone_.insert(rpc);  // heeded by now
+    for (const int requestId : left_) gone_.insert(requestId);  // heeded by now
     left_.clear();
     for (Client& client : clients_) {
       if (!client.here) continue;
@@ -192,7 +192,7 @@
       const auto head = got.find("\r\n\r\n");
       if (head == std::string::npos) continue;
       client.answered = true;
-      INFO("RPC " << client.asked << " got " << got);
+      INFO("request " << client.asked << " got " << got);
       CHECK(got.find("HTTP/1.1", 1) == std::string::npos);
       if (got.starts_with("HTTP/1.1 200"))
         CHECK(got.substr(head + 4) == "for " + std::to_string(client.asked) + ".");
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -143,7 +143,7 @@
   CHECK(w.served() > 100);
 }
 
-TEST_CASE("under pressure the RPCs of least utility are pushed back first") {
+TEST_CASE("under pressure the requests of least utility are pushed back first") {
   World w(plainTerms(), 1);
   for (auto& host : w.hosts) host.service = 250ms;
   int low = 0, high = 0;
@@ -169,7 +169,7 @@
   CHECK(callsIn(300) < quick / 4);
 }
 
-TEST_CASE("with a burst over its gateways under one unit, a new customer's first RPC passes") {
+TEST_CASE("with a burst over its gateways under one unit, a new customer's first request passes") {
   Terms terms = plainTerms();
   terms.plans[0].burst = 2;
   World w(terms, 1);
@@ -219,7 +219,7 @@
   CHECK(w.countCalls < 1000);  // 4800 where each starts as if it were one of three
 }
 
-TEST_CASE("a host that comes back does not get an RPC from every gateway at once") {
+TEST_CASE("a host that comes back does not get a request from every gateway at once") {
   Terms terms = plainTerms();
   terms.gateways = 40;
   terms.coldSpan = 0ns;  // it is warm at once: only the rotation spreads them
@@ -234,7 +234,7 @@
   w.hosts[0].started = w.now;
   w.tellHosts();
   w.hosts[0].taken = 0;
-  load(40);  // one RPC from each gateway
+  load(40);  // one request from each gateway
   CHECK(w.hosts[0].taken > 0);
   CHECK(w.hosts[0].taken < 20);
 }
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -67,46 +67,48 @@
     for (const auto& line : orders.known.lines)
       if (line.serving) hosts_.push_back(line.address);
   }
-  void rpcArrived(Time now, SlotRef client, const Arrival& a) override {
+  void requestArrived(Time now, SlotRef client, const Arrival& a) override {
     if (hosts_.empty()) return ways_.answerPushedBack(client, Span{0});
     if (rule_ == Rule::lost && ++lost_ % 10 == 0) return;  // never answered
-    const RpcId rpc{++last_};
+    const RequestId requestId{++last_};
     // The ceiling rule is broken by letting all in, the drain and cold rules by staying with what was first
     // told, or with what was told last.
     const std::size_t host = rule_ == Rule::drain  ? 0
                              : rule_ == Rule::cold ? hosts_.size() - 1
                                                    : last_ % hosts_.size();
-    const auto sent =
-        ways_.startAttempt(rpc, {0}, client, {static_cast<std::uint32_t>(host)}, {a.deadline, Time::max()});
-    rpcs_[rpc.value] = {client, a.method, 0, std::get<SlotRef>(sent)};
-    deadlines_.add(std::max(now, a.deadline - 50ms), [this, rpc](Time) {
-      const auto at = rpcs_.find(rpc.value);
-      if (at == rpcs_.end()) return;
+    const auto sent = ways_.startAttempt(requestId, {0}, client, {static_cast<std::uint32_t>(host)},
+                                         {a.deadline, Time::max()});
+    requests_[requestId.value] = {client, a.method, 0, std::get<SlotRef>(sent)};
+    deadlines_.add(std::max(now, a.deadline - 50ms), [this, requestId](Time) {
+      const auto at = requests_.find(requestId.value);
+      if (at == requests_.end()) return;
       const Held held = at->second;
-      rpcs_.erase(at);
+      requests_.erase(at);
       ways_.giveUp(held.client, {held.no}, held.link);
       ways_.answerAborted(held.client);
     });
   }
   void clientLeft(Time, SlotRef) override {}
-  void attemptEnded(Time, RpcId rpc, AttemptNumber, Outcome outcome, const front::Said& said) override {
-    const auto at = rpcs_.find(rpc.value);
-    if (at == rpcs_.end()) return;
+  void attemptEnded(Time, RequestId requestId, AttemptNumber, Outcome outcome,
+                    const front::Said& said) override {
+    const auto at = requests_.find(requestId.value);
+    if (at == requests_.end()) return;
     Held& held = at->second;
     if (outcome == Outcome::ok) {
       const SlotRef client = held.client;
-      rpcs_.erase(at);
+      requests_.erase(at);
       ways_.answerOk(client, said.body, said.type);
       if (rule_ == Rule::lost && last_ % 7 == 0) ways_.answerAborted(client);  // and once more
       return;
     }
     if (rule_ == Rule::twice && held.no == 0) {  // whatever the method
-      const auto sent = ways_.startAttempt(rpc, {++held.no}, held.client, {0}, {Time::max(), Time::max()});
+      const auto sent =
+          ways_.startAttempt(requestId, {++held.no}, held.client, {0}, {Time::max(), Time::max()});
       if (const SlotRef* const link = std::get_if<SlotRef>(&sent)) held.link = *link;
       return;
     }
     const SlotRef client = held.client;
-    rpcs_.erase(at);
+    requests_.erase(at);
     outcome == Outcome::turnedAway ? ways_.answerPushedBack(client, Span{0}) : ways_.answerAborted(client);
   }
   void counted(Time, const CountName&, CountEnd, double, Span) override {}
@@ -132,7 +134,7 @@
   front::Deadlines& deadlines_;
   front::Ways& ways_;
   std::vector<std::string> hosts_;
-  std::map<std::uint64_t, Held> rpcs_;
+  std::map<std::uint64_t, Held> requests_;
   std::uint64_t last_ = 0, lost_ = 0;
 };
 
@@ -225,7 +227,7 @@
   CHECK(a.inTime > a.asked / 2);
 }
 
-TEST_CASE("every breach of a rule is reported, with time, RPC and rule") {
+TEST_CASE("every breach of a rule is reported, with time, request and rule") {
   struct Case {
     Rule rule;
     std::string faults;
@@ -250,8 +252,8 @@
     CHECK(t.breaches[static_cast<std::size_t>(one.rule)] > 0);
     bool named = false;
     for (const Breach& b : t.first)
-      named = named || (b.rule == one.rule && b.at > Time{} && (b.rpc.value > 0 || one.rule == Rule::cold) &&
-                        !b.what.empty());
+      named = named || (b.rule == one.rule && b.at > Time{} &&
+                        (b.attemptId.value > 0 || one.rule == Rule::cold) && !b.what.empty());
     CHECK(named);
     CHECK(play(s, 1, Policy::module).broken() == 0);  // who keeps the rules is not blamed
   }
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -17,9 +17,9 @@
   }
   void answerPushedBack(SlotRef, Span) override { answers.emplace_back("pushed back"); }
   void answerAborted(SlotRef) override { answers.emplace_back("aborted"); }
-  std::variant<SlotRef, Outcome> startAttempt(RpcId rpc, AttemptNumber no, SlotRef, HostId host,
+  std::variant<SlotRef, Outcome> startAttempt(RequestId requestId, AttemptNumber no, SlotRef, HostId host,
                                               Until until) override {
-    calls.push_back({rpc, no, host, until});
+    calls.push_back({requestId, no, host, until});
     if (atOnce) return *atOnce;
     return SlotRef{static_cast<std::uint32_t>(calls.size()), 1};
   }
@@ -32,7 +32,7 @@
   void note(const std::string& line) override { notes.push_back(line); }
 
   struct Call {
-    RpcId rpc;
+    RequestId requestId;
     AttemptNumber no;
     HostId host;
     Until until;
@@ -63,8 +63,8 @@
 struct Core {
   explicit Core(int hosts = 2) : Core(plainOrders(hosts)) {}
   explicit Core(const orders::Orders& orders) : front(orders, now, deadlines, ways) {}
-  RpcId ask(std::uint32_t method, Span patience = 1s) {
-    return front.rpcArrived(now, {0, 1}, {{}, {++customers}, {1}, {method}, now + patience, 1, 1});
+  RequestId ask(std::uint32_t method, Span patience = 1s) {
+    return front.requestArrived(now, {0, 1}, {{}, {++customers}, {1}, {method}, now + patience, 1, 1});
   }
   void pass(Span span) { deadlines.run(now += span); }
 
@@ -79,10 +79,10 @@
 
 TEST_CASE("a host's answer goes to the client once, whatever comes after it") {
   Core core;
-  const RpcId rpc = core.ask(0);
-  core.front.attemptEnded(core.now, rpc, {0}, Outcome::ok, {"body", {}, 0, {}});
-  core.front.attemptEnded(core.now, rpc, {0}, Outcome::ok, {"again", {}, 0, {}});
-  core.front.clientLeft(core.now, rpc);
+  const RequestId requestId = core.ask(0);
+  core.front.attemptEnded(core.now, requestId, {0}, Outcome::ok, {"body", {}, 0, {}});
+  core.front.attemptEnded(core.now, requestId, {0}, Outcome::ok, {"again", {}, 0, {}});
+  core.front.clientLeft(core.now, requestId);
   core.pass(2s);
   CHECK(core.ways.answers == std::vector<std::string>{"ok body"});
   CHECK(core.front.unanswered() == 0);
@@ -90,16 +90,16 @@
 
 TEST_CASE("what comes late for an earlier tenant of a slot is not taken for the later one's") {
   Core core;
-  const RpcId first = core.ask(0);
+  const RequestId first = core.ask(0);
   core.front.attemptEnded(core.now, first, {0}, Outcome::ok, {"one", {}, 0, {}});
-  const RpcId second = core.ask(0);
+  const RequestId second = core.ask(0);
   CHECK((first.value & 0xffffffff) == (second.value & 0xffffffff));
   core.front.attemptEnded(core.now, first, {0}, Outcome::ok, {"late", {}, 0, {}});
   CHECK(core.ways.answers.size() == 1);
   CHECK(core.front.unanswered() == 1);
 }
 
-TEST_CASE("an RPC is answered before its client gives up, and what is out for it is given up") {
+TEST_CASE("a request is answered before its client gives up, and what is out for it is given up") {
   Core core;
   core.ask(3);
   core.pass(983ms);
@@ -109,7 +109,7 @@
   CHECK(core.ways.givenUp == std::vector<std::uint32_t>{1});
 }
 
-TEST_CASE("the loop's own delay comes off the time that an RPC has") {
+TEST_CASE("the loop's own delay comes off the time that a request has") {
   Core core;
   core.deadlines.add(core.now, [](Time) {});
   core.pass(100ms);  // it came 100 ms late
@@ -121,7 +121,7 @@
 TEST_CASE("a stall of the loop that has not ended yet comes off it too") {
   Core core;
   core.deadlines.add(core.now + 10ms, [](Time) {});
-  core.now += 510ms;  // the RPC may have waited as long
+  core.now += 510ms;  // the request may have waited as long
   core.ask(3);
   core.pass(485ms);
   CHECK(core.ways.answers == std::vector<std::string>{"aborted"});
@@ -146,9 +146,9 @@
 
 TEST_CASE("a client that has left gets no answer, and nothing more is sent for it") {
   Core core;
-  const RpcId rpc = core.ask(0);
-  core.front.clientLeft(core.now, rpc);
-  core.front.attemptEnded(core.now, rpc, {0}, Outcome::noConnection);
+  const RequestId requestId = core.ask(0);
+  core.front.clientLeft(core.now, requestId);
+  core.front.attemptEnded(core.now, requestId, {0}, Outcome::noConnection);
   core.pass(2s);
   CHECK(core.ways.calls.size() == 1);
   CHECK(core.ways.answers.empty());
@@ -205,8 +205,8 @@
   for (int h = 0; h < 1024; ++h) all.lines.push_back(line("new" + std::to_string(h)));
   front.hostsTold(now, all);
   for (std::uint64_t n = 0; n < 200; ++n) {
-    const RpcId rpc = front.rpcArrived(now, {0, 1}, {{}, {n + 1}, {1}, {0}, now + 1s, 1, 1024});
-    front.attemptEnded(now, rpc, {0}, Outcome::ok, {"body", {}, 0, {}});
+    const RequestId requestId = front.requestArrived(now, {0, 1}, {{}, {n + 1}, {1}, {0}, now + 1s, 1, 1024});
+    front.attemptEnded(now, requestId, {0}, Outcome::ok, {"body", {}, 0, {}});
   }
   CHECK(ways.calls.size() == 200);
   std::vector<std::uint32_t> asked;
@@ -251,7 +251,7 @@
   CHECK(deadlines.next() == Time::max());
 }
 
-TEST_CASE("what a client says of its RPC is read, or its fault is named") {
+TEST_CASE("what a client says of its request is read, or its fault is named") {
   const Terms terms = plainTerms();
   const auto orders = plainOrders(1);
   const front::Words words{
@@ -289,13 +289,14 @@
   CHECK(ask.arrival.marked == (is.ends_with(": k")));
 }
 
-TEST_CASE("an RPC of a deduplicated method without its mark is repeated only where it never ran") {
+TEST_CASE("a request of a deduplicated method without its mark is repeated only where it never ran") {
   const bool marked = GENERATE(true, false);
   const Outcome first = GENERATE(Outcome::error, Outcome::lost, Outcome::noConnection, Outcome::turnedAway);
   Core core(4);
-  const RpcId rpc = core.front.rpcArrived(core.now, {0, 1}, {{}, {1}, {1}, {1}, core.now + 1s, 1, 1, marked});
+  const RequestId requestId =
+      core.front.requestArrived(core.now, {0, 1}, {{}, {1}, {1}, {1}, core.now + 1s, 1, 1, marked});
   core.pass(20ms);
-  core.front.attemptEnded(core.now, rpc, {0}, first);
+  core.front.attemptEnded(core.now, requestId, {0}, first);
   const bool ran = first == Outcome::error || first == Outcome::lost;
   CHECK(core.ways.calls.size() == (ran && !marked ? 1 : 2));
   if (ran && !marked) CHECK(core.ways.answers == std::vector<std::string>{"aborted"});  // no pushback, either
@@ -304,11 +305,11 @@
 TEST_CASE("a client leaves: what is not written yet is given up, what is on its way is left") {
   const bool dialling = GENERATE(true, false);
   Core core;
-  const RpcId rpc = core.ask(0);
+  const RequestId requestId = core.ask(0);
   if (dialling) core.ways.dialling.insert(1);
-  core.front.clientLeft(core.now, rpc);
+  core.front.clientLeft(core.now, requestId);
   CHECK(core.ways.givenUp == (dialling ? std::vector<std::uint32_t>{1} : std::vector<std::uint32_t>{}));
-  CHECK(core.front.holds(rpc) != dialling);
+  CHECK(core.front.holds(requestId) != dialling);
   CHECK(core.ways.calls.size() == 1);
 }
 
@@ -329,11 +330,11 @@
 
 TEST_CASE("a repeat must be on its way before the hosts forget the first, a first one need not") {
   Core core;
-  const RpcId rpc = core.ask(1);
+  const RequestId requestId = core.ask(1);
   CHECK(core.ways.calls[0].until.written == Time::max());
   const Time first = core.now;
   core.pass(20ms);
-  core.front.attemptEnded(core.now, rpc, {0}, Outcome::error);
+  core.front.attemptEnded(core.now, requestId, {0}, Outcome::error);
   REQUIRE(core.ways.calls.size() == 2);
   CHECK(core.ways.calls[1].until.written == first + 2s);
 }
@@ -354,20 +355,20 @@
   orders.terms.mayCopy = true;
   Core core(orders);
   for (int n = 0; n < 5; ++n) {  // what is usual for a host
-    const RpcId rpc = core.ask(0);
+    const RequestId requestId = core.ask(0);
     core.pass(10ms);
-    core.front.attemptEnded(core.now, rpc, {0}, Outcome::ok);
+    core.front.attemptEnded(core.now, requestId, {0}, Outcome::ok);
   }
   const std::size_t before = core.ways.calls.size();
   if (kind == Kind::first) core.ways.there = stays;
-  const RpcId rpc = core.ask(0);
+  const RequestId requestId = core.ask(0);
   core.ways.there = stays;
-  if (kind == Kind::retry) core.front.attemptEnded(core.now, rpc, {0}, Outcome::turnedAway);
+  if (kind == Kind::retry) core.front.attemptEnded(core.now, requestId, {0}, Outcome::turnedAway);
   for (int n = 0; kind == Kind::hedge && n < 30; ++n) core.pass(10ms);
   const std::size_t begun = core.ways.calls.size() - before;
   const std::size_t whileThere = kind == Kind::first ? 0 : 1;
   CHECK(begun >= whileThere);
   CHECK((begun > whileThere) == stays);
-  if (!stays && kind == Kind::retry) CHECK_FALSE(core.front.holds(rpc));
+  if (!stays && kind == Kind::retry) CHECK_FALSE(core.front.holds(requestId));
   CHECK(core.front.unanswered() == (stays ? 1u : 0u));
 }
--- a/tests/gone_clients_test.cpp
+++ b/tests/gone_clients_test.cpp
@@ -33,7 +33,7 @@
   void rest(Doorstep& d, std::size_t count) {
     std::vector<Far> clients;
     for (std::size_t n = 0; n < count; ++n) clients.push_back(d.client());
-    for (Far& client : clients) client.say(Doorstep::rpc("look"));
+    for (Far& client : clients) client.say(Doorstep::request("look"));
     REQUIRE(d.until([&] { return requests() == count; }));
     answer(Doorstep::ok("rests"));
     REQUIRE(d.until([&] {
@@ -56,7 +56,7 @@
   farm.rest(d, 100);
   std::vector<Far> clients;
   for (std::size_t n = 0; n < many; ++n) clients.push_back(d.client());
-  for (Far& client : clients) client.say(Doorstep::rpc("look"));
+  for (Far& client : clients) client.say(Doorstep::request("look"));
   REQUIRE(d.until([&] { return farm.requests() == many; }));
   const auto decline = [&] { farm.answer(kDeclined); };
   if (hostFirst) decline();
@@ -76,7 +76,7 @@
   farm.rest(d, 4);
   Far client = d.client();
   std::string ahead;
-  while (ahead.size() < 400'000) ahead += Doorstep::rpc("look");
+  while (ahead.size() < 400'000) ahead += Doorstep::request("look");
   std::size_t said = 0;
   REQUIRE(d.until([&] {
     said += client.trySay(std::string_view(ahead).substr(said));
@@ -100,7 +100,7 @@
   Far client = d.client();
   d.settle();
   const std::size_t bodySize = GENERATE(0u, 60'000u);
-  client.say(Doorstep::rpc("look", std::string(bodySize, 'b')));
+  client.say(Doorstep::request("look", std::string(bodySize, 'b')));
   d.settle();
   host.open();
   // The system dials again by itself a second after; nothing is handled here until then.
@@ -147,7 +147,7 @@
   Doorstep d(128, hostLine(host.port, "h1", "in_service"));
   d.settle();
   Far client = d.client();
-  client.say(Doorstep::rpc("look"));  // has 900 ms
+  client.say(Doorstep::request("look"));  // has 900 ms
   d.settle();
   d.pass(200ms);
   host.open();  // the system dials again by itself a second after, by its own clock
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE("an RPC goes out to the host and its words come back as they were") {
+TEST_CASE("a request goes out to the host and its words come back as they were") {
   const auto out = reply(batch(kInit + "\n" + kHosts + "\n" + kAsk));
   CHECK_THAT(out, Catch::Contains(R"("id":"00000000000000ff","host":"h \"1\"","abandonAt":2000000)"));
   CHECK_THAT(out, Catch::EndsWith("{\"ready\":{}}\n"));
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -10,7 +10,7 @@
 
 // A client has asked and the host has the whole of it.
 struct Asked {
-  explicit Asked(Doorstep& d, const std::string& message = Doorstep::rpc("look")) : client(d.client()) {
+  explicit Asked(Doorstep& d, const std::string& message = Doorstep::request("look")) : client(d.client()) {
     client.say(message);
     const std::string last = message.substr(message.rfind("\r\n\r\n"));
     REQUIRE(d.until([&] { return host || d.host.accept(host); }));
@@ -55,7 +55,7 @@
 TEST_CASE("what passes on passes on unchanged, and the host's answer too") {
   Doorstep d;
   const std::string body(60'000, 'q');
-  Asked asked(d, Doorstep::rpc("pay", body, "Idempotency-Key: k1\r\nContent-Type: t/x\r\n"));
+  Asked asked(d, Doorstep::request("pay", body, "Idempotency-Key: k1\r\nContent-Type: t/x\r\n"));
   const std::string got = asked.host->got;
   CHECK_THAT(got, Catch::StartsWith("POST /pay/a?b=c HTTP/1.1\r\n"));
   for (const char* field : {"Req-Id: 00ff\r\n", "Idempotency-Key: k1\r\n", "Content-Type: t/x\r\n",
@@ -68,7 +68,7 @@
 }
 
 TEST_CASE("outcomes go by the protocol's table") {
-  // A non-idempotent RPC may be pushed back only where it is certain that it never ran.
+  // A non-idempotent request may be pushed back only where it is certain that it never ran.
   const auto [answer, ends, status] = GENERATE(table<std::string, bool, std::string>({
       {"HTTP/1.1 503 x\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", false, "429"},
       {"HTTP/1.1 504 x\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", false, "429"},
@@ -82,7 +82,7 @@
       {"", false, "502"},  // silent until the deadline
   }));
   Doorstep d;
-  Asked asked(d, Doorstep::rpc("pay", "x"));
+  Asked asked(d, Doorstep::request("pay", "x"));
   if (!answer.empty()) asked.host->say(answer);
   if (ends) asked.host->close();
   d.settle();
@@ -98,12 +98,12 @@
   Doorstep d;
   d.host.close();
   Far client = d.client();
-  client.say(Doorstep::rpc("pay", "x"));
+  client.say(Doorstep::request("pay", "x"));
   REQUIRE(d.until([&] { return client.holds("\r\n\r\n"); }));
   CHECK(statusOf(client) == "HTTP/1.1 429");
 }
 
-TEST_CASE("a host's connection is kept for the next RPC, and dropped before it has rested too long") {
+TEST_CASE("a host's connection is kept for the next request, and dropped before it has rested too long") {
   Doorstep d;
   Asked asked(d);
   for (int n = 0; n < 3; ++n) {
@@ -111,7 +111,7 @@
     REQUIRE(d.until([&] { return asked.client.holds("one"); }));
     d.pass(20ms);
     asked.client.got.clear(), asked.host->got.clear();
-    asked.client.say(Doorstep::rpc("look"));
+    asked.client.say(Doorstep::request("look"));
     REQUIRE(d.until([&] { return asked.host->holds("\r\n\r\n"); }));
   }
   asked.host->say(Doorstep::ok("last"));
@@ -126,7 +126,7 @@
   asked.host->say(Doorstep::ok("one"));
   REQUIRE(d.until([&] { return asked.client.holds("one"); }));
   asked.client.got.clear();
-  asked.client.say(Doorstep::rpc("look"));
+  asked.client.say(Doorstep::request("look"));
   std::optional<Far> fresh;
   REQUIRE(d.until([&] { return asked.host->read(), d.host.accept(fresh) || asked.host->got.size() > 400; }));
   d.pass(3ms);
@@ -143,14 +143,14 @@
 TEST_CASE("a resting connection whose end, or stray bytes, come in the turn in which it is wanted is left") {
   const bool stray = GENERATE(true, false), hostFirst = GENERATE(true, false);
   Doorstep d;
-  Asked asked(d, Doorstep::rpc("pay", "x"));
+  Asked asked(d, Doorstep::request("pay", "x"));
   asked.host->say(Doorstep::ok("one"));
   REQUIRE(d.until([&] { return asked.client.holds("one"); }));
   d.pass(20ms);
   asked.client.got.clear();
   const auto spoil = [&] { stray ? asked.host->say("x") : asked.host->close(); };
   if (hostFirst) spoil();
-  asked.client.say(Doorstep::rpc("pay", "y"));
+  asked.client.say(Doorstep::request("pay", "y"));
   if (!hostFirst) spoil();
   std::optional<Far> fresh;
   REQUIRE(d.until([&] { return d.host.accept(fresh); }));
@@ -168,7 +168,7 @@
   for (std::size_t n = 0; n < many; ++n) clients.push_back(d.client());
   d.settle();
   const std::size_t before = descriptors();
-  for (Far& client : clients) client.say(Doorstep::rpc("look"));
+  for (Far& client : clients) client.say(Doorstep::request("look"));
   REQUIRE(d.until([&] { return descriptors() > before; }));
   d.settle();
   for (Far& client : clients) client.close();
@@ -185,7 +185,7 @@
   Doorstep d(128, "");
   std::optional<Far> watch, first, again;
   REQUIRE(d.until([&] { return d.discovery.accept(watch); }));
-  Asked asked(d, Doorstep::rpc("save", "x", "Idempotency-Key: k\r\n"));
+  Asked asked(d, Doorstep::request("save", "x", "Idempotency-Key: k\r\n"));
   watch->say("HTTP/1.1 200 OK\r\n\r\n{\"generation\":42,\"instances\":[" +
              hostLine(second, "h2", "in_service") + "]}\n");
   d.settle();
@@ -211,7 +211,7 @@
   stray ? asked.host->say(Doorstep::ok("two")) : asked.host->close();
   d.settle();
   asked.client.got.clear();
-  asked.client.say(Doorstep::rpc("look"));
+  asked.client.say(Doorstep::request("look"));
   std::optional<Far> fresh;
   REQUIRE(d.until([&] { return d.host.accept(fresh); }));
   REQUIRE(d.until([&] { return fresh->holds("\r\n\r\n"); }));
@@ -238,7 +238,7 @@
 TEST_CASE("an answer without a length that is reset is no answer, be the reset in the same turn or later") {
   const bool atOnce = GENERATE(true, false);
   Doorstep d;
-  Asked asked(d, Doorstep::rpc("pay", "x"));
+  Asked asked(d, Doorstep::request("pay", "x"));
   asked.host->say("HTTP/1.1 200 OK\r\n\r\nto the e");
   if (!atOnce) d.settle();
   asked.host->reset();
@@ -263,7 +263,7 @@
 
 TEST_CASE("requests that were sent on ahead are answered one after another") {
   Doorstep d;
-  Asked asked(d, Doorstep::rpc("look") + "GET /health/live HTTP/1.1\r\n\r\n" + Doorstep::rpc("none"));
+  Asked asked(d, Doorstep::request("look") + "GET /health/live HTTP/1.1\r\n\r\n" + Doorstep::request("none"));
   asked.host->say(Doorstep::ok("one"));
   REQUIRE(d.until([&] { return asked.client.holds("Req-Kind is not known"); }));
   const std::string& got = asked.client.got;
@@ -278,7 +278,7 @@
   watch->say("HTTP/1.1 200 OK\r\n\r\n{\"generation\":42,\"instances\":[" +
              hostLine(other.port, "h2", "in_service") + "]}\n");
   d.settle();
-  const std::string message = Doorstep::rpc("pay", std::string(1'500, 'q'));
+  const std::string message = Doorstep::request("pay", std::string(1'500, 'q'));
   Far client = d.client();
   client.say(message);
   std::optional<Far> first;
@@ -295,10 +295,10 @@
 TEST_CASE(
     "a client that asks and asks but does not read gets all its answers, whole and in order, once it does") {
   Doorstep d(1024);
-  const int rpcs = 150;
+  const int requests = 150;
   std::string ahead;
-  for (int n = 0; n < rpcs; ++n) ahead += Doorstep::rpc("look");
-  Asked asked(d, Doorstep::rpc("look"));
+  for (int n = 0; n < requests; ++n) ahead += Doorstep::request("look");
+  Asked asked(d, Doorstep::request("look"));
   const auto bodyOf = [](int n) { return std::string(60'000, static_cast<char>('a' + n % 26)); };
   std::size_t sent = 0;
   int answered = 0;
@@ -318,14 +318,14 @@
     idle = std::exchange(last, answered) == answered ? idle + 1 : 0;
     return idle > 500;
   });
-  CHECK(answered < rpcs);  // its answers wait in the gateway, which asks no more for it
+  CHECK(answered < requests);  // its answers wait in the gateway, which asks no more for it
   std::string wanted;
   REQUIRE(d.until([&] {
     serve();
     asked.client.read();
-    return answered == rpcs + 1 && asked.client.got.ends_with(bodyOf(rpcs));
+    return answered == requests + 1 && asked.client.got.ends_with(bodyOf(requests));
   }));
-  for (int n = 0; n <= rpcs; ++n) wanted += Doorstep::ok(bodyOf(n));
+  for (int n = 0; n <= requests; ++n) wanted += Doorstep::ok(bodyOf(n));
   CHECK((asked.client.got == wanted));
 }
 
@@ -365,8 +365,8 @@
   Far a = d.client(), b = d.client();
   a.say("GET /health/live HTTP/1.1\r\n\r\n");
   REQUIRE(d.until([&] { return a.holds("live"); }));
-  a.say(Doorstep::rpc("look"));
-  b.say(Doorstep::rpc("look"));
+  a.say(Doorstep::request("look"));
+  b.say(Doorstep::request("look"));
   std::optional<Far> one, two;
   REQUIRE(d.until([&] { return d.host.accept(one); }));
   REQUIRE(d.until([&] { return d.host.accept(two); }));
@@ -393,7 +393,7 @@
   CHECK(d.until([&] { return e.holds("live"); }));
 }
 
-TEST_CASE("who comes while all places are taken by RPCs gets one once they rest, though nobody leaves") {
+TEST_CASE("who comes while all places are taken by requests gets one once they rest, though nobody leaves") {
   Doorstep d(32 + 2 * 2);
   Asked a(d), b(d);
   Far c = d.client();
@@ -433,7 +433,7 @@
 TEST_CASE("a counter that cannot be reached has added nothing, and is tried again") {
   Doorstep d;
   d.counter.close();
-  std::string message = Doorstep::rpc("look");
+  std::string message = Doorstep::request("look");
   message.replace(message.find("Plan: free"), 10, "Plan: metered");
   for (int n = 0; n < 5; ++n) {
     Far client = d.client();
@@ -447,7 +447,7 @@
 TEST_CASE(
     "a counter that ends as a call is on its way, or about to be written, is told of those units again") {
   const int end =
-      GENERATE(0, 1, 2, 3);  // after the call; resets after it; in its turn, before or behind the RPC
+      GENERATE(0, 1, 2, 3);  // after the call; resets after it; in its turn, before or behind the request
   Doorstep d;
   std::optional<Far> count, again, host;
   Far client = d.client();
@@ -512,7 +512,7 @@
     d.settle();
   }
   Far client = d.client();
-  client.say(Doorstep::rpc("look"));
+  client.say(Doorstep::request("look"));
   REQUIRE(d.until([&] { return client.holds("HTTP/1.1 429"); }));  // it was the only host
   d.pass(1900ms);
   watch->say("1\r\n\n\r\n");  // the beat
@@ -569,7 +569,7 @@
   far->say(Doorstep::ok(list));
   d.settle();
   Far client = d.client();
-  client.say(Doorstep::rpc("look"));
+  client.say(Doorstep::request("look"));
   CHECK(d.until([&] { return client.holds("HTTP/1.1 429"); }));  // it was the only host
 }
 
@@ -591,7 +591,7 @@
   }
   d.settle();
   Far client = d.client();
-  client.say(Doorstep::rpc("look"));
+  client.say(Doorstep::request("look"));
   CHECK(d.until([&] { return client.holds("HTTP/1.1 429"); }));  // it was the only host
   CHECK_FALSE(watch->ended());
 }
@@ -612,7 +612,7 @@
   CHECK(d.until([&] { return again->holds("watch=1&from=41 "); }));
 }
 
-TEST_CASE("a whole list may be longer than any RPC's body") {
+TEST_CASE("a whole list may be longer than any request's body") {
   Doorstep d;
   std::optional<Far> far;
   REQUIRE(d.until([&] { return d.discovery.accept(far); }));
@@ -631,7 +631,7 @@
     d.settle();
   }
   Far client = d.client();
-  client.say(Doorstep::rpc("look"));
+  client.say(Doorstep::request("look"));
   CHECK(d.until([&] { return client.holds("HTTP/1.1 429"); }));  // it was the only host
 }
 
@@ -681,7 +681,7 @@
   CHECK(d.until([&] { return old->ended(); }));
 }
 
-TEST_CASE("told to end, it answers what comes, closes between RPCs and keeps what it has taken") {
+TEST_CASE("told to end, it answers what comes, closes between requests and keeps what it has taken") {
   Doorstep d;
   Far resting = d.client();
   Asked asked(d);
@@ -715,7 +715,7 @@
   if (end == 0) d.gate.leave(Time::max()), d.gate.partRested();
   if (end == 1) d.pass(29'980ms);
   if (end == 2) REQUIRE(d.until([&] { return asked.client.ended(); }));
-  asked.client.say(Doorstep::rpc("look"));  // before it has seen the end
+  asked.client.say(Doorstep::request("look"));  // before it has seen the end
   d.settle();
   CHECK(asked.client.ended());
   CHECK_FALSE(asked.client.wasReset);
@@ -729,11 +729,11 @@
 TEST_CASE("told to end, a request that was read behind another is answered before the end, not dropped") {
   const bool inOne = GENERATE(true, false);  // read already, or still with the system
   Doorstep d;
-  Asked asked(d, Doorstep::rpc("look") + (inOne ? Doorstep::rpc("look") : ""));
+  Asked asked(d, Doorstep::request("look") + (inOne ? Doorstep::request("look") : ""));
   d.gate.leave(d.clock.at + 3s);
   d.gate.partRested();
   asked.host->say(Doorstep::ok("one"));
-  if (!inOne) asked.client.say(Doorstep::rpc("look"));
+  if (!inOne) asked.client.say(Doorstep::request("look"));
   std::optional<Far> host;
   REQUIRE(d.until([&] { return d.host.accept(host); }));
   REQUIRE(d.until([&] { return host->holds("\r\n\r\n"); }));
@@ -749,7 +749,7 @@
   d.gate.leave(d.clock.at + 3s);
   Far late = d.client();
   CHECK_FALSE(d.gate.shut());
-  late.say(Doorstep::rpc("look"));
+  late.say(Doorstep::request("look"));
   std::optional<Far> host;
   REQUIRE(d.until([&] { return d.host.accept(host); }));
   CHECK_FALSE(d.gate.quiet());
@@ -768,7 +768,7 @@
   Asked asked(*d);
   asked.host->say(Doorstep::ok("one"));
   d->settle();
-  asked.client.say(Doorstep::rpc("look"));  // with the system, and never read
+  asked.client.say(Doorstep::request("look"));  // with the system, and never read
   d->gate.discard();
   d.reset();  // as the exit does
   CHECK(asked.client.ended());
@@ -782,7 +782,7 @@
   Doorstep d(1024);
   Asked asked(d);
   std::string ahead;
-  while (ahead.size() < 400'000) ahead += Doorstep::rpc("look");
+  while (ahead.size() < 400'000) ahead += Doorstep::request("look");
   for (std::size_t sent = 0; sent < ahead.size();) {
     const std::size_t n = asked.client.trySay(std::string_view(ahead).substr(sent));
     if (n == 0) break;
@@ -808,7 +808,7 @@
   std::vector<Far> clients;
   for (int n = 0; n < 20; ++n) {
     clients.push_back(d.client());
-    clients.back().say(Doorstep::rpc(n % 2 ? "look" : "pay", n % 2 ? "" : std::string(30'000, 'x')));
+    clients.back().say(Doorstep::request(n % 2 ? "look" : "pay", n % 2 ? "" : std::string(30'000, 'x')));
     half ? clients.back().endSending() : clients.back().close();
   }
   d.settle();
@@ -824,7 +824,7 @@
   REQUIRE(d.until([&] { return asked.client.holds("one"); }));
   asked.client.got.clear();
   d.pass(29'990ms);
-  asked.client.say(Doorstep::rpc("look"));  // with the system, and not read yet
+  asked.client.say(Doorstep::request("look"));  // with the system, and not read yet
   d.clock.at += 10ms;
   d.loop.endTurn();  // the time-out goes first
   std::optional<Far> host;
@@ -846,7 +846,7 @@
   }
   std::optional<Far> c;
   if (wanted) c.emplace(d.client());  // with the system, like the two requests
-  a.say(Doorstep::rpc("look")), b.say(Doorstep::rpc("look"));
+  a.say(Doorstep::request("look")), b.say(Doorstep::request("look"));
   if (!wanted) {
     d.gate.leave(d.clock.at + 3s);
     d.gate.partRested();
@@ -880,10 +880,10 @@
 
 TEST_CASE("told to end, it answers all before it may be killed, though a host hangs and time is left") {
   Doorstep d;
-  Asked before(d, Doorstep::rpc("pay", "x", "", 5000));
+  Asked before(d, Doorstep::request("pay", "x", "", 5000));
   d.gate.leave(d.clock.at + 2s);
   Far after = d.client();
-  after.say(Doorstep::rpc("pay", "x", "", 5000));
+  after.say(Doorstep::request("pay", "x", "", 5000));
   std::optional<Far> host;
   REQUIRE(d.until([&] { return d.host.accept(host); }));
   REQUIRE(d.until([&] { return host->holds("\r\n\r\nx"); }));
@@ -906,8 +906,8 @@
   d.settle();
   d.gate.leave(Time::max());
   Far fresh = d.client();
-  old.say(Doorstep::rpc("look"));
-  fresh.say(Doorstep::rpc("look"));
+  old.say(Doorstep::request("look"));
+  fresh.say(Doorstep::request("look"));
   d.gate.partRested();
   for (int n = 0; n < 2; ++n) {
     std::optional<Far> host;
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -136,7 +136,7 @@
 
 }  // namespace
 
-TEST_CASE("SIGHUP moves discovery and the counter, and ends neither the process nor an RPC") {
+TEST_CASE("SIGHUP moves discovery and the counter, and ends neither the process nor a request") {
   Program p;
   p.startReady();
   std::optional<Far> watch, host, moved, count;
@@ -146,7 +146,7 @@
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: "
       "chunked\r\n\r\n24\r\n{\"generation\":45,\n\"instances\":[]}\n\n\n\r\n");
   Far client = p.client();
-  client.say(Doorstep::rpc("look"));
+  client.say(Doorstep::request("look"));
   REQUIRE(within([&] { return p.host.accept(host); }));
   REQUIRE(within([&] { return host->holds("\r\n\r\n"); }));
   FarListener discovery, counter;
@@ -201,7 +201,7 @@
   p.startReady();
   std::optional<Far> host;
   Far client = p.client();
-  client.say(Doorstep::rpc("look", "", "", 1900));
+  client.say(Doorstep::request("look", "", "", 1900));
   REQUIRE(within([&] { return p.host.accept(host); }));
   REQUIRE(within([&] { return host->holds("\r\n\r\n"); }));
   p.signal(SIGTERM);
@@ -221,7 +221,7 @@
   p.startReady();
   std::vector<std::pair<Far, int>> clients;  // and how many requests are out on each
   std::vector<Far> hosts;
-  const std::string hang = Doorstep::rpc("pay", "x", "", 5000);
+  const std::string hang = Doorstep::request("pay", "x", "", 5000);
   Far hanging = p.client();
   hanging.say(hang);
   clients.reserve(8);
@@ -238,7 +238,7 @@
     for (auto& [client, out] : clients) {
       if (out > 0 && client.holds("one")) client.got.clear(), --out, ++answered;
       if (client.ended() && out > 0) out = 0, ++unanswered;
-      if (!client.over && out == 0) client.say(Doorstep::rpc("look")), ++out;
+      if (!client.over && out == 0) client.say(Doorstep::request("look")), ++out;
     }
   };
   REQUIRE(within([&] { return serve(), answered > 100; }));
@@ -283,13 +283,13 @@
   std::size_t sent = 0;
   const auto more = [&] { sent += deaf.trySay(std::string_view(many).substr(sent % live.size())); };
   for (int n = 0; n < 50; ++n) more();  // and reads none of the answers
-  waits.say(Doorstep::rpc("pay", "x", "", 5000));
+  waits.say(Doorstep::request("pay", "x", "", 5000));
   REQUIRE(within([&] { return p.host.accept(host); }));
   REQUIRE(within([&] { return host->holds("\r\n\r\nx"); }));
   p.signal(SIGTERM);
   const auto told = std::chrono::steady_clock::now();
   REQUIRE(p.logHolds("ends what rests"));
-  rests.say(Doorstep::rpc("look"));  // crosses the end of its rest
+  rests.say(Doorstep::request("look"));  // crosses the end of its rest
   REQUIRE(p.logHolds("info: ends"));
   CHECK(std::chrono::steady_clock::now() - told < 2700ms);  // the longest deadline, and 0.7 s
   CHECK(p.exitStatus() == 0);
@@ -315,7 +315,7 @@
   p.start(text);
   REQUIRE(p.logHolds("info: ready"));
   Far before = p.client();
-  before.say(Doorstep::rpc("pay", "x", "", 1500));
+  before.say(Doorstep::request("pay", "x", "", 1500));
   REQUIRE(within([&] { return take() == 1; }));
   p.signal(SIGTERM);
   REQUIRE(p.logHolds("ends what rests"));
@@ -334,7 +334,7 @@
   }));
   CHECK(std::chrono::steady_clock::now() - began < 10s);
   after.got.clear();
-  after.say(Doorstep::rpc("pay", "y", "", 1500));
+  after.say(Doorstep::request("pay", "y", "", 1500));
   CHECK(within([&] { return take() == 2; }));  // that of the old life is not sent on again
 }
 
--- a/tests/watch_bound_test.cpp
+++ b/tests/watch_bound_test.cpp
@@ -125,7 +125,7 @@
     INFO("state " << int(state) << " refusals " << refusals << " hangs " << hangsFirst << " seed " << seed);
     CHECK(seconds(took) < seconds(kTold));
     Far client = d.client();
-    client.say(Doorstep::rpc("look"));
+    client.say(Doorstep::request("look"));
     CHECK(d.until([&] { return client.holds("HTTP/1.1 429"); }));  // it was the only host, and it drains
   }
 }
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -112,18 +112,18 @@
   }
   Try& ask(std::uint32_t g, std::uint64_t customer, std::uint32_t plan, std::uint32_t method, double units,
            Span patience = 2s) {
-    const RpcId id{++lastRpc_};
+    const RequestId id{++lastRequest_};
     Try& t = tries[id.value];
     t.asked = {id, {customer}, {plan}, {method}, now + patience, units, terms.gateways};
     t.gateway = g;
     t.cameAt = now;
     at(now + patience + 16ms, [this, id] {
-      if (tries[id.value].finals == 0) blame("an RPC was not answered in time");
+      if (tries[id.value].finals == 0) blame("a request was not answered in time");
     });
-    nodes_[g].gateway->rpcArrived(now, t.asked);
+    nodes_[g].gateway->requestArrived(now, t.asked);
     return t;
   }
-  // Each gateway is asked for one RPC every 10 ms, for 40 customers in turn.
+  // Each gateway is asked for one request every 10 ms, for 40 customers in turn.
   void load(int steps) {
     for (int step = 0; step < steps; ++step) {
       runFor(10ms);
@@ -208,16 +208,16 @@
       blame("a pushback though it may have run");
   }
 
-  void end(std::uint32_t g, std::uint64_t life, RpcId rpc, std::uint32_t no, HostId host, Outcome outcome,
-           Span took) {
-    Try& t = tries[rpc.value];
+  void end(std::uint32_t g, std::uint64_t life, RequestId requestId, std::uint32_t no, HostId host,
+           Outcome outcome, Span took) {
+    Try& t = tries[requestId.value];
     if (t.out.contains(no)) --hosts[host.value].out;
     if (!nodes_[g].gateway || nodes_[g].out->life != life || !t.out.erase(no)) return;
     --t.outNow;
     const bool proven = outcome == Outcome::turnedAway || outcome == Outcome::noConnection;
     if (!proven) t.mayHaveRun.emplace_back(host, now - took);
     if (outcome == Outcome::ok && t.finals == 0) ++t.finals, t.served = true, t.endedAt = now;
-    nodes_[g].gateway->attemptEnded(now, {rpc,
+    nodes_[g].gateway->attemptEnded(now, {requestId,
                                           {no},
                                           host,
                                           outcome,
@@ -229,8 +229,8 @@
 
   struct Way final : Port {
     Way(World& world, std::uint32_t number, std::uint64_t lifeNo) : w(world), g(number), life(lifeNo) {}
-    void startAttempt(RpcId rpc, HostId host, Until until) override {
-      Try& t = w.tries[rpc.value];
+    void startAttempt(RequestId requestId, HostId host, Until until) override {
+      Try& t = w.tries[requestId.value];
       w.judgeAttempt(t, host, until.written);
       const std::uint32_t no = t.attempts++;
       ++t.outNow;
@@ -249,19 +249,19 @@
       ++w.hosts[host.value].out, ++w.hosts[host.value].taken;
       if (w.hosts[host.value].mute || w.chance(w.chances.mute) || w.now + took > until.giveUp)
         outcome = Outcome::noAnswer, took = until.giveUp - w.now;
-      w.at(w.now + took, [rpc, no, host, outcome, took, &world = w, gw = g, l = life] {
-        world.end(gw, l, rpc, no, host, outcome, took);
+      w.at(w.now + took, [requestId, no, host, outcome, took, &world = w, gw = g, l = life] {
+        world.end(gw, l, requestId, no, host, outcome, took);
       });
     }
-    void cancel(RpcId rpc, AttemptNumber no) override {
-      const Try& t = w.tries[rpc.value];
+    void cancel(RequestId requestId, AttemptNumber no) override {
+      const Try& t = w.tries[requestId.value];
       if (!t.out.contains(no.value)) return;
-      w.at(w.now, [&world = w, gw = g, l = life, rpc, no, host = t.out.at(no.value)] {
-        world.end(gw, l, rpc, no.value, host, Outcome::cancelled, 1ms);
+      w.at(w.now, [&world = w, gw = g, l = life, requestId, no, host = t.out.at(no.value)] {
+        world.end(gw, l, requestId, no.value, host, Outcome::cancelled, 1ms);
       });
     }
-    void pushBack(RpcId rpc, Span) override { w.judgeFinal(w.tries[rpc.value], true); }
-    void abort(RpcId rpc) override { w.judgeFinal(w.tries[rpc.value], false); }
+    void pushBack(RequestId requestId, Span) override { w.judgeFinal(w.tries[requestId.value], true); }
+    void abort(RequestId requestId) override { w.judgeFinal(w.tries[requestId.value], false); }
     void addToCount(const CountName& name, double units, Span) override {
       ++w.countCalls;
       const bool slow = w.chance(w.chances.countSlow), gone = w.chance(w.chances.countLost);
@@ -294,7 +294,7 @@
   };
 
   std::map<std::pair<Time, std::uint64_t>, std::function<void()>> agenda_;
-  std::uint64_t order_ = 0, lives_ = 0, lastRpc_ = 0;
+  std::uint64_t order_ = 0, lives_ = 0, lastRequest_ = 0;
   std::ranlux24_base dice_;
   std::deque<Node> nodes_;
   std::map<std::uint64_t, Ceiling> ceilings_;
@@ -487,8 +487,8 @@
     }
   }
   Far client() { return Far::to(listenPort); }
-  static std::string rpc(const std::string& kind, const std::string& body = "", const std::string& more = "",
-                         int ms = 900) {
+  static std::string request(const std::string& kind, const std::string& body = "",
+                             const std::string& more = "", int ms = 900) {
     return (body.empty() ? "GET /" : "POST /") + kind +
            "/a?b=c HTTP/1.1\r\nHost: x\r\nReq-Id: 00ff\r\nReq-Kind: " + kind +
            "\r\nPlan: free\r\nAccount: 0000000000000007\r\nReq-Deadline-Ms: " + std::to_string(ms) +
@@ -507,9 +507,9 @@
   static std::string replaced(std::string text, const std::string& was, const std::string& is) {
     return was.empty() ? text : text.replace(text.find(was), was.size(), is);
   }
-  // An RPC of a customer whose plan has a quota.
+  // A request of a customer whose plan has a quota.
   static std::string metered(int customer) {
-    std::string message = rpc("look");
+    std::string message = request("look");
     message.replace(message.find("Plan: free"), 10, "Plan: metered");
     return message.replace(message.find("0000000000000007"), 16,
                            "000000000000000" + std::to_string(customer));
