--- a/src/brain.cpp
+++ b/src/brain.cpp
@@ -104,7 +104,7 @@
 };
 
 struct PendingRequest {
-  Arrival asked;
+  Request asked;
   Time came;
   Book* book;
   std::vector<Attempt> attempts;
@@ -237,7 +237,7 @@
   // Guards against hosts that fail, leave unanswered or turn away one method or one plan while they serve the
   // rest: they are passed over for that kind alone, by chance, by what lately came of it. Hurts
   // a host seen seldom for one chance error.
-  double trust(std::size_t h, const Arrival& a) const {
+  double trust(std::size_t h, const Request& a) const {
     double share = 1;
     for (const std::size_t kind : {std::size_t{a.method.value}, terms.methods.size() + a.plan.value}) {
       const Tried& tried = kinds[h][kind];
@@ -379,7 +379,7 @@
   Span round() const { return scaled(terms.counterPatience, kRound); }
   double part(const Book& b) const { return b.known && !b.silent ? 1 : 1 / b.gateways; }
 
-  Book& bookOf(const Arrival& a) {
+  Book& bookOf(const Request& a) {
     auto [at, isNew] = books.try_emplace(a.customer);
     Book& b = at->second;
     if (isNew) {
@@ -602,7 +602,7 @@
     return n < 1 ? own : (own + 2 * lately(reportedFull) / n) / 3;
   }
 
-  double standing(const Arrival& a) const {
+  double standing(const Request& a) const {
     double most = 0;
     for (const Method& m : terms.methods)
       for (const Plan& p : terms.plans) most = std::max(most, m.utility * p.price);
@@ -610,7 +610,7 @@
     return most > 0 ? mine / most : 1;
   }
 
-  void arrive(const Arrival& a) {
+  void arrive(const Request& a) {
     const Method& method = terms.methods[a.method.value];
     Book& b = bookOf(a);
     refill(b);
@@ -629,7 +629,7 @@
     requests.erase(a.requestId.value);
   }
 
-  void shed(const Arrival& a, double wait) {
+  void shed(const Request& a, double wait) {
     lastShed = now;
     tell(shedding, true);
     keepSweeping();
@@ -762,9 +762,9 @@
   hostsChanged(now, lines);
 }
 
-void Gateway::requestArrived(Time now, const Arrival& arrival) {
+void Gateway::requestArrived(Time now, const Request& request) {
   mind_->now = now;
-  mind_->arrive(arrival);
+  mind_->arrive(request);
 }
 
 void Gateway::attemptEnded(Time now, const AttemptResult& end) {
--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -29,7 +29,7 @@
   virtual void note(const std::string& line) = 0;
 };
 
-struct Arrival {
+struct Request {
   RequestId requestId;
   CustomerId customer;
   PlanId plan;
@@ -80,7 +80,7 @@
 
   void hostsChanged(Time now, const std::vector<HostLine>&);  // the lines that changed
   void hostsListed(Time now, const std::vector<HostLine>&);   // all lines: what is missing has gone
-  void requestArrived(Time now, const Arrival&);
+  void requestArrived(Time now, const Request&);
   void attemptEnded(Time now, const AttemptResult&);
   void answerStarted(Time now, RequestId, AttemptNumber);  // a streamed answer is the client's from here on
   void clientLeft(Time now, RequestId);
--- a/src/emulator/doorman.cpp
+++ b/src/emulator/doorman.cpp
@@ -18,8 +18,8 @@
   Own(const orders::Orders& orders, Time now, front::Deadlines& deadlines, front::Ways& ways)
       : front_(orders, now, deadlines, ways) {}
 
-  void requestArrived(Time now, SlotRef client, const Arrival& arrival) override {
-    const RequestId requestId = front_.requestArrived(now, client, arrival);
+  void requestArrived(Time now, SlotRef client, const Request& request) override {
+    const RequestId requestId = front_.requestArrived(now, client, request);
     if (front_.holds(requestId)) requests_[client.packed()] = requestId;
     if (requests_.size() > sweepAt_) {
       std::erase_if(requests_, [this](const auto& at) { return !front_.holds(at.second); });
@@ -66,15 +66,15 @@
     Simple::hostsTold(now, known);
   }
 
-  void requestArrived(Time now, SlotRef client, const Arrival& arrival) override {
-    const auto host = admits(now, arrival) ? choose(now) : std::nullopt;
+  void requestArrived(Time now, SlotRef client, const Request& request) override {
+    const auto host = admits(now, request) ? choose(now) : std::nullopt;
     if (!host) return ways_.answerPushedBack(client, terms_.connectPatience);
     const RequestId requestId{++last_};
-    const Time by = std::min(arrival.deadline, latest_) - slack_;
+    const Time by = std::min(request.deadline, latest_) - slack_;
     const auto sent = ways_.startAttempt(requestId, {0}, client, *host, {by, Time::max()});
     if (std::holds_alternative<Outcome>(sent)) return ways_.answerPushedBack(client, Span{0});
     requests_[requestId.value] = {client, std::get<SlotRef>(sent),
-                                  terms_.methods[arrival.method.value].repeat == Repeat::idempotent};
+                                  terms_.methods[request.method.value].repeat == Repeat::idempotent};
     byClient_[client.packed()] = requestId.value;
     deadlines_.add(std::max(now, by), [this, requestId](Time) { giveUp(requestId, true); });
   }
@@ -105,7 +105,7 @@
   std::size_t unanswered() const override { return requests_.size(); }
 
  protected:
-  virtual bool admits(Time, const Arrival&) { return true; }
+  virtual bool admits(Time, const Request&) { return true; }
   virtual std::optional<HostId> choose(Time) {
     if (serving_.empty()) return std::nullopt;
     return HostId{static_cast<std::uint32_t>(dice_.below(serving_.size()))};
@@ -156,7 +156,7 @@
     double level, ceiling;
     Time at;
   };
-  bool admits(Time now, const Arrival& a) override {
+  bool admits(Time now, const Request& a) override {
     const Plan& p = terms_.plans[a.plan.value];
     const double share = 1.0 / std::max(1u, a.gateways);
     // A part of the ceiling begins empty: what an earlier life has sent is not known.
@@ -180,7 +180,7 @@
       : Simple(orders, now, deadlines, ways), truth_(std::move(truth)) {}
 
  private:
-  bool admits(Time, const Arrival& a) override {
+  bool admits(Time, const Request& a) override {
     return truth_.inside(a.customer.value, a.plan.value, a.units);
   }
   std::optional<HostId> choose(Time) override {
--- a/src/emulator/doorman.hpp
+++ b/src/emulator/doorman.hpp
@@ -13,7 +13,7 @@
 class Doorman {
  public:
   virtual ~Doorman() = default;
-  virtual void requestArrived(Time, front::SlotRef client, const Arrival&) = 0;
+  virtual void requestArrived(Time, front::SlotRef client, const Request&) = 0;
   virtual void clientLeft(Time, front::SlotRef client) = 0;
   virtual void attemptEnded(Time, RequestId, AttemptNumber, Outcome, const front::Said&) = 0;
   virtual void counted(Time, const CountName&, CountEnd, double total, Span took) = 0;
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -260,7 +260,7 @@
                  {{t->gateway}, wish.method, wish.plan, wish.customer, wish.units, wish.deadline});
     tally.mostInFlight = std::max(tally.mostInFlight, ledger.held());
     print(t->id.value);
-    Arrival a{{},
+    Request a{{},
               {wish.customer},
               {wish.plan},
               {wish.method},
--- a/src/front/ask.cpp
+++ b/src/front/ask.cpp
@@ -44,7 +44,7 @@
     if (http::same(name, "Idempotency-Key")) mark = value;
   }
   Ask ask{};
-  Arrival& a = ask.arrival;
+  Request& a = ask.request;
   const auto blame = [&ask](std::string_view why) { return ask.fault = why, ask; };
   if (id.empty()) return blame("Req-Id is missing");
   const auto method = words.methods.find(kind);
--- a/src/front/ask.hpp
+++ b/src/front/ask.hpp
@@ -19,7 +19,7 @@
 // What a client's message says of its request; where it cannot be one, `fault` says why.
 struct Ask {
   std::string_view fault;
-  Arrival arrival;  // without the request's id; the deadline counted from the time given
+  Request request;  // without the request's id; the deadline counted from the time given
 };
 
 Ask readAsk(const http::Message&, const Words&, const Terms&, Time came);
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -31,20 +31,20 @@
 
 // ---- from the adapters to the module ----
 
-RequestId Front::requestArrived(Time now, SlotRef client, Arrival arrival) {
+RequestId Front::requestArrived(Time now, SlotRef client, Request request) {
   now_ = now;
   // Answered while the client still waits: the slack that the rules allow, and the loop's own delay, before.
-  if (keepsTime_) arrival.deadline = std::max(now, arrival.deadline - slack_ - deadlines_.late(now));
-  arrival.deadline = std::min(arrival.deadline, latest_);
-  const Time deadline = keepsTime_ ? arrival.deadline : arrival.deadline + slack_;
+  if (keepsTime_) request.deadline = std::max(now, request.deadline - slack_ - deadlines_.late(now));
+  request.deadline = std::min(request.deadline, latest_);
+  const Time deadline = keepsTime_ ? request.deadline : request.deadline + slack_;
   const SlotRef slot = requests_.add();
   const RequestId requestId{slot.packed()};
   PendingRequest& row = *requests_.find(slot);
   row.client = client, row.deadline = deadline;
   row.by = deadlines_.add(deadline, [this, requestId](Time at) { expire(at, requestId); });
   ++unanswered_;
-  arrival.requestId = requestId;
-  gateway_.requestArrived(now, arrival);
+  request.requestId = requestId;
+  gateway_.requestArrived(now, request);
   settle(now, requestId);
   return requestId;
 }
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -63,7 +63,7 @@
   std::size_t unanswered() const { return unanswered_; }
   bool wants(RequestId);  // it has had no answer, and its client is there to get one
 
-  RequestId requestArrived(Time now, SlotRef client, Arrival);
+  RequestId requestArrived(Time now, SlotRef client, Request);
   void clientLeft(Time now, RequestId);
   void attemptEnded(Time now, RequestId, AttemptNumber, Outcome, const Said& = {});
   void counted(Time now, const CountName&, CountEnd, double total, Span took);
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -113,7 +113,7 @@
   const front::Ask ask = front::readAsk(message_, front.words(), front.terms(), now);
   if (!ask.fault.empty()) return refuse(400, std::string(ask.fault) + "\n");
   asking_ = true;
-  const RequestId requestId = front.requestArrived(now, ref(), ask.arrival);
+  const RequestId requestId = front.requestArrived(now, ref(), ask.request);
   if (std::exchange(asking_, false)) requestId_ = requestId;
 }
 
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -67,7 +67,7 @@
     for (const auto& line : orders.known.lines)
       if (line.serving) hosts_.push_back(line.address);
   }
-  void requestArrived(Time now, SlotRef client, const Arrival& a) override {
+  void requestArrived(Time now, SlotRef client, const Request& a) override {
     if (hosts_.empty()) return ways_.answerPushedBack(client, Span{0});
     if (rule_ == Rule::lost && ++lost_ % 10 == 0) return;  // never answered
     const RequestId requestId{++last_};
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -280,13 +280,13 @@
   const front::Ask ask = front::readAsk(message, words, terms, Time(1s));
   CHECK(ask.fault == fault);
   if (!fault.empty()) return;
-  CHECK(ask.arrival.method == MethodId{1});
-  CHECK(ask.arrival.plan == PlanId{1});
-  CHECK(ask.arrival.customer == CustomerId{0xb4d65521});
-  CHECK(ask.arrival.deadline == Time(1480ms));
-  CHECK(ask.arrival.units == 2);
-  CHECK(ask.arrival.gateways == 3);
-  CHECK(ask.arrival.marked == (is.ends_with(": k")));
+  CHECK(ask.request.method == MethodId{1});
+  CHECK(ask.request.plan == PlanId{1});
+  CHECK(ask.request.customer == CustomerId{0xb4d65521});
+  CHECK(ask.request.deadline == Time(1480ms));
+  CHECK(ask.request.units == 2);
+  CHECK(ask.request.gateways == 3);
+  CHECK(ask.request.marked == (is.ends_with(": k")));
 }
 
 TEST_CASE("a request of a deduplicated method without its mark is repeated only where it never ran") {
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -59,7 +59,7 @@
     LoadReport load{};
   };
   struct Try {
-    Arrival asked;
+    Request asked;
     std::uint32_t gateway = 0;
     int finals = 0, outNow = 0;
     bool counted = false, served = false, pushedBack = false;
