--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -66,7 +66,7 @@
 
  private:
   void answerOk(SlotRef, std::string_view, std::string_view) override {}  // the bench has seen to it
-  void answerPushedBack(SlotRef requestId, Span comeBackAfter) override {
+  void answerRejected(SlotRef requestId, Span comeBackAfter) override {
     write(R"({{"sayNo":{{"i":{},"id":"{:016x}","holdOff":{}}}}})", requestId.packed(), micros(comeBackAfter));
   }
   void answerAborted(SlotRef requestId) override {
@@ -165,7 +165,7 @@
   static Outcome outcomeOf(const Fields& f) {
     const auto code = f.need<std::string_view>("code");
     if (code == "served") return Outcome::ok;
-    if (code == "turned_away") return Outcome::turnedAway;
+    if (code == "turned_away") return Outcome::rejected;
     if (code == "no_answer") return Outcome::noAnswer;
     if (code == "no_connection") return Outcome::noConnection;
     if (code == "connection_lost") return Outcome::lost;
--- a/src/brain.cpp
+++ b/src/brain.cpp
@@ -32,7 +32,7 @@
 constexpr double kWeightSpan = 4.0;  // most and least square of a host's speed, over the mean's
 constexpr double kTriedSpan = 20.0;  // seconds over which it counts what came of a kind of request at a host,
 constexpr double kDoubt = 0.1;       // of a request that went well: what is trusted whatever came
-constexpr double kPressFrom = 0.6;   // of the room: from here the cheapest are pushed back
+constexpr double kPressFrom = 0.6;   // of the room: from here the cheapest are rejected
 constexpr double kLeastRoom = 3.0;   // attempts a host, of all gateways, whatever has been seen
 constexpr double kHostSpan = 4.5;    // seconds over which a host's answers are counted
 constexpr double kSpare = 2.0;       // attempts over that at a host, of all gateways
@@ -169,7 +169,7 @@
     Time at{};
   };
   Told silence{"counter silent: quotas divided among the gateways", "counter back: quotas shared again"};
-  Told shedding{"hosts have no room: requests pushed back, the least worth first", "hosts have room again"};
+  Told shedding{"hosts have no room: requests rejected, the least worth first", "hosts have room again"};
   Time lastShed{}, booksSwept{};
 
   void tell(Told& told, bool on) {
@@ -234,7 +234,7 @@
     return warmth(h) * warmth(h) * std::clamp(speed * speed, 1 / kWeightSpan, kWeightSpan);
   }
 
-  // Guards against hosts that fail, leave unanswered or turn away one method or one plan while they serve the
+  // Guards against hosts that fail, leave unanswered or reject one method or one plan while they serve the
   // rest: they are passed over for that kind alone, by chance, by what lately came of it. Hurts
   // a host seen seldom for one chance error.
   double trust(std::size_t h, const Request& a) const {
@@ -336,7 +336,7 @@
     --out[h], --outTotal;
     if (end.outcome == Outcome::cancelled || end.outcome == Outcome::notSent) return;
     const Time heardBefore = heard[h];
-    const bool ok = end.outcome == Outcome::ok, full = end.outcome == Outcome::turnedAway;
+    const bool ok = end.outcome == Outcome::ok, full = end.outcome == Outcome::rejected;
     const auto tried = [&](std::size_t kind, bool badly) {
       (badly ? kinds[h][kind].badly : kinds[h][kind].well).add(now, kTriedSpan, 1);
     };
@@ -637,8 +637,8 @@
   }
 
   void advise(RequestId requestId, double wait) {
-    port.pushBack(requestId,
-                  terms.mayAdvise ? std::clamp(spanOf(wait), Span{0}, terms.longestAdvice) : Span{0});
+    port.reject(requestId,
+                terms.mayAdvise ? std::clamp(spanOf(wait), Span{0}, terms.longestAdvice) : Span{0});
   }
 
   bool send(PendingRequest& requestId) {
@@ -662,7 +662,7 @@
   void settle(PendingRequest& requestId, std::size_t no, const AttemptResult& end) {
     Attempt& attempt = requestId.attempts[no];
     attempt.out = false;
-    attempt.ran = end.outcome != Outcome::turnedAway && end.outcome != Outcome::noConnection &&
+    attempt.ran = end.outcome != Outcome::rejected && end.outcome != Outcome::noConnection &&
                   end.outcome != Outcome::notSent;
     --requestId.book->open;
     sawEnd(end, requestId);
--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -21,8 +21,8 @@
   virtual ~Port() = default;
   virtual void startAttempt(RequestId, HostId, Until) = 0;
   virtual void cancel(RequestId, AttemptNumber) = 0;
-  virtual void pushBack(RequestId, Span comeBackAfter) = 0;  // final; 0 gives no advice
-  virtual void abort(RequestId) = 0;                         // final
+  virtual void reject(RequestId, Span comeBackAfter) = 0;  // final; 0 gives no advice
+  virtual void abort(RequestId) = 0;                       // final
   virtual void addToCount(const CountName&, double units, Span keptFor) = 0;
   virtual void wakeAt(Time, TimerId) = 0;
   virtual void probe(HostId) = 0;
@@ -40,7 +40,7 @@
   bool marked = true;          // bears what a repeat of a deduplicated method is known by
 };
 
-enum class Outcome { ok, error, turnedAway, noAnswer, noConnection, lost, cancelled, notSent };
+enum class Outcome { ok, error, rejected, noAnswer, noConnection, lost, cancelled, notSent };
 
 struct LoadReport {
   std::optional<double> held, queued, serviceSeconds, perSecond, busy;
--- a/src/emulator/doorman.cpp
+++ b/src/emulator/doorman.cpp
@@ -68,11 +68,11 @@
 
   void requestArrived(Time now, SlotRef client, const Request& request) override {
     const auto host = admits(now, request) ? choose(now) : std::nullopt;
-    if (!host) return ways_.answerPushedBack(client, terms_.connectPatience);
+    if (!host) return ways_.answerRejected(client, terms_.connectPatience);
     const RequestId requestId{++last_};
     const Time by = std::min(request.deadline, latest_) - slack_;
     const auto sent = ways_.startAttempt(requestId, {0}, client, *host, {by, Time::max()});
-    if (std::holds_alternative<Outcome>(sent)) return ways_.answerPushedBack(client, Span{0});
+    if (std::holds_alternative<Outcome>(sent)) return ways_.answerRejected(client, Span{0});
     requests_[requestId.value] = {client, std::get<SlotRef>(sent),
                                   terms_.methods[request.method.value].repeat == Repeat::idempotent};
     byClient_[client.packed()] = requestId.value;
@@ -88,8 +88,8 @@
     const Held held = at->second;
     drop(requestId);
     if (outcome == Outcome::ok) return ways_.answerOk(held.client, said.body, said.type);
-    if (held.idempotent || outcome == Outcome::turnedAway || outcome == Outcome::noConnection)
-      return ways_.answerPushedBack(held.client, Span{0});
+    if (held.idempotent || outcome == Outcome::rejected || outcome == Outcome::noConnection)
+      return ways_.answerRejected(held.client, Span{0});
     ways_.answerAborted(held.client);
   }
   void counted(Time, const CountName&, CountEnd, double, Span) override {}
--- a/src/emulator/ledger.cpp
+++ b/src/emulator/ledger.cpp
@@ -79,10 +79,10 @@
   const bool served =
       std::any_of(open->outs.begin(), open->outs.end(), [](const Out& o) { return o.served; });
   if (how == Answer::ok && !served) breach(now, Rule::lost, attemptId, "an answer that no host has made");
-  if (how == Answer::pushedBack && mayHaveRun(*open)) {
+  if (how == Answer::rejected && mayHaveRun(*open)) {
     const MethodTerms& m = s_.methods[open->asked.method];
     if (m.repeat == Repeat::nonIdempotent || (m.repeat == Repeat::deduplicated && m.group != Group::all))
-      breach(now, Rule::twice, attemptId, "pushed back though it may have run");
+      breach(now, Rule::twice, attemptId, "rejected though it may have run");
   }
   close(attemptId);
 }
--- a/src/emulator/tally.cpp
+++ b/src/emulator/tally.cpp
@@ -22,7 +22,7 @@
       {"late", part(double(t.late), asked)},
       {"failed", part(double(t.failed), asked)},
       {"tries", part(double(t.tries), asked)},
-      {"pushed_back", part(double(t.pushedBack), double(t.tries))},
+      {"pushed_back", part(double(t.rejected), double(t.tries))},
       {"aborted", part(double(t.aborted), double(t.tries))},
       {"unreached", part(double(t.unreached), double(t.tries))},
       {"call_outs", part(double(t.attempts), double(t.tries))},
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -103,7 +103,7 @@
   Node(World& world, std::uint32_t number, std::uint32_t z) : w(world), no(number), zone(z) {}
 
   void answerOk(SlotRef client, std::string_view, std::string_view) override;
-  void answerPushedBack(SlotRef client, Span comeBackAfter) override;
+  void answerRejected(SlotRef client, Span comeBackAfter) override;
   void answerAborted(SlotRef client) override;
   std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
                                               Until) override;
@@ -328,8 +328,8 @@
     if (!wish) return tries.drop(ref);
     print(10 + static_cast<std::uint64_t>(how));
     if (how != Answer::ok) {
-      how == Answer::pushedBack ? void((++tally.pushedBack, ++second().pushedBack)) : void(++tally.aborted);
-      return again(ref, how == Answer::pushedBack || mayAskAgain(*wish), advice);
+      how == Answer::rejected ? void((++tally.rejected, ++second().rejected)) : void(++tally.aborted);
+      return again(ref, how == Answer::rejected || mayAskAgain(*wish), advice);
     }
     const Time now = agenda.now();
     const bool inTime = now <= wish->askedAt + sc.methods[wish->method].soft;
@@ -522,7 +522,7 @@
       return endAttempt(g, life, ref, Outcome::lost);
     }
     if (m.running >= sc.cores && m.queue.size() >= static_cast<std::size_t>(sc.room))
-      return endAttempt(g, life, ref, Outcome::turnedAway);
+      return endAttempt(g, life, ref, Outcome::rejected);
     const SlotRef job = jobs.add(Job{a->machine, m.life, g, life, ref, a->tryId, a->no.value, work});
     a->job = job;
     m.running < sc.cores ? run(job) : void(m.queue.push_back(job));
@@ -591,11 +591,10 @@
       if (!attempt) return;
       const Attempt over = *attempt;
       at.attempts.drop(ref);
-      const bool proven = outcome == Outcome::turnedAway || outcome == Outcome::noConnection;
+      const bool proven = outcome == Outcome::rejected || outcome == Outcome::noConnection;
       ledger.over(agenda.now(), over.tryId, over.no.value, proven);
       print(100 + static_cast<std::uint64_t>(outcome));
-      const bool keeps =
-          outcome == Outcome::ok || outcome == Outcome::error || outcome == Outcome::turnedAway;
+      const bool keeps = outcome == Outcome::ok || outcome == Outcome::error || outcome == Outcome::rejected;
       Machine& host = machines[over.machine];
       if (host.life == machineLife && host.state == Machine::State::up) {
         if (keeps)
@@ -934,12 +933,12 @@
   w.agenda.after(w.delay(), [&world = w, client] { world.answerCame(client, Answer::ok, Span{0}); });
 }
 
-void Node::answerPushedBack(SlotRef client, Span comeBackAfter) {
+void Node::answerRejected(SlotRef client, Span comeBackAfter) {
   const Try* const t = w.tries.find(client);
   if (!t) return;
-  w.ledger.answered(w.agenda.now(), t->id, Answer::pushedBack);
+  w.ledger.answered(w.agenda.now(), t->id, Answer::rejected);
   w.agenda.after(w.delay(), [&world = w, client, comeBackAfter] {
-    world.answerCame(client, Answer::pushedBack, comeBackAfter);
+    world.answerCame(client, Answer::rejected, comeBackAfter);
   });
 }
 
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -219,8 +219,8 @@
   if (ways_.giveUp(row->client, no, row->attempts[no.value].link)) attemptEnded(now, requestId, no, outcome);
 }
 
-void Front::pushBack(RequestId requestId, Span comeBackAfter) {
-  if (const PendingRequest* const row = owed(requestId)) ways_.answerPushedBack(row->client, comeBackAfter);
+void Front::reject(RequestId requestId, Span comeBackAfter) {
+  if (const PendingRequest* const row = owed(requestId)) ways_.answerRejected(row->client, comeBackAfter);
 }
 
 void Front::abort(RequestId requestId) {
--- a/src/lab/table.cpp
+++ b/src/lab/table.cpp
@@ -150,7 +150,7 @@
   for (std::size_t n = 0; n < tally.seconds.size(); ++n) {
     const auto& s = tally.seconds[n];
     out += fmt::format("{},{},{},{},{},{},{},{},{},{:.6g},{:.6g}\n", n, s.asked, s.inTime, s.late, s.failed,
-                       s.pushedBack, s.attempts, s.connects, s.countCalls, s.unitsSent, s.unitsBeyond);
+                       s.rejected, s.attempts, s.connects, s.countCalls, s.unitsSent, s.unitsBeyond);
   }
   return out + fmt::format("# end,{}\n", tally.seconds.size());
 }
--- a/src/net/gate.cpp
+++ b/src/net/gate.cpp
@@ -64,7 +64,7 @@
   client->answer(200, fmt::format(FMT_COMPILE("Content-Type: {}\r\n"), type), body);
 }
 
-void Gate::answerPushedBack(SlotRef ref, Span comeBackAfter) {
+void Gate::answerRejected(SlotRef ref, Span comeBackAfter) {
   Client* const client = loop_.find<Client>(ref);
   if (!client) return;
   if (comeBackAfter <= Span{0}) return client->answer(429, "", "");
--- a/src/net/gate.hpp
+++ b/src/net/gate.hpp
@@ -29,7 +29,7 @@
 
  private:
   void answerOk(SlotRef client, std::string_view body, std::string_view type) override;
-  void answerPushedBack(SlotRef client, Span comeBackAfter) override;
+  void answerRejected(SlotRef client, Span comeBackAfter) override;
   void answerAborted(SlotRef client) override;
   std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
                                               Until) override;
--- a/src/net/hosts.cpp
+++ b/src/net/hosts.cpp
@@ -86,7 +86,7 @@
 Outcome HostLink::outcomeOf() const {
   const int status = message_.status();
   if (status == 200) return Outcome::ok;
-  if ((status == 503 || status == 504) && message_.get("Srv-Declined") == "1") return Outcome::turnedAway;
+  if ((status == 503 || status == 504) && message_.get("Srv-Declined") == "1") return Outcome::rejected;
   return Outcome::error;
 }
 
--- a/src/net/watch.cpp
+++ b/src/net/watch.cpp
@@ -15,7 +15,7 @@
 constexpr double kRefusedMost = 0.5, kToldFor = 0.75;
 // Of the connect patience: the least wait, where the settings leave drains no time at all.
 constexpr int kLeastWait = 8;
-// While watches are turned away, one is asked for again each so many asks.
+// While watches are rejected, one is asked for again each so many asks.
 constexpr int kWatchEvery = 4;
 
 }  // namespace
@@ -125,7 +125,7 @@
   open();
 }
 
-// Guards against discovery that turns watches away, as where it bears no more of them: the whole list is told
+// Guards against discovery that rejects watches, as where it bears no more of them: the whole list is told
 // to whoever asks, and every fourth time a watch is asked for once more.
 void Watch::open() {
   again_ = {};
@@ -167,7 +167,7 @@
 }
 
 // Guards against many gateways that ask a crowded discovery again in step, and against asking ever on: where
-// it turns them away, the wait doubles up to a few beats, and each draws its own; a list that was told is
+// it rejects them, the wait doubles up to a few beats, and each draws its own; a list that was told is
 // good for a beat. Where nothing was said at all, the agent may be told of changes the moment after, and
 // these count as told: then the wait stays well under the time in which a drain has to be heeded.
 void Watch::lost(AskEnd how) {
--- a/src/net/watch.hpp
+++ b/src/net/watch.hpp
@@ -13,7 +13,7 @@
 
 class Watch;
 
-// How an ask ended: with a list; turned away; or with nothing that could be used.
+// How an ask ended: with a list; rejected; or with nothing that could be used.
 enum class AskEnd { told, refused, silent };
 
 // One watch: a chunked answer without end, a line of JSON for each change.
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -90,17 +90,17 @@
   CHECK(passed(w, 0, 5, 1, 1) == 1);
 }
 
-TEST_CASE("what is pushed back is answered at once") {
+TEST_CASE("what is rejected is answered at once") {
   World w(plainTerms(), 1);
   for (int i = 0; i < 20; ++i) w.ask(0, 5, 0, 0, 1);
-  for (const auto& [id, t] : w.tries) CHECK((t.attempts > 0 || (t.pushedBack && t.endedAt == t.cameAt)));
+  for (const auto& [id, t] : w.tries) CHECK((t.attempts > 0 || (t.rejected && t.endedAt == t.cameAt)));
 }
 
-TEST_CASE("no hosts: pushed back at once") {
+TEST_CASE("no hosts: rejected at once") {
   World w(plainTerms(), 1);
   for (auto& host : w.hosts) host.serving = false;
   w.tellHosts();
-  CHECK(w.ask(0, 5, 0, 0, 1).pushedBack);
+  CHECK(w.ask(0, 5, 0, 0, 1).rejected);
 }
 
 TEST_CASE("odd terms stay safe: no counter, one gateway, zero rates") {
@@ -143,7 +143,7 @@
   CHECK(w.served() > 100);
 }
 
-TEST_CASE("under pressure the requests of least utility are pushed back first") {
+TEST_CASE("under pressure the requests of least utility are rejected first") {
   World w(plainTerms(), 1);
   for (auto& host : w.hosts) host.service = 250ms;
   int low = 0, high = 0;
@@ -253,7 +253,7 @@
   CHECK(w.served() > 100);
 }
 
-TEST_CASE("a host that fails one method or turns away one plan keeps the rest") {
+TEST_CASE("a host that fails one method or rejects one plan keeps the rest") {
   const bool byPlan = GENERATE(true, false);
   World w(plainTerms(), 1);
   (byPlan ? w.hosts[0].refusesPlan : w.hosts[0].failsMethod) = 0;
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -68,7 +68,7 @@
       if (line.serving) hosts_.push_back(line.address);
   }
   void requestArrived(Time now, SlotRef client, const Request& a) override {
-    if (hosts_.empty()) return ways_.answerPushedBack(client, Span{0});
+    if (hosts_.empty()) return ways_.answerRejected(client, Span{0});
     if (rule_ == Rule::lost && ++lost_ % 10 == 0) return;  // never answered
     const RequestId requestId{++last_};
     // The ceiling rule is broken by letting all in, the drain and cold rules by staying with what was first
@@ -109,7 +109,7 @@
     }
     const SlotRef client = held.client;
     requests_.erase(at);
-    outcome == Outcome::turnedAway ? ways_.answerPushedBack(client, Span{0}) : ways_.answerAborted(client);
+    outcome == Outcome::rejected ? ways_.answerRejected(client, Span{0}) : ways_.answerAborted(client);
   }
   void counted(Time, const CountName&, CountEnd, double, Span) override {}
   void hostsTold(Time, const orders::Roster& roster) override {
@@ -282,7 +282,7 @@
   Ledger ledger(s);
   const auto answeredAfter = [&](std::uint64_t id, Time taken, Time answered) {
     ledger.taken(taken, {id}, {{0}, 0, 0, 1, 1, Time(2s)});
-    ledger.answered(answered, {id}, Answer::pushedBack);
+    ledger.answered(answered, {id}, Answer::rejected);
     return ledger.count(Rule::lost);
   };
   CHECK(answeredAfter(1, Time(1s), Time(2s) + 50ms) == 0);
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -15,7 +15,7 @@
   void answerOk(SlotRef, std::string_view body, std::string_view) override {
     answers.push_back("ok " + std::string(body));
   }
-  void answerPushedBack(SlotRef, Span) override { answers.emplace_back("pushed back"); }
+  void answerRejected(SlotRef, Span) override { answers.emplace_back("rejected"); }
   void answerAborted(SlotRef) override { answers.emplace_back("aborted"); }
   std::variant<SlotRef, Outcome> startAttempt(RequestId requestId, AttemptNumber no, SlotRef, HostId host,
                                               Until until) override {
@@ -140,7 +140,7 @@
   core.ways.atOnce = Outcome::noConnection;
   core.ask(3);  // non-idempotent, but none of its attempts ran
   CHECK(core.ways.calls.size() == 2);
-  CHECK(core.ways.answers == std::vector<std::string>{"pushed back"});
+  CHECK(core.ways.answers == std::vector<std::string>{"rejected"});
   CHECK(core.front.unanswered() == 0);
 }
 
@@ -291,7 +291,7 @@
 
 TEST_CASE("a request of a deduplicated method without its mark is repeated only where it never ran") {
   const bool marked = GENERATE(true, false);
-  const Outcome first = GENERATE(Outcome::error, Outcome::lost, Outcome::noConnection, Outcome::turnedAway);
+  const Outcome first = GENERATE(Outcome::error, Outcome::lost, Outcome::noConnection, Outcome::rejected);
   Core core(4);
   const RequestId requestId =
       core.front.requestArrived(core.now, {0, 1}, {{}, {1}, {1}, {1}, core.now + 1s, 1, 1, marked});
@@ -299,7 +299,8 @@
   core.front.attemptEnded(core.now, requestId, {0}, first);
   const bool ran = first == Outcome::error || first == Outcome::lost;
   CHECK(core.ways.calls.size() == (ran && !marked ? 1 : 2));
-  if (ran && !marked) CHECK(core.ways.answers == std::vector<std::string>{"aborted"});  // no pushback, either
+  if (ran && !marked)
+    CHECK(core.ways.answers == std::vector<std::string>{"aborted"});  // no rejection, either
 }
 
 TEST_CASE("a client leaves: what is not written yet is given up, what is on its way is left") {
@@ -344,7 +345,7 @@
   core.ask(3);
   core.ways.dialling.insert(1);
   core.pass(1s);
-  CHECK(core.ways.answers == std::vector<std::string>{"pushed back"});
+  CHECK(core.ways.answers == std::vector<std::string>{"rejected"});
 }
 
 TEST_CASE("no attempt begins for a client that is there no more: no first one, no retry, no hedge") {
@@ -363,7 +364,7 @@
   if (kind == Kind::first) core.ways.there = stays;
   const RequestId requestId = core.ask(0);
   core.ways.there = stays;
-  if (kind == Kind::retry) core.front.attemptEnded(core.now, requestId, {0}, Outcome::turnedAway);
+  if (kind == Kind::retry) core.front.attemptEnded(core.now, requestId, {0}, Outcome::rejected);
   for (int n = 0; kind == Kind::hedge && n < 30; ++n) core.pass(10ms);
   const std::size_t begun = core.ways.calls.size() - before;
   const std::size_t whileThere = kind == Kind::first ? 0 : 1;
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -68,7 +68,7 @@
 }
 
 TEST_CASE("outcomes go by the protocol's table") {
-  // A non-idempotent request may be pushed back only where it is certain that it never ran.
+  // A non-idempotent request may be rejected only where it is certain that it never ran.
   const auto [answer, ends, status] = GENERATE(table<std::string, bool, std::string>({
       {"HTTP/1.1 503 x\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", false, "429"},
       {"HTTP/1.1 504 x\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", false, "429"},
@@ -539,7 +539,7 @@
   CHECK(d.until([&] { return d.discovery.accept(again); }));
 }
 
-TEST_CASE("where watches are turned away, whole lists are asked for, ever more seldom, then a watch again") {
+TEST_CASE("where watches are rejected, whole lists are asked for, ever more seldom, then a watch again") {
   Doorstep d;
   std::vector<std::string> asked;
   int waits = 0;
--- a/tests/standins/reality.cpp
+++ b/tests/standins/reality.cpp
@@ -250,7 +250,7 @@
     if (way->message.keepsAlive()) rest_[g].push_back(way);
     if (status == 200) return end(w, true);
     const bool pushed = status == 429 || status == 503;
-    pushed ? ++tally.pushedBack : ++tally.aborted;
+    pushed ? ++tally.rejected : ++tally.aborted;
     again(w, pushed || mayAskAgain(*w), advice);
   }
   void broken(const std::shared_ptr<Wish>& w, const std::shared_ptr<Way>& way) {
@@ -350,8 +350,7 @@
     hold("in_time", part(emulated.inTime, emulated.asked), part(real.inTime, real.asked), kPartMay);
     hold("late", part(emulated.late, emulated.asked), part(real.late, real.asked), kPartMay);
     hold("failed", part(emulated.failed, emulated.asked), part(real.failed, real.asked), kPartMay);
-    hold("pushed_back", part(emulated.pushedBack, emulated.tries), part(real.pushedBack, real.tries),
-         kPartMay);
+    hold("pushed_back", part(emulated.rejected, emulated.tries), part(real.rejected, real.tries), kPartMay);
     const double tries = part(emulated.tries, emulated.asked),
                  calls = part(emulated.attempts, emulated.tries);
     hold("tries", tries, part(real.tries, real.asked), kRatioMay * tries);
--- a/tests/watch_bound_test.cpp
+++ b/tests/watch_bound_test.cpp
@@ -6,7 +6,7 @@
 using namespace merlinbridge::testing;
 
 // However the watch was left when discovery can be reached again, a change is known within 6 s by the
-// gateway's clock, though two more asks are turned away or one more hangs first. The sum of its parts stands
+// gateway's clock, though two more asks are rejected or one more hangs first. The sum of its parts stands
 // in docs/crossings.md.
 namespace {
 
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -62,7 +62,7 @@
     Request asked;
     std::uint32_t gateway = 0;
     int finals = 0, outNow = 0;
-    bool counted = false, served = false, pushedBack = false;
+    bool counted = false, served = false, rejected = false;
     Time cameAt{}, endedAt{};
     std::vector<std::pair<HostId, Time>> mayHaveRun;
     std::map<std::uint32_t, HostId> out;
@@ -201,11 +201,11 @@
     const Method& m = methodOf(t);
     if (++t.finals > 1) blame("two final answers");
     t.endedAt = now;
-    t.pushedBack = push;
+    t.rejected = push;
     const bool mayRun = !t.mayHaveRun.empty() || t.outNow > 0;
     if (push && mayRun &&
         (m.repeat == Repeat::nonIdempotent || (m.repeat == Repeat::deduplicated && m.group != Group::all)))
-      blame("a pushback though it may have run");
+      blame("a rejection though it may have run");
   }
 
   void end(std::uint32_t g, std::uint64_t life, RequestId requestId, std::uint32_t no, HostId host,
@@ -214,7 +214,7 @@
     if (t.out.contains(no)) --hosts[host.value].out;
     if (!nodes_[g].gateway || nodes_[g].out->life != life || !t.out.erase(no)) return;
     --t.outNow;
-    const bool proven = outcome == Outcome::turnedAway || outcome == Outcome::noConnection;
+    const bool proven = outcome == Outcome::rejected || outcome == Outcome::noConnection;
     if (!proven) t.mayHaveRun.emplace_back(host, now - took);
     if (outcome == Outcome::ok && t.finals == 0) ++t.finals, t.served = true, t.endedAt = now;
     nodes_[g].gateway->attemptEnded(now, {requestId,
@@ -241,7 +241,7 @@
       if (at.unreachable)
         outcome = Outcome::noConnection, took = 1ms;
       else if (at.refusesPlan == t.asked.plan.value || w.chance(w.chances.refused))
-        outcome = Outcome::turnedAway, took = 2ms;
+        outcome = Outcome::rejected, took = 2ms;
       else if (w.chance(w.chances.lost))
         outcome = w.chance(0.5) ? Outcome::lost : Outcome::noConnection;
       else if (at.failsMethod == t.asked.method.value || w.chance(w.chances.error))
@@ -260,7 +260,7 @@
         world.end(gw, l, requestId, no.value, host, Outcome::cancelled, 1ms);
       });
     }
-    void pushBack(RequestId requestId, Span) override { w.judgeFinal(w.tries[requestId.value], true); }
+    void reject(RequestId requestId, Span) override { w.judgeFinal(w.tries[requestId.value], true); }
     void abort(RequestId requestId) override { w.judgeFinal(w.tries[requestId.value], false); }
     void addToCount(const CountName& name, double units, Span) override {
       ++w.countCalls;
