--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -69,7 +69,7 @@
   void answerRejected(SlotRef requestId, Span comeBackAfter) override {
     write(R"({{"sayNo":{{"i":{},"id":"{:016x}","holdOff":{}}}}})", requestId.packed(), micros(comeBackAfter));
   }
-  void answerAborted(SlotRef requestId) override {
+  void answerFailed(SlotRef requestId) override {
     write(R"({{"giveUp":{{"i":{},"id":"{:016x}"}}}})", requestId.packed());
   }
   std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef requestId, HostId host,
--- a/src/brain.cpp
+++ b/src/brain.cpp
@@ -692,7 +692,7 @@
         (repeat == Repeat::deduplicated && m.group == Group::all))
       advise(requestId.asked.requestId, 0);
     else
-      port.abort(requestId.asked.requestId);
+      port.fail(requestId.asked.requestId);
   }
 
   // Guards against answers that never come, whatever swallows them. A second copy where two may be out; else
--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -22,7 +22,7 @@
   virtual void startAttempt(RequestId, HostId, Until) = 0;
   virtual void cancel(RequestId, AttemptNumber) = 0;
   virtual void reject(RequestId, Span comeBackAfter) = 0;  // final; 0 gives no advice
-  virtual void abort(RequestId) = 0;                       // final
+  virtual void fail(RequestId) = 0;                        // final
   virtual void addToCount(const CountName&, double units, Span keptFor) = 0;
   virtual void wakeAt(Time, TimerId) = 0;
   virtual void probe(HostId) = 0;
--- a/src/emulator/doorman.cpp
+++ b/src/emulator/doorman.cpp
@@ -90,7 +90,7 @@
     if (outcome == Outcome::ok) return ways_.answerOk(held.client, said.body, said.type);
     if (held.idempotent || outcome == Outcome::rejected || outcome == Outcome::noConnection)
       return ways_.answerRejected(held.client, Span{0});
-    ways_.answerAborted(held.client);
+    ways_.answerFailed(held.client);
   }
   void counted(Time, const CountName&, CountEnd, double, Span) override {}
   void hostsTold(Time, const orders::Roster& roster) override {
@@ -130,7 +130,7 @@
     const Held held = at->second;
     drop(requestId);
     ways_.giveUp(held.client, {0}, held.link);
-    if (answer) ways_.answerAborted(held.client);
+    if (answer) ways_.answerFailed(held.client);
   }
 
   front::Deadlines& deadlines_;
--- a/src/emulator/ledger.hpp
+++ b/src/emulator/ledger.hpp
@@ -20,7 +20,7 @@
 inline constexpr std::size_t kRules = 5;
 std::string_view wordOf(Rule);
 
-enum class Answer { ok, rejected, aborted };
+enum class Answer { ok, rejected, failed };
 
 struct Breach {
   Time at;
--- a/src/emulator/tally.hpp
+++ b/src/emulator/tally.hpp
@@ -38,7 +38,7 @@
 struct Tally {
   std::uint64_t asked = 0, inTime = 0, late = 0, failed = 0,
                 left = 0;  // what clients wanted, all tries of it
-  std::uint64_t tries = 0, rejected = 0, aborted = 0, unreached = 0;
+  std::uint64_t tries = 0, rejected = 0, failedAnswers = 0, unreached = 0;
   std::uint64_t attempts = 0, further = 0, connects = 0, countCalls = 0, listLines = 0, hostsFallen = 0;
   double worthAsked = 0, worth = 0, unitsSent = 0, unitsBeyond = 0, worstWindow = 0;
   double nearestCold = 0;  // of what a cold host may be sent, the nearest that one came to it
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -104,7 +104,7 @@
 
   void answerOk(SlotRef client, std::string_view, std::string_view) override;
   void answerRejected(SlotRef client, Span comeBackAfter) override;
-  void answerAborted(SlotRef client) override;
+  void answerFailed(SlotRef client) override;
   std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
                                               Until) override;
   bool giveUp(SlotRef client, AttemptNumber, SlotRef link) override;
@@ -328,7 +328,7 @@
     if (!wish) return tries.drop(ref);
     print(10 + static_cast<std::uint64_t>(how));
     if (how != Answer::ok) {
-      how == Answer::rejected ? void((++tally.rejected, ++second().rejected)) : void(++tally.aborted);
+      how == Answer::rejected ? void((++tally.rejected, ++second().rejected)) : void(++tally.failedAnswers);
       return again(ref, how == Answer::rejected || mayAskAgain(*wish), advice);
     }
     const Time now = agenda.now();
@@ -942,11 +942,11 @@
   });
 }
 
-void Node::answerAborted(SlotRef client) {
+void Node::answerFailed(SlotRef client) {
   const Try* const t = w.tries.find(client);
   if (!t) return;
-  w.ledger.answered(w.agenda.now(), t->id, Answer::aborted);
-  w.agenda.after(w.delay(), [&world = w, client] { world.answerCame(client, Answer::aborted, Span{0}); });
+  w.ledger.answered(w.agenda.now(), t->id, Answer::failed);
+  w.agenda.after(w.delay(), [&world = w, client] { world.answerCame(client, Answer::failed, Span{0}); });
 }
 
 std::variant<SlotRef, Outcome> Node::startAttempt(RequestId requestId, AttemptNumber attemptNumber,
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -223,8 +223,8 @@
   if (const PendingRequest* const row = owed(requestId)) ways_.answerRejected(row->client, comeBackAfter);
 }
 
-void Front::abort(RequestId requestId) {
-  if (const PendingRequest* const row = owed(requestId)) ways_.answerAborted(row->client);
+void Front::fail(RequestId requestId) {
+  if (const PendingRequest* const row = owed(requestId)) ways_.answerFailed(row->client);
 }
 
 void Front::addToCount(const CountName& name, double units, Span keptFor) {
@@ -248,12 +248,12 @@
 }
 
 // The request's time is up: what is out is given up, and the module answers; a request that it holds all the
-// same is aborted here, so that none is lost.
+// same is failed here, so that none is lost.
 void Front::expire(Time now, RequestId requestId) {
   for (std::uint32_t no = 0; keepsTime_ && find(requestId) && no < find(requestId)->attempts.size(); ++no)
     abandonAttempt(now, requestId, {no}, Outcome::noAnswer);
   if (const PendingRequest* const row = owed(requestId)) {
-    ways_.answerAborted(row->client);
+    ways_.answerFailed(row->client);
     gateway_.clientLeft(now, requestId);
   }
   settle(now, requestId);
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -20,7 +20,7 @@
   virtual ~Ways() = default;
   virtual void answerOk(SlotRef client, std::string_view body, std::string_view type) = 0;
   virtual void answerRejected(SlotRef client, Span comeBackAfter) = 0;
-  virtual void answerAborted(SlotRef client) = 0;
+  virtual void answerFailed(SlotRef client) = 0;
   // Either the link that carries it, or the outcome that it had at once.
   virtual std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
                                                       Until) = 0;
@@ -91,7 +91,7 @@
   void startAttempt(RequestId, HostId, Until) override;
   void cancel(RequestId, AttemptNumber) override;
   void reject(RequestId, Span comeBackAfter) override;
-  void abort(RequestId) override;
+  void fail(RequestId) override;
   void addToCount(const CountName&, double units, Span keptFor) override;
   void wakeAt(Time, TimerId) override;
   void probe(HostId) override;
--- a/src/net/gate.cpp
+++ b/src/net/gate.cpp
@@ -71,7 +71,7 @@
   client->answer(429, fmt::format(FMT_COMPILE("Retry-After: {:.3f}\r\n"), seconds(comeBackAfter)), "");
 }
 
-void Gate::answerAborted(SlotRef ref) {
+void Gate::answerFailed(SlotRef ref) {
   if (Client* const client = loop_.find<Client>(ref)) client->answer(502, "", "");
 }
 
--- a/src/net/gate.hpp
+++ b/src/net/gate.hpp
@@ -30,7 +30,7 @@
  private:
   void answerOk(SlotRef client, std::string_view body, std::string_view type) override;
   void answerRejected(SlotRef client, Span comeBackAfter) override;
-  void answerAborted(SlotRef client) override;
+  void answerFailed(SlotRef client) override;
   std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
                                               Until) override;
   bool giveUp(SlotRef, AttemptNumber, SlotRef link) override { return hosts_.giveUp(link), true; }
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -85,7 +85,7 @@
       const Held held = at->second;
       requests_.erase(at);
       ways_.giveUp(held.client, {held.no}, held.link);
-      ways_.answerAborted(held.client);
+      ways_.answerFailed(held.client);
     });
   }
   void clientLeft(Time, SlotRef) override {}
@@ -98,7 +98,7 @@
       const SlotRef client = held.client;
       requests_.erase(at);
       ways_.answerOk(client, said.body, said.type);
-      if (rule_ == Rule::lost && last_ % 7 == 0) ways_.answerAborted(client);  // and once more
+      if (rule_ == Rule::lost && last_ % 7 == 0) ways_.answerFailed(client);  // and once more
       return;
     }
     if (rule_ == Rule::twice && held.no == 0) {  // whatever the method
@@ -109,7 +109,7 @@
     }
     const SlotRef client = held.client;
     requests_.erase(at);
-    outcome == Outcome::rejected ? ways_.answerRejected(client, Span{0}) : ways_.answerAborted(client);
+    outcome == Outcome::rejected ? ways_.answerRejected(client, Span{0}) : ways_.answerFailed(client);
   }
   void counted(Time, const CountName&, CountEnd, double, Span) override {}
   void hostsTold(Time, const orders::Roster& roster) override {
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -16,7 +16,7 @@
     answers.push_back("ok " + std::string(body));
   }
   void answerRejected(SlotRef, Span) override { answers.emplace_back("rejected"); }
-  void answerAborted(SlotRef) override { answers.emplace_back("aborted"); }
+  void answerFailed(SlotRef) override { answers.emplace_back("failed"); }
   std::variant<SlotRef, Outcome> startAttempt(RequestId requestId, AttemptNumber no, SlotRef, HostId host,
                                               Until until) override {
     calls.push_back({requestId, no, host, until});
@@ -105,7 +105,7 @@
   core.pass(983ms);
   CHECK(core.ways.answers.empty());
   core.pass(1ms);  // the slack before the deadline
-  CHECK(core.ways.answers == std::vector<std::string>{"aborted"});
+  CHECK(core.ways.answers == std::vector<std::string>{"failed"});
   CHECK(core.ways.givenUp == std::vector<std::uint32_t>{1});
 }
 
@@ -115,7 +115,7 @@
   core.pass(100ms);  // it came 100 ms late
   core.ask(3);
   core.pass(885ms);
-  CHECK(core.ways.answers == std::vector<std::string>{"aborted"});
+  CHECK(core.ways.answers == std::vector<std::string>{"failed"});
 }
 
 TEST_CASE("a stall of the loop that has not ended yet comes off it too") {
@@ -124,7 +124,7 @@
   core.now += 510ms;  // the request may have waited as long
   core.ask(3);
   core.pass(485ms);
-  CHECK(core.ways.answers == std::vector<std::string>{"aborted"});
+  CHECK(core.ways.answers == std::vector<std::string>{"failed"});
 }
 
 TEST_CASE("a host that has started again loses the connections that rest towards it") {
@@ -228,7 +228,7 @@
   core.pass(700ms);
   CHECK(core.ways.answers.size() == 1);
   core.pass(300ms);
-  CHECK(core.ways.answers == std::vector<std::string>{"aborted", "aborted", "aborted"});
+  CHECK(core.ways.answers == std::vector<std::string>{"failed", "failed", "failed"});
   CHECK(core.front.unanswered() == 0);
 }
 
@@ -299,8 +299,7 @@
   core.front.attemptEnded(core.now, requestId, {0}, first);
   const bool ran = first == Outcome::error || first == Outcome::lost;
   CHECK(core.ways.calls.size() == (ran && !marked ? 1 : 2));
-  if (ran && !marked)
-    CHECK(core.ways.answers == std::vector<std::string>{"aborted"});  // no rejection, either
+  if (ran && !marked) CHECK(core.ways.answers == std::vector<std::string>{"failed"});  // no rejection, either
 }
 
 TEST_CASE("a client leaves: what is not written yet is given up, what is on its way is left") {
--- a/tests/standins/reality.cpp
+++ b/tests/standins/reality.cpp
@@ -250,7 +250,7 @@
     if (way->message.keepsAlive()) rest_[g].push_back(way);
     if (status == 200) return end(w, true);
     const bool pushed = status == 429 || status == 503;
-    pushed ? ++tally.rejected : ++tally.aborted;
+    pushed ? ++tally.rejected : ++tally.failedAnswers;
     again(w, pushed || mayAskAgain(*w), advice);
   }
   void broken(const std::shared_ptr<Wish>& w, const std::shared_ptr<Way>& way) {
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -261,7 +261,7 @@
       });
     }
     void reject(RequestId requestId, Span) override { w.judgeFinal(w.tries[requestId.value], true); }
-    void abort(RequestId requestId) override { w.judgeFinal(w.tries[requestId.value], false); }
+    void fail(RequestId requestId) override { w.judgeFinal(w.tries[requestId.value], false); }
     void addToCount(const CountName& name, double units, Span) override {
       ++w.countCalls;
       const bool slow = w.chance(w.chances.countSlow), gone = w.chance(w.chances.countLost);
