--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -13,7 +13,7 @@
 
 #include "front/front.hpp"
 #include "orders/fields.hpp"
-#include "orders/terms_reader.hpp"
+#include "orders/policy_settings_reader.hpp"
 
 namespace merlinbridge::benchlink {
 namespace {
--- a/src/brain.cpp
+++ b/src/brain.cpp
@@ -42,7 +42,7 @@
 constexpr double kColdLeast = 1.5;   // requests in that time, of all gateways, whatever has been seen
 constexpr double kCarriedSpan = 20;  // seconds over which it is counted what warm hosts carry
 constexpr double kSitOut = 4.0,
-                 kSitOutMost = 32.0;    // connect patiences a failed host sits out; most times that
+                 kSitOutMost = 32.0;    // connect timeouts a failed host sits out; most times that
 constexpr double kFullest = 2.0;        // times full, the most that one report counts for
 constexpr double kSilentHost = 5.0;     // usual latencies without a word from a host that owes one
 constexpr double kTakeBack = 2.0;       // as long without a word until what it owes is taken back
@@ -120,7 +120,7 @@
 }  // namespace
 
 struct Gateway::Mind {
-  const Terms terms;
+  const PolicySettings settings;
   Port& port;
   std::ranlux24_base chance;
   const Time born;
@@ -133,7 +133,7 @@
   std::uint64_t lastTimer = 0;
   // Rounds that are due wait for a call; calls in one patience, in hand now, and when they were cut last.
   std::deque<Book*> due;
-  double calls = kCallsFirst / terms.gateways, callsInHand = 1;
+  double calls = kCallsFirst / settings.gateways, callsInHand = 1;
   Time callsAt = born, callsCut{}, lastGood = born;
   int failedInRow = 0;
   bool pumping = false, sweeping = false;
@@ -159,8 +159,8 @@
   double further = kFurtherStore;          // attempts for overdue ones that may be made now
   std::deque<std::pair<std::uint64_t, std::size_t>> inOrder;  // attempts as they went out
 
-  Mind(Terms t, std::uint64_t seed, Time at, Port& p)
-      : terms(std::move(t)), port(p), chance(static_cast<std::uint32_t>(seed)), born(at) {}
+  Mind(PolicySettings t, std::uint64_t seed, Time at, Port& p)
+      : settings(std::move(t)), port(p), chance(static_cast<std::uint32_t>(seed)), born(at) {}
 
   // Staff are told when it begins and ends, at most once a slot.
   struct Told {
@@ -191,7 +191,7 @@
       const auto grow = [n = h + 1](auto&... arrays) { (arrays.resize(n), ...); };
       grow(serving, newcomer, zone, cell, started, latency, credit, out, unreached, benchedUntil, heard,
            coldParts, answeredAt, kinds);
-      for (auto& tried : kinds) tried.resize(terms.methods.size() + terms.plans.size());
+      for (auto& tried : kinds) tried.resize(settings.methods.size() + settings.plans.size());
     }
     if (line.started != started[h] || !serving[h]) {  // new or back: nothing seen of it holds any more
       std::fill(kinds[h].begin(), kinds[h].end(), Tried{});
@@ -203,9 +203,9 @@
 
   // The least share of its capacity that a host has by now.
   double warmth(std::size_t h) const {
-    if (!started[h] || terms.coldSpan <= Span{0}) return 1;
-    const double ramp = std::clamp(seconds(now - *started[h]) / seconds(terms.coldSpan), 0.0, 1.0);
-    return terms.coldShare + (1 - terms.coldShare) * ramp;
+    if (!started[h] || settings.slowStartTime <= Span{0}) return 1;
+    const double ramp = std::clamp(seconds(now - *started[h]) / seconds(settings.slowStartTime), 0.0, 1.0);
+    return settings.startCapacity + (1 - settings.startCapacity) * ramp;
   }
 
   // Guards against pushing over a cold host by the sum of all gateways, under uneven traffic and bursts: each
@@ -218,11 +218,11 @@
     if (now >= part.ends) {
       const double span =
           kCarriedSpan * (1 - std::exp(-std::max(seconds(now - born), kHostSpan) / kCarriedSpan));
-      const double rate = terms.tipMultiple * warmth(h) * carried.read(now, kCarriedSpan) / span;
-      const double least = kColdLeast * usualUnits / terms.gateways;
+      const double rate = settings.overloadMultiple * warmth(h) * carried.read(now, kCarriedSpan) / span;
+      const double least = kColdLeast * usualUnits / settings.gateways;
       part.left = std::min(part.left, 0.0) +
-                  std::max(least, kColdSafety * rate * seconds(terms.tipSpan)) / kColdParts;
-      part.ends = now + scaled(terms.tipSpan, 1 / kColdParts);
+                  std::max(least, kColdSafety * rate * seconds(settings.overloadWindow)) / kColdParts;
+      part.ends = now + scaled(settings.overloadWindow, 1 / kColdParts);
     }
     if (part.left < units)
       part.left = part.left > 0 && lucky(part.left / units) ? units : std::min(part.left, 0.0);
@@ -239,7 +239,7 @@
   // a host seen seldom for one chance error.
   double trust(std::size_t h, const Request& a) const {
     double share = 1;
-    for (const std::size_t kind : {std::size_t{a.method.value}, terms.methods.size() + a.plan.value}) {
+    for (const std::size_t kind : {std::size_t{a.method.value}, settings.methods.size() + a.plan.value}) {
       const Tried& tried = kinds[h][kind];
       if (tried.badly.sum <= 0) continue;
       const double well = tried.well.read(now, kTriedSpan) + kDoubt;
@@ -257,14 +257,14 @@
   // in the time that an answer may wait. Hurts a host that was asked little: more comes to it by and by.
   double roomOf(std::size_t h, const Method& m) const {
     const double rate = answeredAt[h].read(now, kHostSpan) / kHostSpan;
-    return std::max(kLeastRoom / terms.gateways, rate * kHostWait * seconds(m.softDeadline)) +
-           kSpare / terms.gateways;
+    return std::max(kLeastRoom / settings.gateways, rate * kHostWait * seconds(m.softDeadline)) +
+           kSpare / settings.gateways;
   }
 
   // The weighted rotation over the hosts that may be asked. Bent only to pass over those that sit out,
   // that are mute, or that have no room.
   std::optional<std::size_t> pick(const PendingRequest& requestId) {
-    const Method& method = terms.methods[requestId.asked.method.value];
+    const Method& method = settings.methods[requestId.asked.method.value];
     able.clear();
     double total = 0;
     warmHosts = 0;
@@ -296,7 +296,7 @@
 
   // Guards against a repeat that no host can know for one: without its mark a deduplicated request has none.
   Repeat repeatOf(const PendingRequest& requestId) const {
-    const Repeat repeat = terms.methods[requestId.asked.method.value].repeat;
+    const Repeat repeat = settings.methods[requestId.asked.method.value].repeat;
     return repeat == Repeat::deduplicated && !requestId.asked.marked ? Repeat::nonIdempotent : repeat;
   }
 
@@ -314,7 +314,7 @@
 
   // Guards against a repeat that is dialling, or waits to be written, while the hosts forget the first.
   Time windowEnd(const PendingRequest& requestId) const {
-    const Method& m = terms.methods[requestId.asked.method.value];
+    const Method& m = settings.methods[requestId.asked.method.value];
     Time end = Time::max();
     for (const Attempt& c : requestId.attempts)
       if (repeatOf(requestId) == Repeat::deduplicated && (c.out || c.ran) && &c != &requestId.attempts.back())
@@ -342,7 +342,7 @@
     };
     if (ok || end.outcome == Outcome::error || end.outcome == Outcome::noAnswer)
       tried(requestId.asked.method.value, !ok);
-    if (ok || full) tried(terms.methods.size() + requestId.asked.plan.value, full);
+    if (ok || full) tried(settings.methods.size() + requestId.asked.plan.value, full);
     if (end.outcome != Outcome::noAnswer && end.outcome != Outcome::noConnection) heard[h] = now;
     if (end.outcome == Outcome::ok) {
       sawLatency(h, seconds(end.took), heardBefore);
@@ -355,7 +355,7 @@
     } else if (end.outcome == Outcome::noConnection || end.outcome == Outcome::lost) {
       // Guards against gone hosts that are still listed, each found out anew by every gateway, over and over.
       const double times = std::min(kSitOutMost, std::exp2(unreached[h]++)) * (0.5 + drawn());
-      sitOut(h, scaled(terms.connectPatience, kSitOut * times));
+      sitOut(h, scaled(settings.connectTimeout, kSitOut * times));
     }
   }
   void sitOut(std::size_t h, Span span) { benchedUntil[h] = std::max(benchedUntil[h], now + span); }
@@ -364,28 +364,28 @@
   // against a jam that each gateway must find out: a host that queues more than it answers in a soft deadline
   // sits out until that is done and its rate has this gateway's turn. Hurts one that is well again at once.
   void sawReport(std::size_t h, const LoadReport& load, MethodId method) {
-    const double soft = seconds(terms.methods[method.value].softDeadline);
+    const double soft = seconds(settings.methods[method.value].softDeadline);
     const double held = std::max(0.0, *load.held), rate = std::max(1e-3, *load.perSecond);
     reports.add(now, kHostSpan, 1);
     reportedFull.add(now, kHostSpan, std::min(kFullest, held / (rate * kHostWait * soft + kSpare)));
     if (load.queued.value_or(0) > 0 && held > rate * soft)
-      sitOut(h, spanOf(std::min(kKept * seconds(kSlot), std::max(held, double(terms.gateways)) / rate)));
+      sitOut(h, spanOf(std::min(kKept * seconds(kSlot), std::max(held, double(settings.gateways)) / rate)));
   }
 
   // ---- the customer's bucket ----
 
   double inSlot(SlotId slot) const { return seconds(now.time_since_epoch() - slot.value * kSlot); }
   SlotId slotNow() const { return {now.time_since_epoch() / kSlot}; }
-  Span round() const { return scaled(terms.counterPatience, kRound); }
+  Span round() const { return scaled(settings.counterTimeout, kRound); }
   double part(const Book& b) const { return b.known && !b.silent ? 1 : 1 / b.gateways; }
 
   Book& bookOf(const Request& a) {
     auto [at, isNew] = books.try_emplace(a.customer);
     Book& b = at->second;
     if (isNew) {
-      b.plan = &terms.plans[a.plan.value];
+      b.plan = &settings.plans[a.plan.value];
       b.customer = a.customer;
-      b.gateways = std::clamp(a.gateways, 1u, std::max(1u, terms.gateways));
+      b.gateways = std::clamp(a.gateways, 1u, std::max(1u, settings.gateways));
       b.level = b.plan->burst / b.gateways;
       b.levelAt = b.roundAt = now;
       // Guards against a second ceiling after a restart: what an earlier life has sent is not known, so the
@@ -415,7 +415,7 @@
                  others = std::min(p.rate * (1 - slice(b)), kForesee * b.othersRate);
     const double taken = part(b) < 1 ? 0 : others * span;
     // For the same reason the part of the bucket holds the largest request, though it fills no faster for it.
-    const double most = std::max(p.burst * part(b), std::min(p.burst, terms.mostUnits));
+    const double most = std::max(p.burst * part(b), std::min(p.burst, settings.maxUnits));
     b.level = std::min(most, b.level + p.rate * part(b) * span - taken);
     b.grant = std::min(p.burst * slice(b), b.grant + p.rate * slice(b) * span);
     b.foreseen += taken;
@@ -469,7 +469,7 @@
   // ---- rounds on the counter ----
 
   void keepRounds(Book& b) {
-    if (!terms.counter || (b.plan->rate <= 0 && !sharesOpen(b))) return;
+    if (!settings.counter || (b.plan->rate <= 0 && !sharesOpen(b))) return;
     b.busy = true;
     if (b.asking || b.waiting) return;
     b.waiting = true;
@@ -481,7 +481,7 @@
   // Guards against a crowded, slow or silent counter: calls are paced by how it answers, rounds wait their
   // turn. Hurts for a moment when the counter is back, until the pace has grown again.
   void pump() {
-    const double patience = std::max(1e-3, seconds(terms.counterPatience));
+    const double patience = std::max(1e-3, seconds(settings.counterTimeout));
     callsInHand = std::min(std::max(1.0, calls), callsInHand + calls * seconds(now - callsAt) / patience);
     callsAt = now;
     while (!due.empty() && callsInHand >= 1) {
@@ -502,11 +502,11 @@
     if (end == CountEnd::ok) lastGood = now;
     tell(silence, counterSilent());
     const double wait =
-        end == CountEnd::ok ? seconds(took) / std::max(1e-3, seconds(terms.counterPatience)) : 1;
-    if (wait < kQuick || (wait < kLate && calls < 1.0 / terms.gateways)) {
-      calls = std::min(calls + kCallsGain * std::min(1.0, calls), kCallsMost / terms.gateways);
-    } else if (wait >= kLate && now >= callsCut + terms.counterPatience) {
-      calls = std::max(calls * kCallsCut, kCallsLeast / terms.gateways);
+        end == CountEnd::ok ? seconds(took) / std::max(1e-3, seconds(settings.counterTimeout)) : 1;
+    if (wait < kQuick || (wait < kLate && calls < 1.0 / settings.gateways)) {
+      calls = std::min(calls + kCallsGain * std::min(1.0, calls), kCallsMost / settings.gateways);
+    } else if (wait >= kLate && now >= callsCut + settings.counterTimeout) {
+      calls = std::max(calls * kCallsCut, kCallsLeast / settings.gateways);
       callsCut = now;
     }
   }
@@ -557,7 +557,7 @@
     if (total < b.ownInSlot - 1e-3) b.ownInSlot = units, b.othersInSlot = 0;  // the count was lost meanwhile
     const double others = std::max(0.0, total - b.ownInSlot), fresh = std::max(0.0, others - b.othersInSlot);
     b.othersInSlot = others;
-    b.level = std::clamp(b.level + b.foreseen - fresh, -terms.mostUnits, b.plan->burst);
+    b.level = std::clamp(b.level + b.foreseen - fresh, -settings.maxUnits, b.plan->burst);
     b.foreseen = 0, b.othersUse += fresh;
   }
 
@@ -594,24 +594,24 @@
   // How much of the hosts' room is taken. What hosts tell of their load comes late, what is out here may be a
   // handful: where there are both, half of each. Guards against jams at more gateways than one can see.
   double pressure(const Method& m) const {
-    const double wait = kHostWait * seconds(m.softDeadline), hosts = servingHosts / double(terms.gateways);
+    const double wait = kHostWait * seconds(m.softDeadline), hosts = servingHosts / double(settings.gateways);
     const auto lately = [this](const Recent& of) { return of.read(now, kHostSpan); };
     const double room = std::max(kLeastRoom * hosts, lately(answered) / kHostSpan * wait) + kSpare * hosts;
-    const double whole = places.empty() ? room : std::min(room, places[&m - terms.methods.data()]);
+    const double whole = places.empty() ? room : std::min(room, places[&m - settings.methods.data()]);
     const double own = whole > 0 ? outTotal / whole : 0, n = lately(reports);
     return n < 1 ? own : (own + 2 * lately(reportedFull) / n) / 3;
   }
 
   double standing(const Request& a) const {
     double most = 0;
-    for (const Method& m : terms.methods)
-      for (const Plan& p : terms.plans) most = std::max(most, m.utility * p.price);
-    const double mine = terms.methods[a.method.value].utility * terms.plans[a.plan.value].price;
+    for (const Method& m : settings.methods)
+      for (const Plan& p : settings.plans) most = std::max(most, m.utility * p.price);
+    const double mine = settings.methods[a.method.value].utility * settings.plans[a.plan.value].price;
     return most > 0 ? mine / most : 1;
   }
 
   void arrive(const Request& a) {
-    const Method& method = terms.methods[a.method.value];
+    const Method& method = settings.methods[a.method.value];
     Book& b = bookOf(a);
     refill(b);
     keepRounds(b);
@@ -637,8 +637,9 @@
   }
 
   void advise(RequestId requestId, double wait) {
-    port.reject(requestId,
-                terms.mayAdvise ? std::clamp(spanOf(wait), Span{0}, terms.longestAdvice) : Span{0});
+    port.reject(requestId, settings.allowRetryAfter
+                               ? std::clamp(spanOf(wait), Span{0}, settings.maxRetryAfter)
+                               : Span{0});
   }
 
   bool send(PendingRequest& requestId) {
@@ -679,13 +680,13 @@
   }
 
   bool mayGoOn(const PendingRequest& requestId) const {
-    const Method& m = terms.methods[requestId.asked.method.value];
-    return further >= 1 && requestId.attempts.size() < terms.maxAttempts &&
+    const Method& m = settings.methods[requestId.asked.method.value];
+    return further >= 1 && requestId.attempts.size() < settings.maxAttempts &&
            now < std::min(requestId.came + m.softDeadline, requestId.asked.deadline);
   }
 
   void finish(PendingRequest& requestId) {
-    const Method& m = terms.methods[requestId.asked.method.value];
+    const Method& m = settings.methods[requestId.asked.method.value];
     requestId.done = true;
     const Repeat repeat = repeatOf(requestId);
     if (repeat == Repeat::idempotent || !requestId.mayHaveRun() ||
@@ -701,9 +702,9 @@
   void overdue(PendingRequest& requestId, std::size_t no) {
     sawLatency(requestId.attempts[no].host.value, seconds(now - requestId.attempts[no].sentAt));
     if (requestId.done || repeatOf(requestId) == Repeat::nonIdempotent || !mayGoOn(requestId)) return;
-    if (terms.mayCopy)
+    if (settings.allowHedging)
       send(requestId);
-    else if (terms.mayCancel)
+    else if (settings.allowCancel)
       port.cancel(requestId.asked.requestId, {static_cast<std::uint32_t>(no)});
   }
 
@@ -728,10 +729,10 @@
       else
         inOrder.emplace_back(id, no);
     }
-    places.assign(terms.methods.size(), 0);
+    places.assign(settings.methods.size(), 0);
     for (std::size_t h = 0; h < serving.size(); ++h)
       for (std::size_t m = 0; serving[h] && benchedUntil[h] <= now && m < places.size(); ++m)
-        places[m] += std::floor(std::max(1.0, roomOf(h, terms.methods[m])));
+        places[m] += std::floor(std::max(1.0, roomOf(h, settings.methods[m])));
     if (now - booksSwept > kSlot) {
       booksSwept = now;
       std::erase_if(books, [this](const auto& at) {
@@ -744,8 +745,8 @@
   }
 };
 
-Gateway::Gateway(Terms terms, std::uint64_t seed, Time now, Port& port)
-    : mind_(std::make_unique<Mind>(std::move(terms), seed, now, port)) {}
+Gateway::Gateway(PolicySettings settings, std::uint64_t seed, Time now, Port& port)
+    : mind_(std::make_unique<Mind>(std::move(settings), seed, now, port)) {}
 Gateway::~Gateway() = default;
 
 void Gateway::hostsChanged(Time now, const std::vector<HostLine>& lines) {
--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "terms.hpp"
+#include "policy_api/policy_settings.hpp"
 
 namespace merlinbridge {
 
@@ -73,7 +73,7 @@
 // returns. Times never go back. Nothing is shared with other gateways.
 class Gateway {
  public:
-  Gateway(Terms, std::uint64_t seed, Time now, Port&);
+  Gateway(PolicySettings, std::uint64_t seed, Time now, Port&);
   ~Gateway();
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
--- a/src/emulator/doorman.cpp
+++ b/src/emulator/doorman.cpp
@@ -56,7 +56,7 @@
 class Simple : public Doorman {
  public:
   Simple(const orders::Orders& orders, Time now, front::Deadlines& deadlines, front::Ways& ways)
-      : terms_(orders.terms),
+      : settings_(orders.settings),
         slack_(orders.answerSlack),
         deadlines_(deadlines),
         ways_(ways),
@@ -68,13 +68,13 @@
 
   void requestArrived(Time now, SlotRef client, const Request& request) override {
     const auto host = admits(now, request) ? choose(now) : std::nullopt;
-    if (!host) return ways_.answerRejected(client, terms_.connectPatience);
+    if (!host) return ways_.answerRejected(client, settings_.connectTimeout);
     const RequestId requestId{++last_};
     const Time by = std::min(request.deadline, latest_) - slack_;
     const auto sent = ways_.startAttempt(requestId, {0}, client, *host, {by, Time::max()});
     if (std::holds_alternative<Outcome>(sent)) return ways_.answerRejected(client, Span{0});
     requests_[requestId.value] = {client, std::get<SlotRef>(sent),
-                                  terms_.methods[request.method.value].repeat == Repeat::idempotent};
+                                  settings_.methods[request.method.value].repeat == Repeat::idempotent};
     byClient_[client.packed()] = requestId.value;
     deadlines_.add(std::max(now, by), [this, requestId](Time) { giveUp(requestId, true); });
   }
@@ -111,7 +111,7 @@
     return HostId{static_cast<std::uint32_t>(dice_.below(serving_.size()))};
   }
 
-  const Terms terms_;
+  const PolicySettings settings_;
   const Span slack_;
   std::vector<std::string> serving_;  // an attempt is made at once, so its place here is the host's number
 
@@ -157,12 +157,12 @@
     Time at;
   };
   bool admits(Time now, const Request& a) override {
-    const Plan& p = terms_.plans[a.plan.value];
+    const Plan& p = settings_.plans[a.plan.value];
     const double share = 1.0 / std::max(1u, a.gateways);
     // A part of the ceiling begins empty: what an earlier life has sent is not known.
     Part& part = parts_.try_emplace(a.customer.value, Part{p.burst * share, 0, now}).first->second;
     const double passed = seconds(now - part.at) * share;
-    part.level = std::min(std::max(p.burst * share, terms_.mostUnits), part.level + p.rate * passed);
+    part.level = std::min(std::max(p.burst * share, settings_.maxUnits), part.level + p.rate * passed);
     part.ceiling = std::min(p.ceilingBurst * share, part.ceiling + p.ceilingRate * passed);
     part.at = now;
     if (p.rate > 0 && part.level < a.units) return false;
--- a/src/emulator/ledger.cpp
+++ b/src/emulator/ledger.cpp
@@ -23,7 +23,7 @@
 
 Ledger::Ledger(const Scenario& s) : s_(s) {
   double share = 0, work = 0;
-  for (const MethodTerms& m : s.methods) share += m.share, work += m.share * seconds(m.work);
+  for (const ScenarioMethod& m : s.methods) share += m.share, work += m.share * seconds(m.work);
   if (share > 0 && work > 0) meanWork_ = work / share, capacity_ = s.cores / meanWork_;
 }
 
@@ -80,7 +80,7 @@
       std::any_of(open->outs.begin(), open->outs.end(), [](const Out& o) { return o.served; });
   if (how == Answer::ok && !served) breach(now, Rule::lost, attemptId, "an answer that no host has made");
   if (how == Answer::rejected && mayHaveRun(*open)) {
-    const MethodTerms& m = s_.methods[open->asked.method];
+    const ScenarioMethod& m = s_.methods[open->asked.method];
     if (m.repeat == Repeat::nonIdempotent || (m.repeat == Repeat::deduplicated && m.group != Group::all))
       breach(now, Rule::twice, attemptId, "rejected though it may have run");
   }
@@ -109,7 +109,7 @@
 }
 
 bool Ledger::mayRepeat(Time now, const Open& open, std::uint32_t zone, std::int64_t cell) const {
-  const MethodTerms& m = s_.methods[open.asked.method];
+  const ScenarioMethod& m = s_.methods[open.asked.method];
   if (m.repeat == Repeat::idempotent) return true;
   return std::all_of(open.outs.begin(), open.outs.end(), [&](const Out& o) {
     if (o.proven) return true;
@@ -125,7 +125,8 @@
   if (open->answered) breach(now, Rule::lost, attemptId, "sent on after its final answer");
   if (!mayRepeat(now, *open, zone, cell))
     breach(now, Rule::twice, attemptId, fmt::format("attempt {} though an earlier one may have run", no));
-  if (!s_.mayCopy && std::any_of(open->outs.begin(), open->outs.end(), [](const Out& o) { return o.out; }))
+  if (!s_.allowHedging &&
+      std::any_of(open->outs.begin(), open->outs.end(), [](const Out& o) { return o.out; }))
     breach(now, Rule::twice, attemptId, fmt::format("attempt {} while another is out", no));
   if (const auto at = notServing_.find({open->asked.gateway.value, machine.value});
       at != notServing_.end() && now > at->second + s_.drainGrace)
@@ -140,7 +141,7 @@
                  std::int64_t cell) {
   Open* const open = find(attemptId);
   if (!open || no >= open->outs.size()) return;
-  const MethodTerms& m = s_.methods[open->asked.method];
+  const ScenarioMethod& m = s_.methods[open->asked.method];
   // Beside what the table allows: did the same effect really come twice?
   for (const Out& o : open->outs) {
     if (!o.ran || m.repeat == Repeat::idempotent) continue;
@@ -210,7 +211,7 @@
   if (purses_.size() >= sweepAt_) {
     std::erase_if(purses_, [this, now](const auto& entry) {
       double longest = seconds(kWindow);
-      for (const PlanTerms& plan : s_.plans) {
+      for (const ScenarioPlan& plan : s_.plans) {
         if (plan.plan.rate > 0) longest = std::max(longest, plan.plan.burst / plan.plan.rate);
         if (plan.plan.ceilingRate > 0)
           longest =
@@ -250,8 +251,8 @@
 double Ledger::coldBudget(Time now, Time started) const {
   const double ramp =
       s_.cold.count() > 0 ? std::clamp(seconds(now - started) / seconds(s_.cold), 0.0, 1.0) : 1;
-  const double share = s_.coldShare + (1 - s_.coldShare) * ramp;
-  const double n = s_.tipMultiple * share * capacity_ * seconds(s_.tip);
+  const double share = s_.startCapacity + (1 - s_.startCapacity) * ramp;
+  const double n = s_.overloadMultiple * share * capacity_ * seconds(s_.tip);
   return n + 2 * std::sqrt(n) + 2;
 }
 
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -154,9 +154,9 @@
   s.connections = hosts.whole<int>("connections", 1000, 1, 1'000'000);
   s.idle = hosts.span("idle", ms(10'000));
   s.cold = hosts.span("cold", ms(8000));
-  s.coldShare = hosts.number("cold_share", 0.25, 0.001, 1);
+  s.startCapacity = hosts.number("cold_share", 0.25, 0.001, 1);
   s.tip = hosts.span("tip", ms(1000));
-  s.tipMultiple = hosts.number("tip_multiple", 2, 0.1, 1000);
+  s.overloadMultiple = hosts.number("tip_multiple", 2, 0.1, 1000);
   s.stopsCancelled = hosts.flag("stops_cancelled", true);
   s.reports = hosts.flag("reports", true);
   hosts.done();
@@ -165,7 +165,7 @@
   s.delay = network.span("delay", std::chrono::microseconds(400));
   s.jitter = network.span("jitter", std::chrono::microseconds(200));
   s.loss = network.number("loss", 0, 0, 1);
-  s.connectPatience = network.span("connect_patience", ms(250));
+  s.connectTimeout = network.span("connect_patience", ms(250));
   network.done();
 
   Table clients = t.part("clients");
@@ -181,7 +181,7 @@
   clients.done();
 
   for (Table& m : t.parts("method")) {
-    MethodTerms method{};
+    ScenarioMethod method{};
     method.name = m.text("name");
     method.repeat = m.oneOf<Repeat>("repeat", Repeat::idempotent, kRepeats);
     method.group = m.oneOf<Group>("group", Group::all, kGroups);
@@ -198,7 +198,7 @@
   if (s.methods.empty()) throw BadScenario(file + ":1:1: expected at least one [[method]]");
 
   for (Table& p : t.parts("plan")) {
-    PlanTerms plan{};
+    ScenarioPlan plan{};
     plan.name = p.text("name");
     plan.plan.rate = p.number("rate", 0, 0, 1e9);
     plan.plan.burst = p.number("burst", plan.plan.rate, 0, 1e9);
@@ -218,7 +218,7 @@
   s.counterParts = counter.whole<int>("parts", 1, 1, 1024);
   s.counterRoom = counter.whole<int>("room", 500, 1, 1'000'000);
   s.counterService = counter.span("service", std::chrono::microseconds(200));
-  s.counterPatience = counter.span("patience", ms(100));
+  s.counterTimeout = counter.span("patience", ms(100));
   counter.done();
 
   Table discovery = t.part("discovery");
@@ -229,9 +229,9 @@
   Table rules = t.part("rules");
   s.drainGrace = rules.span("drain_grace", ms(500));
   s.answerSlack = rules.span("answer_slack", ms(50));
-  s.longestAdvice = rules.span("longest_advice", ms(2000));
-  s.mayCancel = rules.flag("may_cancel", true);
-  s.mayCopy = rules.flag("may_copy", false);
+  s.maxRetryAfter = rules.span("longest_advice", ms(2000));
+  s.allowCancel = rules.flag("may_cancel", true);
+  s.allowHedging = rules.flag("may_copy", false);
   s.maxAttempts = rules.whole<std::uint32_t>("most_call_outs", 3, 1, 100);
   rules.done();
 
@@ -245,32 +245,33 @@
 
 Span Scenario::longestDeadline() const {
   Span longest{0};
-  for (const MethodTerms& m : methods) longest = std::max(longest, m.deadline);
+  for (const ScenarioMethod& m : methods) longest = std::max(longest, m.deadline);
   return longest;
 }
 
 orders::Orders Scenario::orders() const {
   orders::Orders o{};
   o.sockets = 1024;
-  for (const MethodTerms& m : methods) {
-    o.terms.methods.push_back({m.repeat, m.group, m.window, m.soft, m.utility});
+  for (const ScenarioMethod& m : methods) {
+    o.settings.methods.push_back({m.repeat, m.group, m.window, m.soft, m.utility});
     o.methods.push_back(m.name);
   }
-  for (const PlanTerms& p : plans) {
-    o.terms.plans.push_back(p.plan);
+  for (const ScenarioPlan& p : plans) {
+    o.settings.plans.push_back(p.plan);
     o.plans.push_back(p.name);
   }
   for (std::uint32_t z = 0; z < zones; ++z) o.zones.push_back(fmt::format("z{}", z));
   o.machines = {"m"};
-  o.terms.gateways = gateways;
-  o.terms.counter = counter;
-  o.terms.counterPatience = counterPatience;
-  o.terms.mostUnits = std::max(1.0, 4 * units);
-  o.terms.mayCancel = mayCancel, o.terms.mayCopy = mayCopy, o.terms.mayAdvise = true;
-  o.terms.maxAttempts = maxAttempts;
-  o.terms.longestAdvice = longestAdvice, o.terms.connectPatience = connectPatience;
-  o.terms.coldShare = coldShare, o.terms.tipMultiple = tipMultiple;
-  o.terms.coldSpan = cold, o.terms.tipSpan = tip;
+  o.settings.gateways = gateways;
+  o.settings.counter = counter;
+  o.settings.counterTimeout = counterTimeout;
+  o.settings.maxUnits = std::max(1.0, 4 * units);
+  o.settings.allowCancel = allowCancel, o.settings.allowHedging = allowHedging,
+  o.settings.allowRetryAfter = true;
+  o.settings.maxAttempts = maxAttempts;
+  o.settings.maxRetryAfter = maxRetryAfter, o.settings.connectTimeout = connectTimeout;
+  o.settings.startCapacity = startCapacity, o.settings.overloadMultiple = overloadMultiple;
+  o.settings.slowStartTime = cold, o.settings.overloadWindow = tip;
   o.idle = idle, o.answerSlack = answerSlack, o.longestDeadline = longestDeadline();
   o.drainGrace = drainGrace;
   return o;
@@ -312,16 +313,16 @@
   out += "\n[hosts]\n";
   line("count", s.hosts), line("cores", s.cores), line("room", s.room);
   line("connections", s.connections), time("idle", s.idle), time("cold", s.cold);
-  line("cold_share", s.coldShare), time("tip", s.tip), line("tip_multiple", s.tipMultiple);
+  line("cold_share", s.startCapacity), time("tip", s.tip), line("tip_multiple", s.overloadMultiple);
   line("stops_cancelled", s.stopsCancelled), line("reports", s.reports);
   out += "\n[network]\n";
   time("delay", s.delay), time("jitter", s.jitter), line("loss", s.loss);
-  time("connect_patience", s.connectPatience);
+  time("connect_patience", s.connectTimeout);
   out += "\n[clients]\n";
   line("rate", s.rate), line("customers", s.customers), line("skew", s.skew), line("units", s.units);
   line("spread", s.spread), line("tries", s.tries), time("wait", s.wait);
   line("heeds_advice", s.heedsAdvice), line("leaves", s.leaves);
-  for (const MethodTerms& m : s.methods) {
+  for (const ScenarioMethod& m : s.methods) {
     out += "\n[[method]]\n";
     word("name", m.name);
     for (const auto& [text, value] : kRepeats)
@@ -331,7 +332,7 @@
     time("window", m.window), time("soft", m.soft), time("deadline", m.deadline), time("work", m.work);
     line("share", m.share), line("utility", m.utility);
   }
-  for (const PlanTerms& p : s.plans) {
+  for (const ScenarioPlan& p : s.plans) {
     out += "\n[[plan]]\n";
     word("name", p.name);
     line("rate", p.plan.rate), line("burst", p.plan.burst), line("open", p.plan.open);
@@ -340,12 +341,13 @@
   }
   out += "\n[counter]\n";
   line("present", s.counter), line("parts", s.counterParts), line("room", s.counterRoom);
-  time("service", s.counterService), time("patience", s.counterPatience);
+  time("service", s.counterService), time("patience", s.counterTimeout);
   out += "\n[discovery]\n";
   time("told", s.told), line("indented", s.indented);
   out += "\n[rules]\n";
   time("drain_grace", s.drainGrace), time("answer_slack", s.answerSlack);
-  time("longest_advice", s.longestAdvice), line("may_cancel", s.mayCancel), line("may_copy", s.mayCopy);
+  time("longest_advice", s.maxRetryAfter), line("may_cancel", s.allowCancel),
+      line("may_copy", s.allowHedging);
   line("most_call_outs", s.maxAttempts);
   for (const Fault& f : s.faults) {
     out += "\n[[fault]]\n";
--- a/src/emulator/scenario.hpp
+++ b/src/emulator/scenario.hpp
@@ -46,7 +46,7 @@
   int steps = 1;
 };
 
-struct MethodTerms {
+struct ScenarioMethod {
   std::string name;
   Repeat repeat{};
   Group group{};
@@ -54,7 +54,7 @@
   double share = 1, utility = 1;
 };
 
-struct PlanTerms {
+struct ScenarioPlan {
   std::string name;
   Plan plan{};
   double share = 1;
@@ -71,10 +71,10 @@
   std::uint32_t hosts = 0;
   int cores = 1, room = 0, connections = 0;
   Span cold{}, tip{}, idle{};
-  double coldShare = 1, tipMultiple = 1;
+  double startCapacity = 1, overloadMultiple = 1;
   bool stopsCancelled = false, reports = false;
 
-  Span delay{}, jitter{}, connectPatience{};
+  Span delay{}, jitter{}, connectTimeout{};
   double loss = 0;
 
   double rate = 0, skew = 0, heedsAdvice = 1, leaves = 0, units = 1;
@@ -82,18 +82,18 @@
   int tries = 1;
   Span wait{};
 
-  std::vector<MethodTerms> methods;
-  std::vector<PlanTerms> plans;
+  std::vector<ScenarioMethod> methods;
+  std::vector<ScenarioPlan> plans;
 
   bool counter = false;
   int counterParts = 1, counterRoom = 1;
-  Span counterService{}, counterPatience{};
+  Span counterService{}, counterTimeout{};
 
   Span told{};
   bool indented = false;
 
-  Span drainGrace{}, answerSlack{}, longestAdvice{};
-  bool mayCancel = true, mayCopy = false;
+  Span drainGrace{}, answerSlack{}, maxRetryAfter{};
+  bool allowCancel = true, allowHedging = false;
   std::uint32_t maxAttempts = 1;
 
   std::vector<Fault> faults;
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -191,8 +191,8 @@
     for (std::uint32_t c = 0; c < sc.customers; ++c)
       weights.push_back(sum += std::pow(double(c) + 1, -sc.skew));
     double methods = 0, plans = 0;
-    for (const MethodTerms& m : sc.methods) methodWeights.push_back(methods += m.share);
-    for (const PlanTerms& p : sc.plans) planWeights.push_back(plans += p.share);
+    for (const ScenarioMethod& m : sc.methods) methodWeights.push_back(methods += m.share);
+    for (const ScenarioPlan& p : sc.plans) planWeights.push_back(plans += p.share);
   }
   static std::size_t drawFrom(const std::vector<double>& sums, double even) {
     const auto at = std::upper_bound(sums.begin(), sums.end(), even * sums.back());
@@ -288,7 +288,7 @@
     });
   }
   bool mayAskAgain(const Wish& wish) const {
-    const MethodTerms& m = sc.methods[wish.method];
+    const ScenarioMethod& m = sc.methods[wish.method];
     return m.repeat == Repeat::idempotent || (m.repeat == Repeat::deduplicated && m.group == Group::all &&
                                               agenda.now() < wish.askedAt + m.window);
   }
@@ -447,8 +447,8 @@
   // The least share of its capacity that it has by now.
   double warmth(const Machine& m) const {
     if (sc.cold <= Span{0}) return 1;
-    return sc.coldShare +
-           (1 - sc.coldShare) * std::clamp(seconds(agenda.now() - m.started) / seconds(sc.cold), 0.0, 1.0);
+    return sc.startCapacity + (1 - sc.startCapacity) *
+                                  std::clamp(seconds(agenda.now() - m.started) / seconds(sc.cold), 0.0, 1.0);
   }
   double loadOf(std::string_view address) const {
     std::uint32_t m = 0;
@@ -493,7 +493,7 @@
     if (cut(node.zone, m.zone) || silent(a->machine)) {
       // Nothing is said. A new connection is given up by the gateway's own patience.
       if (a->fresh)
-        agenda.after(sc.connectPatience,
+        agenda.after(sc.connectTimeout,
                      [this, g, life, ref] { endAttempt(g, life, ref, Outcome::noConnection, true); });
       return;
     }
@@ -640,10 +640,10 @@
     if (node.life != life || node.state == Node::State::down) return;
     const auto later = [&](Span wait) { agenda.after(wait, [this, &node, life] { feed(node, life); }); };
     if (any(Trouble::discoveryDown, [](const Active&) { return true; }))
-      return later(scaled(sc.connectPatience, 0.5 + lists.even()));
+      return later(scaled(sc.connectTimeout, 0.5 + lists.even()));
     if (marked(Trouble::discoveryRefuse, node.no)) {
       const Span most = kOdd * kBeat;
-      return later(scaled(std::min(most, sc.connectPatience * (1 << std::min(8, node.refusals++))),
+      return later(scaled(std::min(most, sc.connectTimeout * (1 << std::min(8, node.refusals++))),
                           0.5 + lists.even()));
     }
     node.refusals = 0;
@@ -658,12 +658,12 @@
     const std::string half = text.substr(0, lists.below(text.size() + 1));
     auto end = pieces.take(half);
     if (end == orders::Pieces::End::more) end = pieces.take(text);
-    if (end != orders::Pieces::End::piece) return later(scaled(sc.connectPatience, 0.5 + lists.even()));
+    if (end != orders::Pieces::End::piece) return later(scaled(sc.connectTimeout, 0.5 + lists.even()));
     std::string line = text.substr(pieces.from(), pieces.at() - pieces.from());
     line.reserve(line.size() + simdjson::SIMDJSON_PADDING);
     simdjson::dom::parser parser;
     orders::element root;
-    if (parser.parse(line).get(root)) return later(scaled(sc.connectPatience, 0.5 + lists.even()));
+    if (parser.parse(line).get(root)) return later(scaled(sc.connectTimeout, 0.5 + lists.even()));
     const orders::Roster roster = orders::readRoster(orders::Fields("discovery", root));
     tally.listLines += roster.lines.size();
     node.told = generation, node.feeding = false;
@@ -998,7 +998,7 @@
   w.agenda.after(w.delay(), [&world = w, g = no, l = life, ref, name, units, keptFor] {
     world.counterCalled(g, l, ref, name, units, keptFor);
   });
-  w.agenda.after(w.sc.counterPatience,
+  w.agenda.after(w.sc.counterTimeout,
                  [&world = w, g = no, l = life, ref] { world.counted(g, l, ref, CountEnd::unknown, 0); });
 }
 
--- a/src/front/ask.cpp
+++ b/src/front/ask.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // What a count can hold exactly; whatever claims more is no request.
-constexpr double kMostUnits = 1e6;
+constexpr double kMaxUnits = 1e6;
 
 template <class T, class... Base>
 bool readNumber(std::string_view text, T& into, Base... base) {
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-Ask readAsk(const http::Message& message, const Words& words, const Terms& terms, Time came) {
+Ask readAsk(const http::Message& message, const Words& words, const PolicySettings& settings, Time came) {
   std::string_view id, kind, plan, account, patience, quota, mark;
   for (std::size_t n = 0; n < message.fields(); ++n) {
     const auto [name, value] = message.field(n);
@@ -61,10 +61,10 @@
   a.deadline = came + std::chrono::milliseconds(ms);
   a.marked = !mark.empty();
   a.units = 1;
-  a.gateways = terms.gateways;
+  a.gateways = settings.gateways;
   const auto units = wordOf(quota, "units"), spread = wordOf(quota, "spread");
   if (!units.empty() &&
-      !(readNumber(units, a.units) && std::isfinite(a.units) && a.units >= 0 && a.units <= kMostUnits))
+      !(readNumber(units, a.units) && std::isfinite(a.units) && a.units >= 0 && a.units <= kMaxUnits))
     return blame("Quota-Info has no number of units");
   if (!spread.empty() && !readNumber(spread, a.gateways)) return blame("Quota-Info has no spread");
   return ask;
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 Front::Front(const orders::Orders& orders, Time now, Deadlines& deadlines, Ways& ways, Timekeeper timekeeper)
-    : terms_(orders.terms),
+    : settings_(orders.settings),
       slack_(orders.answerSlack),
       forgets_(orders.longestDeadline),
       keepsTime_(timekeeper == Timekeeper::core),
@@ -23,7 +23,7 @@
              Names<MachineId>(orders.machines)},
       deadlines_(deadlines),
       ways_(ways),
-      gateway_(orders.terms, orders.seed, now, *this) {
+      gateway_(orders.settings, orders.seed, now, *this) {
   orders::Roster known = orders.known;
   known.whole = true;
   hostsTold(now, known);
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -55,7 +55,7 @@
   Front(const orders::Orders&, Time now, Deadlines&, Ways&, Timekeeper = Timekeeper::core);
 
   const Words& words() const { return words_; }
-  const Terms& terms() const { return terms_; }
+  const PolicySettings& settings() const { return settings_; }
   const std::string& addressOf(HostId host) const { return addresses_[host.value]; }
   const std::string& nameOf(HostId host) const { return hosts_.word(host); }
   HostId hostNamed(std::string_view name) const;  // throws std::out_of_range
@@ -104,7 +104,7 @@
   void settle(Time now, RequestId);
   std::optional<HostId> numberOf(const orders::RosterLine&);
 
-  const Terms terms_;
+  const PolicySettings settings_;
   const Span slack_, forgets_;
   const bool keepsTime_;
   Time now_, latest_ = Time::max();
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -226,7 +226,8 @@
     net::endpointOf(orders.listen), net::endpointOf(orders.discovery);
     if (!orders.counter.empty()) net::endpointOf(orders.counter);
     return fmt::format("fit: {} hosts known, {} methods, {} plans, {} gateways", orders.known.lines.size(),
-                       orders.terms.methods.size(), orders.terms.plans.size(), orders.terms.gateways);
+                       orders.settings.methods.size(), orders.settings.plans.size(),
+                       orders.settings.gateways);
   });
   return worst;
 }
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -110,7 +110,7 @@
   if (full() && hungUp()) return broken();
   const Time now = loop_.now();
   front::Front& front = *clients_.front_;
-  const front::Ask ask = front::readAsk(message_, front.words(), front.terms(), now);
+  const front::Ask ask = front::readAsk(message_, front.words(), front.settings(), now);
   if (!ask.fault.empty()) return refuse(400, std::string(ask.fault) + "\n");
   asking_ = true;
   const RequestId requestId = front.requestArrived(now, ref(), ask.request);
--- a/src/net/counter.cpp
+++ b/src/net/counter.cpp
@@ -9,7 +9,7 @@
 namespace merlinbridge::net {
 namespace {
 
-// Of the connect patience: how long a connection to an old address may still wait for its answers. The
+// Of the connect timeout: how long a connection to an old address may still wait for its answers. The
 // address closes it a second and a half after the move, or later.
 constexpr int kOldFor = 4;
 
@@ -43,7 +43,7 @@
   const Span took = now - call.madeAt;
   // Not one byte of it has been written, nor must be any more: nothing was added.
   const bool never = !isUp();
-  if (never || now - heard_ >= counter_.connectPatience_) broken();
+  if (never || now - heard_ >= counter_.connectTimeout_) broken();
   counter_.front_->counted(now, name, never ? CountEnd::notAdded : CountEnd::unknown, 0, took);
   if (mayEnd()) broken();
 }
@@ -53,7 +53,7 @@
 void CounterLink::retire() {
   retired_ = true;
   if (!isUp() || mayEnd()) return broken();
-  loop_.deadlines.add(loop_.now() + kOldFor * counter_.connectPatience_, [&loop = loop_, mine = ref()](Time) {
+  loop_.deadlines.add(loop_.now() + kOldFor * counter_.connectTimeout_, [&loop = loop_, mine = ref()](Time) {
     if (auto* const link = loop.find<CounterLink>(mine)) link->broken();
   });
 }
@@ -109,16 +109,16 @@
 }
 
 Time CounterLink::waitEnds() const {
-  if (!isUp()) return heard_ + counter_.connectPatience_;
+  if (!isUp()) return heard_ + counter_.connectTimeout_;
   return calls_.empty() ? heard_ + counter_.idle_ : loop_.now() + counter_.idle_;
 }
 
-Counter::Counter(Loop& loop, std::string address, Span patience, Span connectPatience, Span idle)
+Counter::Counter(Loop& loop, std::string address, Span patience, Span connectTimeout, Span idle)
     : loop_(loop),
       address_(std::move(address)),
       peer_(counterAt(address_)),
       patience_(patience),
-      connectPatience_(connectPatience),
+      connectTimeout_(connectTimeout),
       idle_(idle) {}
 
 void Counter::moveTo(const std::string& address) {
--- a/src/net/counter.hpp
+++ b/src/net/counter.hpp
@@ -48,7 +48,7 @@
 // The counter service, over few connections.
 class Counter {
  public:
-  Counter(Loop&, std::string address, Span patience, Span connectPatience, Span idle);
+  Counter(Loop&, std::string address, Span patience, Span connectTimeout, Span idle);
 
   void serve(front::Front& front) { front_ = &front; }
   void add(const CountName&, double units, Span keptFor);
@@ -61,7 +61,7 @@
   front::Front* front_ = nullptr;
   std::string address_;
   Endpoint peer_;
-  Span patience_, connectPatience_, idle_;
+  Span patience_, connectTimeout_, idle_;
   std::array<SlotRef, 2> links_{};
 };
 
--- a/src/net/gate.cpp
+++ b/src/net/gate.cpp
@@ -32,10 +32,11 @@
 Gate::Gate(Loop& loop, const orders::Orders& orders)
     : loop_(loop),
       clients_(loop, endpointOf(orders.listen), shareOf(orders.sockets), orders.idle, orders.longestDeadline),
-      hosts_(loop, shareOf(orders.sockets), orders.idle, orders.terms.connectPatience),
-      counter_(loop, orders.counter, orders.terms.counterPatience, orders.terms.connectPatience, orders.idle),
-      watch_(loop, orders.discovery, orders.known.generation, orders.terms.connectPatience, orders.drainGrace,
-             orders.seed),
+      hosts_(loop, shareOf(orders.sockets), orders.idle, orders.settings.connectTimeout),
+      counter_(loop, orders.counter, orders.settings.counterTimeout, orders.settings.connectTimeout,
+               orders.idle),
+      watch_(loop, orders.discovery, orders.known.generation, orders.settings.connectTimeout,
+             orders.drainGrace, orders.seed),
       front_(orders, loop.now(), loop.deadlines, *this) {}
 
 void Gate::serve() {
--- a/src/net/hosts.cpp
+++ b/src/net/hosts.cpp
@@ -5,7 +5,7 @@
 #include <charconv>
 #include <cmath>
 
-#include "orders/terms_reader.hpp"
+#include "orders/policy_settings_reader.hpp"
 
 namespace merlinbridge::net {
 namespace {
@@ -145,8 +145,8 @@
 }
 
 Time HostLink::waitEnds() const {
-  if (!isUp()) return std::min(since_ + hosts_.connectPatience_, writtenBy_);
-  if (doing_ == Doing::probe) return since_ + hosts_.connectPatience_;
+  if (!isUp()) return std::min(since_ + hosts_.connectTimeout_, writtenBy_);
+  if (doing_ == Doing::probe) return since_ + hosts_.connectTimeout_;
   // The attempt has a deadline of its own.
   if (doing_ == Doing::attempt) return allWritten() ? loop_.now() + hosts_.idle_ : writtenBy_;
   return since_ + hosts_.idle_;
@@ -160,16 +160,16 @@
   ended(isUp() ? Outcome::noAnswer : Outcome::noConnection);
 }
 
-// Of the connect patience: a connection is taken again only when nothing has come on it for so long.
+// Of the connect timeout: a connection is taken again only when nothing has come on it for so long.
 constexpr int kProving = 25;
 
 // A host closes what has rested for the stated time: half of it is on the safe side, and costs nothing.
-Hosts::Hosts(Loop& loop, std::size_t most, Span idle, Span connectPatience)
+Hosts::Hosts(Loop& loop, std::size_t most, Span idle, Span connectTimeout)
     : loop_(loop),
       most_(most),
       idle_(idle / 2),
-      connectPatience_(connectPatience),
-      proving_(connectPatience / kProving) {}
+      connectTimeout_(connectTimeout),
+      proving_(connectTimeout / kProving) {}
 
 std::variant<SlotRef, Outcome> Hosts::startAttempt(HostId host, std::string_view message, RequestId requestId,
                                                    AttemptNumber no, Until until) {
--- a/src/net/hosts.hpp
+++ b/src/net/hosts.hpp
@@ -58,7 +58,7 @@
 // The connections to hosts, kept for the next attempt, within their share of the descriptors.
 class Hosts {
  public:
-  Hosts(Loop&, std::size_t most, Span idle, Span connectPatience);
+  Hosts(Loop&, std::size_t most, Span idle, Span connectTimeout);
 
   void serve(front::Front& front) { front_ = &front; }
   std::variant<SlotRef, Outcome> startAttempt(HostId, std::string_view message, RequestId, AttemptNumber,
@@ -77,7 +77,7 @@
   Loop& loop_;
   front::Front* front_ = nullptr;
   std::size_t most_;
-  Span idle_, connectPatience_, proving_;
+  Span idle_, connectTimeout_, proving_;
   std::vector<SlotRef> all_;
   std::vector<std::vector<SlotRef>> resting_;  // by host; the last to come is the first to go
 };
--- a/src/net/watch.cpp
+++ b/src/net/watch.cpp
@@ -13,7 +13,7 @@
 // With two refusals, or one ask that hangs, before the one that is answered, a change is known well within
 // the 6 s after which it counts as told: the sum stands in docs/crossings.md.
 constexpr double kRefusedMost = 0.5, kToldFor = 0.75;
-// Of the connect patience: the least wait, where the settings leave drains no time at all.
+// Of the connect timeout: the least wait, where the settings leave drains no time at all.
 constexpr int kLeastWait = 8;
 // While watches are rejected, one is asked for again each so many asks.
 constexpr int kWatchEvery = 4;
@@ -81,7 +81,7 @@
 // Guards against a watch that is silent for ever, be its machine or the way to it gone.
 Time WatchLink::waitEnds() const {
   const Time from = pieces_.begun() ? std::min(begunAt_, heard_) : heard_;
-  return from + (isUp() ? kBeat + watch_.connectPatience_ : watch_.connectPatience_);
+  return from + (isUp() ? kBeat + watch_.connectTimeout_ : watch_.connectTimeout_);
 }
 
 ListLink::ListLink(Loop& loop, Watch& watch, std::string_view message)
@@ -107,16 +107,16 @@
 }
 
 Time ListLink::waitEnds() const {
-  return since_ + kBeat + watch_.connectPatience_;
+  return since_ + kBeat + watch_.connectTimeout_;
 }
 
-Watch::Watch(Loop& loop, std::string address, std::uint64_t from, Span connectPatience, Span drainGrace,
+Watch::Watch(Loop& loop, std::string address, std::uint64_t from, Span connectTimeout, Span drainGrace,
              std::uint64_t seed)
     : loop_(loop),
       address_(std::move(address)),
       peer_(endpointOf(address_)),
       generation_(from),
-      connectPatience_(connectPatience),
+      connectTimeout_(connectTimeout),
       drainGrace_(drainGrace),
       chance_(static_cast<std::uint32_t>(seed)) {}
 
@@ -180,9 +180,9 @@
   const Span most =
       how == AskEnd::refused
           ? longest
-          : std::clamp(drainGrace_ / 2, std::min(connectPatience_ / kLeastWait, longest), longest);
+          : std::clamp(drainGrace_ / 2, std::min(connectTimeout_ / kLeastWait, longest), longest);
   const Span wait = how == AskEnd::told ? scaled(kBeat, kToldFor)
-                                        : std::min(most, connectPatience_ * (1 << std::min(failures_++, 8)));
+                                        : std::min(most, connectTimeout_ * (1 << std::min(failures_++, 8)));
   const double drawn = 0.5 + double(chance_()) / double(chance_.max());
   again_ = loop_.deadlines.add(loop_.now() + scaled(wait, drawn), [this](Time) { open(); });
 }
--- a/src/net/watch.hpp
+++ b/src/net/watch.hpp
@@ -59,7 +59,7 @@
 // and now and then for a watch again.
 class Watch {
  public:
-  Watch(Loop&, std::string address, std::uint64_t from, Span connectPatience, Span drainGrace,
+  Watch(Loop&, std::string address, std::uint64_t from, Span connectTimeout, Span drainGrace,
         std::uint64_t seed);
 
   void serve(front::Front& front);
@@ -79,7 +79,7 @@
   std::string address_;
   Endpoint peer_;
   std::uint64_t generation_;
-  Span connectPatience_, drainGrace_;
+  Span connectTimeout_, drainGrace_;
   SlotRef link_{};
   front::Deadlines::Ticket again_{};
   bool silent_ = false;
--- a/src/orders/orders.cpp
+++ b/src/orders/orders.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <charconv>
 
-#include "orders/terms_reader.hpp"
+#include "orders/policy_settings_reader.hpp"
 
 namespace merlinbridge::orders {
 namespace {
@@ -44,13 +44,13 @@
 Orders readProfile(const Fields& profile) {
   const Fields ways = profile.partOrNone("limits");
   Orders orders{};
-  orders.terms = readTerms(profile);
+  orders.settings = readPolicySettings(profile);
   orders.methods = namesOf(profile, "requestClasses"), orders.plans = namesOf(profile, "tariffs");
   orders.zones = namesOf(profile, "failureDomains"), orders.machines = namesOf(profile, "machineTypes");
   orders.idle = ways.span("connIdle", std::chrono::seconds(30));
   orders.step = profile.span("step", Span{0});
   orders.answerSlack = profile.part("rules").span("answerSlack", Span{0});
-  orders.drainGrace = profile.part("rules").span("drainGrace", orders.terms.connectPatience);
+  orders.drainGrace = profile.part("rules").span("drainGrace", orders.settings.connectTimeout);
   orders.longestDeadline = longestDeadlineOf(profile);
   return orders;
 }
@@ -69,7 +69,7 @@
   orders.seed = readSeed(f);
   orders.sockets = f.partOrNone("limits").get("sockets", std::size_t{1024});
   orders.known = f.has("known") ? readRoster(f.part("known")) : Roster{0, true, {}};
-  if (orders.counter.empty()) orders.terms.counter = false;
+  if (orders.counter.empty()) orders.settings.counter = false;
   return orders;
 }
 
--- a/src/orders/orders.hpp
+++ b/src/orders/orders.hpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "orders/roster.hpp"
-#include "terms.hpp"
+#include "policy_api/policy_settings.hpp"
 
 namespace merlinbridge::orders {
 
@@ -15,7 +15,7 @@
   std::uint64_t seed = 0;
   std::size_t sockets = 0;  // descriptors that may be open
   Roster known;
-  Terms terms;
+  PolicySettings settings;
   std::vector<std::string> methods, plans, zones, machines;
   Span idle{};         // a host closes a connection that rested so long
   Span step{};         // what comes closer together than that is as good as at once
--- a/src/orders/terms_reader.cpp
+++ b/src/orders/policy_settings_reader.cpp
@@ -1,4 +1,4 @@
-#include "orders/terms_reader.hpp"
+#include "orders/policy_settings_reader.hpp"
 
 namespace merlinbridge::orders {
 namespace {
@@ -36,31 +36,31 @@
 
 }  // namespace
 
-Terms readTerms(const Fields& profile) {
+PolicySettings readPolicySettings(const Fields& profile) {
   const Fields family = profile.partOrNone("familyInfo"), limits = profile.partOrNone("limits"),
                rules = profile.part("rules");
   // Guards against settings without plans: all customers then have one without a quota.
   std::vector<Plan> plans =
       profile.has("tariffs") ? readEach<Plan>(profile, "tariffs", readPlan) : std::vector<Plan>{};
   if (plans.empty()) plans.push_back({0, 0, 0, 0, 0, 0, 1});
-  const Span connectPatience = positive(limits, "connectTimeout", kConnectTimeout);
+  const Span connectTimeout = positive(limits, "connectTimeout", kConnectTimeout);
   return {
       .methods = readEach<Method>(profile, "requestClasses", readMethod),
       .plans = std::move(plans),
       .gateways = profile.get("siblings", 1u),
       .counter = family.get("hasCounter", false),
-      .counterPatience = positive(family, "countLimit", connectPatience),
-      .mostUnits = family.get("largest", 1.0),
-      .mayCancel = limits.get("cancel", false),
-      .mayCopy = limits.get("secondCopies", false),
-      .mayAdvise = limits.get("retryAfter", false),
+      .counterTimeout = positive(family, "countLimit", connectTimeout),
+      .maxUnits = family.get("largest", 1.0),
+      .allowCancel = limits.get("cancel", false),
+      .allowHedging = limits.get("secondCopies", false),
+      .allowRetryAfter = limits.get("retryAfter", false),
       .maxAttempts = limits.get("tryLimit", 1u),
-      .longestAdvice = limits.span("maxRetryAfter", Span{0}),
-      .connectPatience = connectPatience,
-      .coldShare = rules.need<double>("startCapacity"),
-      .tipMultiple = rules.need<double>("tipMultiple"),
-      .coldSpan = rules.span("cold"),
-      .tipSpan = rules.span("fall"),
+      .maxRetryAfter = limits.span("maxRetryAfter", Span{0}),
+      .connectTimeout = connectTimeout,
+      .startCapacity = rules.need<double>("startCapacity"),
+      .overloadMultiple = rules.need<double>("tipMultiple"),
+      .slowStartTime = rules.span("cold"),
+      .overloadWindow = rules.span("fall"),
   };
 }
 
--- a/src/orders/terms_reader.hpp
+++ b/src/orders/policy_settings_reader.hpp
@@ -5,11 +5,11 @@
 
 #include "brain.hpp"
 #include "orders/fields.hpp"
-#include "terms.hpp"
+#include "policy_api/policy_settings.hpp"
 
 namespace merlinbridge::orders {
 
-Terms readTerms(const Fields& profile);
+PolicySettings readPolicySettings(const Fields& profile);
 std::vector<std::string> loadFieldNames(const Fields& profile);
 // One figure of a host's load report, by either of its names. What is not known is passed over.
 void readLoadFigure(LoadReport&, std::string_view name, double value);
--- a/src/terms.hpp
+++ b/src/policy_api/policy_settings.hpp
@@ -3,8 +3,8 @@
 #include <cstdint>
 #include <vector>
 
-#include "ids.hpp"
 #include "moment.hpp"
+#include "policy_api/ids.hpp"
 
 namespace merlinbridge {
 
@@ -27,18 +27,19 @@
 };
 
 // What a gateway is told at start.
-struct Terms {
+struct PolicySettings {
   std::vector<Method> methods;
   std::vector<Plan> plans;
   std::uint32_t gateways = 1;
-  bool counter = false;    // is there a counter service
-  Span counterPatience{};  // a call to it ends unanswered after this long
-  double mostUnits = 1;    // of one request
-  bool mayCancel = false, mayCopy = false, mayAdvise = false;
+  bool counter = false;   // is there a counter service
+  Span counterTimeout{};  // a call to it ends unanswered after this long
+  double maxUnits = 1;    // of one request
+  bool allowCancel = false, allowHedging = false, allowRetryAfter = false;
   std::uint32_t maxAttempts = 1;
-  Span longestAdvice{}, connectPatience{};
-  double coldShare = 1, tipMultiple = 1;  // a host starts with this share of its capacity or more,
-  Span coldSpan{}, tipSpan{};  // is warm by then, and falls when over-driven so many times for so long
+  Span maxRetryAfter{}, connectTimeout{};
+  double startCapacity = 1, overloadMultiple = 1;  // a host starts with this share of its capacity or more,
+  Span slowStartTime{},
+      overloadWindow{};  // is warm by then, and falls when over-driven so many times for so long
 };
 
 }  // namespace merlinbridge
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -17,12 +17,12 @@
 }  // namespace
 
 TEST_CASE("a gateway new to a customer admits up to the burst over its gateways") {
-  World w(plainTerms(), 1);
+  World w(plainSettings(), 1);
   CHECK(passed(w, 0, 5, 0, 12) == 4);
 }
 
 TEST_CASE("use at one gateway leaves less at the others after a round") {
-  World w(plainTerms(), 1);
+  World w(plainSettings(), 1);
   passed(w, 0, 5, 0, 4);
   w.runFor(1s);
   passed(w, 0, 5, 0, 12);
@@ -33,7 +33,7 @@
 }
 
 TEST_CASE("all gateways together stay near the quota of a customer who asks far more") {
-  World w(plainTerms(), 1);
+  World w(plainSettings(), 1);
   int out = 0;
   for (int step = 0; step < 1000; ++step) {
     w.runFor(10ms);
@@ -44,7 +44,7 @@
 }
 
 TEST_CASE("in silence each gateway keeps to its part of the quota, and counts come back into force") {
-  World w(plainTerms(), 1);
+  World w(plainSettings(), 1);
   w.chances.countLost = 1;
   int out = 0;
   for (int step = 0; step < 1000; ++step) {
@@ -62,7 +62,7 @@
 }
 
 TEST_CASE("a counter that comes back empty frees no fresh burst") {
-  World w(plainTerms(), 1);
+  World w(plainSettings(), 1);
   for (int step = 0; step < 300; ++step) {
     w.runFor(10ms);
     passed(w, step % 3, 5, 0, 1);
@@ -75,7 +75,7 @@
 }
 
 TEST_CASE("an idle customer costs no call") {
-  World w(plainTerms(), 1);
+  World w(plainSettings(), 1);
   passed(w, 0, 5, 0, 1);
   w.runFor(5s);
   const int calls = w.countCalls;
@@ -84,40 +84,40 @@
 }
 
 TEST_CASE("a cap on open attempts is held") {
-  World w(plainTerms(), 1);
+  World w(plainSettings(), 1);
   CHECK(passed(w, 0, 5, 1, 5) <= 2);
   w.runFor(100ms);
   CHECK(passed(w, 0, 5, 1, 1) == 1);
 }
 
 TEST_CASE("what is rejected is answered at once") {
-  World w(plainTerms(), 1);
+  World w(plainSettings(), 1);
   for (int i = 0; i < 20; ++i) w.ask(0, 5, 0, 0, 1);
   for (const auto& [id, t] : w.tries) CHECK((t.attempts > 0 || (t.rejected && t.endedAt == t.cameAt)));
 }
 
 TEST_CASE("no hosts: rejected at once") {
-  World w(plainTerms(), 1);
+  World w(plainSettings(), 1);
   for (auto& host : w.hosts) host.serving = false;
   w.tellHosts();
   CHECK(w.ask(0, 5, 0, 0, 1).rejected);
 }
 
 TEST_CASE("odd terms stay safe: no counter, one gateway, zero rates") {
-  Terms terms = plainTerms();
-  terms.counter = GENERATE(true, false);
-  terms.gateways = 1;
-  terms.counterPatience = 0ns;
-  terms.coldSpan = terms.tipSpan = 0ns;
-  terms.plans[0] = {};
-  World w(terms, 1);
+  PolicySettings settings = plainSettings();
+  settings.counter = GENERATE(true, false);
+  settings.gateways = 1;
+  settings.counterTimeout = 0ns;
+  settings.slowStartTime = settings.overloadWindow = 0ns;
+  settings.plans[0] = {};
+  World w(settings, 1);
   CHECK(passed(w, 0, 5, 0, 3) == 3);
   w.runFor(5s);
   CHECK(w.broken == std::set<std::string>{});
 }
 
 TEST_CASE("what a mute host swallows is taken back and answered by another host") {
-  World w(plainTerms(), 1);
+  World w(plainSettings(), 1);
   for (auto& host : w.hosts) host.service = 30ms;
   w.load(300);
   w.hosts[0].mute = true;
@@ -131,7 +131,7 @@
 }
 
 TEST_CASE("what is out at a host that jams stays bounded by what it answers") {
-  World w(plainTerms(), 1);
+  World w(plainSettings(), 1);
   for (auto& host : w.hosts) host.service = 400ms;  // of a soft deadline of 600 ms
   int most = 0;
   for (int step = 0; step < 800; ++step) {
@@ -144,7 +144,7 @@
 }
 
 TEST_CASE("under pressure the requests of least utility are rejected first") {
-  World w(plainTerms(), 1);
+  World w(plainSettings(), 1);
   for (auto& host : w.hosts) host.service = 250ms;
   int low = 0, high = 0;
   for (int step = 0; step < 800; ++step) {
@@ -156,7 +156,7 @@
 }
 
 TEST_CASE("a slow counter is called less, and no call waits for another of its customer") {
-  World w(plainTerms(), 1);
+  World w(plainSettings(), 1);
   const auto callsIn = [&](int steps) {
     const int before = w.countCalls;
     w.load(steps);
@@ -170,14 +170,14 @@
 }
 
 TEST_CASE("with a burst over its gateways under one unit, a new customer's first request passes") {
-  Terms terms = plainTerms();
-  terms.plans[0].burst = 2;
-  World w(terms, 1);
+  PolicySettings settings = plainSettings();
+  settings.plans[0].burst = 2;
+  World w(settings, 1);
   CHECK(passed(w, 0, 5, 0, 3, 1) == 1);
 }
 
 TEST_CASE("a cap on open attempts is shared by the gateways once they have told each other") {
-  World w(plainTerms(), 1);
+  World w(plainSettings(), 1);
   for (auto& host : w.hosts) host.service = 400ms;
   double out = 0;
   for (int step = 0; step < 1000; ++step) {
@@ -191,7 +191,7 @@
 }
 
 TEST_CASE("silence and its end are told once each") {
-  World w(plainTerms(), 1);
+  World w(plainSettings(), 1);
   const auto load = [&](int steps) {
     for (int step = 0; step < steps; ++step) {
       w.runFor(10ms);
@@ -210,7 +210,7 @@
 }
 
 TEST_CASE("many gateways start with few calls to the counter, all together") {
-  World w(plainTerms(60), 1);
+  World w(plainSettings(60), 1);
   for (int step = 0; step < 100; ++step) {
     w.runFor(10ms);
     for (std::uint32_t g = 0; g < 60; ++g) w.ask(g, 100 + (step * 60 + g) % 977, 0, 0, 1);
@@ -220,10 +220,10 @@
 }
 
 TEST_CASE("a host that comes back does not get a request from every gateway at once") {
-  Terms terms = plainTerms();
-  terms.gateways = 40;
-  terms.coldSpan = 0ns;  // it is warm at once: only the rotation spreads them
-  World w(terms, 1);
+  PolicySettings settings = plainSettings();
+  settings.gateways = 40;
+  settings.slowStartTime = 0ns;  // it is warm at once: only the rotation spreads them
+  World w(settings, 1);
   const auto load = [&](int steps) {
     for (int step = 0; step < steps; ++step) {
       w.runFor(25ms);
@@ -240,7 +240,7 @@
 }
 
 TEST_CASE("what is out at slow hosts stays bounded, however many gateways there are") {
-  World w(plainTerms(60), 1);
+  World w(plainSettings(60), 1);
   for (auto& host : w.hosts) host.service = 550ms;
   int most = 0;
   for (int step = 0; step < 1500; ++step) {
@@ -255,7 +255,7 @@
 
 TEST_CASE("a host that fails one method or rejects one plan keeps the rest") {
   const bool byPlan = GENERATE(true, false);
-  World w(plainTerms(), 1);
+  World w(plainSettings(), 1);
   (byPlan ? w.hosts[0].refusesPlan : w.hosts[0].failsMethod) = 0;
   int bad = 0, good = 0;
   for (int step = 0; step < 2000; ++step) {
@@ -270,7 +270,7 @@
 }
 
 TEST_CASE("a customer spread thin over many gateways keeps to its quota on the whole, a calm one is let in") {
-  World w(plainTerms(40), 1);
+  World w(plainSettings(40), 1);
   const auto admitted = [&](int times, Span every, std::uint64_t customer) {
     int out = 0;
     for (int n = 0; n < times; w.runFor(every), ++n)
@@ -286,7 +286,7 @@
 TEST_CASE("reported loads count in the pressure, and absurd ones harm nothing") {
   const auto load = GENERATE(LoadReport{40, {}, {}, 20, {}}, LoadReport{0, {}, {}, 0, {}},
                              LoadReport{-5, {}, {}, -1e300, {}}, LoadReport{1e300, {}, {}, 0, {}});
-  World w(plainTerms(), 1);
+  World w(plainSettings(), 1);
   for (auto& host : w.hosts) host.load = load;
   int out = 0;
   for (int step = 0; step < 300; ++step) {
@@ -299,7 +299,7 @@
 }
 
 TEST_CASE("a few jammed hosts do not make the others look full, and are left to work off what they hold") {
-  World w(plainTerms(40), 1);
+  World w(plainSettings(40), 1);
   for (auto& host : w.hosts) host.load = {2, 0, {}, 40, {}};
   w.hosts[0].service = 400ms, w.hosts[0].load = {60, 40, {}, 2, {}};
   const auto load = [&w](int steps) {
@@ -317,7 +317,7 @@
 }
 
 TEST_CASE("a host that cannot be reached is tried ever more seldom, and at once again when it is back") {
-  World w(plainTerms(40), 1);
+  World w(plainSettings(40), 1);
   const auto triesAt0 = [&w](int steps) {
     const int before = w.hosts[0].taken;
     for (int step = 0; step < steps; ++step) {
@@ -330,7 +330,7 @@
   w.hosts[0].unreachable = true;
   triesAt0(3000);
   CHECK(triesAt0(3000) < 150);  // a second's sitting out each time would make it some 400
-  w.hosts[0].unreachable = false, w.hosts[0].started = w.now - w.terms.coldSpan;
+  w.hosts[0].unreachable = false, w.hosts[0].started = w.now - w.settings.slowStartTime;
   w.tellHosts();
   CHECK(triesAt0(1000) > 100);
 }
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -50,7 +50,7 @@
 }
 orders::Orders plainOrders(int hosts) {
   orders::Orders orders{};
-  orders.terms = plainTerms(1);
+  orders.settings = plainSettings(1);
   orders.methods = {"look", "book", "zoned", "pay"};
   orders.plans = {"metered", "open", "capped"};
   orders.answerSlack = 16ms;
@@ -196,7 +196,7 @@
 
 TEST_CASE("a thousand hosts and gateways are borne, and so is the replacement of all of them") {
   orders::Orders orders = plainOrders(1024);
-  orders.terms.gateways = 1024;
+  orders.settings.gateways = 1024;
   Written ways;
   front::Deadlines deadlines;
   const Time now{1'700'000'000s};
@@ -252,7 +252,7 @@
 }
 
 TEST_CASE("what a client says of its request is read, or its fault is named") {
-  const Terms terms = plainTerms();
+  const PolicySettings settings = plainSettings();
   const auto orders = plainOrders(1);
   const front::Words words{
       front::Names<MethodId>(orders.methods), front::Names<PlanId>(orders.plans), {}, {}};
@@ -277,7 +277,7 @@
   if (!was.empty()) text.replace(text.find(was), was.size(), is);
   http::Message message(http::Message::Kind::request);
   REQUIRE(message.advance(text.data(), text.size()) == http::Message::Stage::done);
-  const front::Ask ask = front::readAsk(message, words, terms, Time(1s));
+  const front::Ask ask = front::readAsk(message, words, settings, Time(1s));
   CHECK(ask.fault == fault);
   if (!fault.empty()) return;
   CHECK(ask.request.method == MethodId{1});
@@ -352,7 +352,7 @@
   const Kind kind = GENERATE(Kind::first, Kind::retry, Kind::hedge);
   const bool stays = GENERATE(true, false);
   orders::Orders orders = plainOrders(3);
-  orders.terms.mayCopy = true;
+  orders.settings.allowHedging = true;
   Core core(orders);
   for (int n = 0; n < 5; ++n) {  // what is usual for a host
     const RequestId requestId = core.ask(0);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -562,7 +562,7 @@
   CHECK(asked[0] == "GET /registry/instances?watch=1&from=41");
   CHECK(asked[1] == "GET /registry/instances");
   CHECK(asked[4] == asked[0]);
-  CHECK(waits > 600);  // at the connect patience each time it would be some 200
+  CHECK(waits > 600);  // at the connect timeout each time it would be some 200
   auto far = turnAway();
   const std::string list =
       "{\"generation\":50,\"reset\":true,\"instances\":[" + hostLine(d.host.port, "h1", "terminating") + "]}";
@@ -956,8 +956,8 @@
   Doorstep d;
   const orders::Orders orders = orders::readOrders(Doorstep::replaced(
       Doorstep::replaced(d.config(""), "\"connectTimeout\":250000,", is), "\"countLimit\":50000,", ""));
-  CHECK(orders.terms.connectPatience == 250ms);
-  CHECK(orders.terms.counterPatience == 250ms);
+  CHECK(orders.settings.connectTimeout == 250ms);
+  CHECK(orders.settings.counterTimeout == 250ms);
   CHECK(orders.drainGrace == 250ms);
 }
 
@@ -1045,7 +1045,7 @@
   const auto from = bare.find("\"tariffs\""), to = bare.find("\"familyInfo\"");
   bare.erase(from, to - from);
   const orders::Orders orders = orders::readOrders(bare);
-  CHECK(orders.terms.plans.size() == 1);
+  CHECK(orders.settings.plans.size() == 1);
   bare.replace(bare.find("\"startedAtMs\":0"), 15, "\"startedAtMs\":9000000000000000");
   CHECK(orders::readOrders(bare).known.lines.at(0).started == 0s);
 }
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -25,13 +25,13 @@
       if (host.serving) host.started = w.now;
       w.tellHosts();
     }
-    const std::uint32_t victim = below(w.terms.gateways);
+    const std::uint32_t victim = below(w.settings.gateways);
     if (troubled && step % 170 == 90 && w.alive(victim)) {
       w.kill(victim);
       w.at(w.now + 50ms * below(20), [&w, victim] { w.start(victim); });
     }
     for (unsigned n = below(5); n > 0; --n) {
-      const std::uint32_t g = below(w.terms.gateways);
+      const std::uint32_t g = below(w.settings.gateways);
       if (!w.alive(g)) continue;
       const unsigned customer = below(12);
       w.ask(g, customer, customer % 3, below(4), 1 + below(4), 300ms + 100ms * below(18));
@@ -44,9 +44,9 @@
 
 TEST_CASE("the module and the plain model agree on what is allowed") {
   const auto seed = GENERATE(take(24, random(1, 1'000'000)));
-  Terms terms = plainTerms(seed % 3 == 0 ? 30 : 3);
-  terms.mayCopy = seed % 5 == 0;
-  World w(terms, static_cast<std::uint64_t>(seed));
+  PolicySettings settings = plainSettings(seed % 3 == 0 ? 30 : 3);
+  settings.allowHedging = seed % 5 == 0;
+  World w(settings, static_cast<std::uint64_t>(seed));
   play(w, static_cast<std::uint64_t>(seed));
   INFO("seed " << seed);
   CHECK(w.broken == std::set<std::string>{});
@@ -55,9 +55,9 @@
 
 TEST_CASE("one customer that comes through every gateway at once stays under its ceiling") {
   const auto seed = GENERATE(take(6, random(1, 1'000'000)));
-  Terms terms = plainTerms();
-  terms.counter = seed % 2 == 0;  // each gateway keeps it alone
-  World w(terms, static_cast<std::uint64_t>(seed));
+  PolicySettings settings = plainSettings();
+  settings.counter = seed % 2 == 0;  // each gateway keeps it alone
+  World w(settings, static_cast<std::uint64_t>(seed));
   for (int step = 0; step < 600; ++step) {
     w.runFor(10ms);
     if (step % 150 == 149) {
@@ -72,7 +72,7 @@
 }
 
 TEST_CASE("a fleet that comes back cold is not pushed over, and is used") {
-  World w(plainTerms(), 3);
+  World w(plainSettings(), 3);
   w.load(500);
   for (std::size_t h : {0, 1, 2}) w.hosts[h].started = w.now;
   w.tellHosts();
--- a/tests/standins/reality.cpp
+++ b/tests/standins/reality.cpp
@@ -51,9 +51,9 @@
       R"({{"siblings":{},"me":{},"requestClasses":[{}],"tariffs":[{}],"familyInfo":{{"hasCounter":{},"countLimit":{},"largest":{}}},)"
       R"("limits":{{"connectTimeout":{},"connIdle":{},"cancel":{},"secondCopies":{},"tryLimit":{},"retryAfter":true,"maxRetryAfter":{}}},)"
       R"("rules":{{"startCapacity":{},"tipMultiple":{},"cold":{},"fall":{},"answerSlack":{},"drainGrace":{}}}}})",
-      s.gateways, me, methods, plans, s.counter, us(s.counterPatience), std::max(1.0, 4 * s.units),
-      us(s.connectPatience), us(s.idle), s.mayCancel, s.mayCopy, s.maxAttempts, us(s.longestAdvice),
-      s.coldShare, s.tipMultiple, us(s.cold), us(s.tip), us(s.answerSlack), us(s.drainGrace));
+      s.gateways, me, methods, plans, s.counter, us(s.counterTimeout), std::max(1.0, 4 * s.units),
+      us(s.connectTimeout), us(s.idle), s.allowCancel, s.allowHedging, s.maxAttempts, us(s.maxRetryAfter),
+      s.startCapacity, s.overloadMultiple, us(s.cold), us(s.tip), us(s.answerSlack), us(s.drainGrace));
 }
 
 class Daemons {
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -25,18 +25,18 @@
 
 using namespace std::chrono_literals;
 
-inline Terms plainTerms(std::uint32_t gateways = 3) {
-  Terms t{};
+inline PolicySettings plainSettings(std::uint32_t gateways = 3) {
+  PolicySettings t{};
   t.methods = {{Repeat::idempotent, Group::all, 0ns, 600ms, 1},
                {Repeat::deduplicated, Group::all, 2s, 500ms, 5},
                {Repeat::deduplicated, Group::zone, 100ms, 500ms, 2},
                {Repeat::nonIdempotent, Group::all, 2s, 500ms, 3}};
   t.plans = {{4, 12, 0, 0, 0, 0, 1}, {0, 0, 2, 0, 0, 0, 1}, {20, 30, 0, 40, 60, 8, 1.5}};
   t.gateways = gateways;
-  t.counter = true, t.counterPatience = 50ms, t.mostUnits = 4;
-  t.mayCancel = t.mayAdvise = true;
-  t.maxAttempts = 5, t.longestAdvice = 1s, t.connectPatience = 250ms;
-  t.coldShare = 0.16, t.tipMultiple = 3, t.coldSpan = 10s, t.tipSpan = 2s;
+  t.counter = true, t.counterTimeout = 50ms, t.maxUnits = 4;
+  t.allowCancel = t.allowRetryAfter = true;
+  t.maxAttempts = 5, t.maxRetryAfter = 1s, t.connectTimeout = 250ms;
+  t.startCapacity = 0.16, t.overloadMultiple = 3, t.slowStartTime = 10s, t.overloadWindow = 2s;
   return t;
 }
 
@@ -69,10 +69,10 @@
     std::uint32_t attempts = 0;
   };
 
-  World(Terms t, std::uint64_t seed) : terms(std::move(t)), dice_(static_cast<unsigned>(seed)) {
+  World(PolicySettings t, std::uint64_t seed) : settings(std::move(t)), dice_(static_cast<unsigned>(seed)) {
     for (std::uint32_t h = 0; h < 6; ++h)
       hosts.push_back({{h % 3}, {}, true, 60, 60ms, {}, false, false, 0, 0, {}, {}, {}});
-    for (std::uint32_t g = 0; g < terms.gateways; ++g) {
+    for (std::uint32_t g = 0; g < settings.gateways; ++g) {
       nodes_.emplace_back();
       start(g);
     }
@@ -97,7 +97,7 @@
   void start(std::uint32_t g) {
     Node& n = nodes_[g];
     n.out = std::make_unique<Way>(*this, g, ++lives_);
-    n.gateway = std::make_unique<Gateway>(terms, dice_(), now, *n.out);
+    n.gateway = std::make_unique<Gateway>(settings, dice_(), now, *n.out);
     n.gateway->hostsListed(now, lines());
   }
   void kill(std::uint32_t g) {
@@ -114,7 +114,7 @@
            Span patience = 2s) {
     const RequestId id{++lastRequest_};
     Try& t = tries[id.value];
-    t.asked = {id, {customer}, {plan}, {method}, now + patience, units, terms.gateways};
+    t.asked = {id, {customer}, {plan}, {method}, now + patience, units, settings.gateways};
     t.gateway = g;
     t.cameAt = now;
     at(now + patience + 16ms, [this, id] {
@@ -127,7 +127,7 @@
   void load(int steps) {
     for (int step = 0; step < steps; ++step) {
       runFor(10ms);
-      for (std::uint32_t g = 0; g < terms.gateways; ++g) ask(g, 100 + step % 40, 0, 0, 1);
+      for (std::uint32_t g = 0; g < settings.gateways; ++g) ask(g, 100 + step % 40, 0, 0, 1);
     }
   }
   int served() const {
@@ -135,7 +135,7 @@
         std::count_if(tries.begin(), tries.end(), [](auto& t) { return t.second.served; }));
   }
 
-  Terms terms;
+  PolicySettings settings;
   Time now{1000s};
   std::vector<Host> hosts;
   std::map<std::uint64_t, Try> tries;
@@ -162,14 +162,14 @@
       all.push_back({{h}, hosts[h].zone, {hosts[h].zone.value}, {0}, hosts[h].serving, 1, hosts[h].started});
     return all;
   }
-  const Method& methodOf(const Try& t) const { return terms.methods[t.asked.method.value]; }
+  const Method& methodOf(const Try& t) const { return settings.methods[t.asked.method.value]; }
 
   void judgeAttempt(Try& t, HostId to, Time writtenBy) {
     const Method& m = methodOf(t);
     Host& host = hosts[to.value];
     if (t.finals > 0) blame("an attempt after the final answer");
-    if (t.outNow > 0 && !terms.mayCopy) blame("two attempts out at once");
-    if (t.attempts >= terms.maxAttempts) blame("too many attempts");
+    if (t.outNow > 0 && !settings.allowHedging) blame("two attempts out at once");
+    if (t.attempts >= settings.maxAttempts) blame("too many attempts");
     if (!t.mayHaveRun.empty() && m.repeat == Repeat::nonIdempotent) blame("a second effect");
     if (m.repeat == Repeat::deduplicated)
       for (const auto& [ranAt, when] : t.mayHaveRun) {
@@ -181,16 +181,17 @@
     if (!host.serving) blame("an attempt to a host that drains or is gone");
     if (t.attempts == 0) drawCeiling(t);
     if (!host.started) return;
-    const double warm = std::min(1.0, seconds(now - *host.started) / seconds(terms.coldSpan));
+    const double warm = std::min(1.0, seconds(now - *host.started) / seconds(settings.slowStartTime));
     host.sent.emplace_back(now, t.asked.units);
-    while (host.sent.front().first + terms.tipSpan < now) host.sent.pop_front();
+    while (host.sent.front().first + settings.overloadWindow < now) host.sent.pop_front();
     double work = 0;
     for (const auto& [when, units] : host.sent) work += units;
-    const double capacity = host.perSecond * (terms.coldShare + (1 - terms.coldShare) * warm);
-    if (work > terms.tipMultiple * capacity * seconds(terms.tipSpan)) blame("a cold host was pushed over");
+    const double capacity = host.perSecond * (settings.startCapacity + (1 - settings.startCapacity) * warm);
+    if (work > settings.overloadMultiple * capacity * seconds(settings.overloadWindow))
+      blame("a cold host was pushed over");
   }
   void drawCeiling(const Try& t) {
-    const Plan& p = terms.plans[t.asked.plan.value];
+    const Plan& p = settings.plans[t.asked.plan.value];
     if (p.ceilingRate <= 0) return;
     auto& c = ceilings_.try_emplace(t.asked.customer.value, Ceiling{p.ceilingBurst, now}).first->second;
     c.level = std::min(p.ceilingBurst, c.level + p.ceilingRate * seconds(now - c.at)) - t.asked.units;
@@ -268,7 +269,7 @@
       const auto key = std::to_string(name.customer.value) + '.' + std::to_string(name.slot.value);
       double total = 0;
       if (!gone) total = w.counts[key] += units;
-      w.at(w.now + (gone || slow ? w.terms.counterPatience : 2ms),
+      w.at(w.now + (gone || slow ? w.settings.counterTimeout : 2ms),
            [&world = w, gw = g, l = life, name, total, bad = gone || slow] {
              if (!world.nodes_[gw].gateway || world.nodes_[gw].out->life != l) return;
              world.nodes_[gw].gateway->counted(world.now, name, bad ? CountEnd::unknown : CountEnd::ok, total,
