--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -11,17 +11,17 @@
 #include <string_view>
 #include <unordered_map>
 
+#include "config/json_fields.hpp"
+#include "config/policy_settings_reader.hpp"
 #include "front/front.hpp"
-#include "orders/fields.hpp"
-#include "orders/policy_settings_reader.hpp"
 
 namespace merlinbridge::benchlink {
 namespace {
 
+using config::ConfigError;
+using config::element;
+using config::Fields;
 using front::SlotRef;
-using orders::BadInput;
-using orders::element;
-using orders::Fields;
 
 using Output = fmt::memory_buffer;
 
@@ -51,8 +51,8 @@
   Instance(std::int64_t number, const Fields& init, Time now, Output& out)
       : number_(number),
         out_(out),
-        loadNames_(orders::loadFieldNames(init.part("profileData"))),
-        front_(ordersOf(init), now, deadlines_, *this, front::Timekeeper::adapter) {}
+        loadNames_(config::loadFieldNames(init.part("profileData"))),
+        front_(configOf(init), now, deadlines_, *this, front::Timekeeper::adapter) {}
 
   void fault(std::string_view text) { write(R"({{"fault":{{"i":{},"bodyText":{}}}}})", jsonText(text)); }
 
@@ -94,8 +94,8 @@
     write(R"({{"writeLog":{{"i":{},"bodyText":{}}}}})", jsonText(line));
   }
 
-  static orders::Orders ordersOf(const Fields& init) {
-    orders::Orders told = orders::readProfile(init.part("profileData"));
+  static config::GatewayConfig configOf(const Fields& init) {
+    config::GatewayConfig told = config::readSettings(init.part("profileData"));
     told.seed = init.need<std::uint64_t>("rngSeed");
     return told;
   }
@@ -117,7 +117,7 @@
                            f.need<std::string_view>("code") == "served", readLoad(f));
     if (message == "peersKnown") return takeHosts(f, now);
     if (message == "mail") return;  // the design learns nothing from peers
-    throw BadInput("unknown message '" + std::string(message) + "'");
+    throw ConfigError("unknown message '" + std::string(message) + "'");
   }
 
   template <class... Args>
@@ -185,7 +185,7 @@
       double value = 0;
       if (stat.get(value)) f.blame("stats", "holds what is not a number");
       if (at == loadNames_.size()) break;
-      orders::readLoadFigure(load, loadNames_[at++], value);
+      config::readLoadFigure(load, loadNames_[at++], value);
     }
     return load;
   }
@@ -221,7 +221,7 @@
   void takeHosts(const Fields& f, Time now) {
     const auto how = f.need<std::string_view>("how");
     if (how == "lost") return;
-    orders::Roster roster{f.get("gen", std::uint64_t{0}), how != "incr", {}};
+    config::Roster roster{f.get("gen", std::uint64_t{0}), how != "incr", {}};
     simdjson::dom::array entries;
     if (f.has("hosts") && f.need<element>("hosts").get(entries)) f.blame("hosts", "is not an array");
     if (f.has("hosts"))
@@ -251,20 +251,20 @@
   explicit Session(std::ostream& out) : out_(out) {}
 
   void take(std::string_view name, const element& body) {
-    if (!body.is_object()) throw BadInput(std::string(name) + ": has no object of fields");
+    if (!body.is_object()) throw ConfigError(std::string(name) + ": has no object of fields");
     const Fields f(name, body);
     if (name == "turn") return beginBatch(f);
-    if (!inBatch_) throw BadInput(std::string(name) + ": outside a batch");
+    if (!inBatch_) throw ConfigError(std::string(name) + ": outside a batch");
     if (name == "eofBatch") return endBatch();
     takeForInstance(name, f);
   }
   void end() const {
-    if (inBatch_) throw BadInput("eofBatch: missing, the input ended inside a batch");
+    if (inBatch_) throw ConfigError("eofBatch: missing, the input ended inside a batch");
   }
 
  private:
   void beginBatch(const Fields& f) {
-    if (inBatch_) throw BadInput("turn: inside a batch");
+    if (inBatch_) throw ConfigError("turn: inside a batch");
     now_ = Time(f.span("wall"));
     inBatch_ = true;
   }
@@ -287,11 +287,11 @@
       return;
     }
     if (instance == instances_.end())
-      throw BadInput(std::string(name) + ": field 'i' names instance " + std::to_string(number) +
-                     ", which was never started");
+      throw ConfigError(std::string(name) + ": field 'i' names instance " + std::to_string(number) +
+                        ", which was never started");
     try {
       instance->second.take(name, f, now_);
-    } catch (const BadInput&) {
+    } catch (const ConfigError&) {
       throw;
     } catch (const std::exception& e) {
       instance->second.fault(e.what());
@@ -315,8 +315,9 @@
     if (line.find_first_not_of(" \t\r") == std::string::npos) continue;
     line.reserve(line.size() + simdjson::SIMDJSON_PADDING);
     simdjson::dom::object message;
-    if (parser.parse(line).get(message)) throw BadInput("a line is not a JSON object: " + line.substr(0, 60));
-    if (message.size() != 1) throw BadInput("a message has not exactly one name: " + line.substr(0, 60));
+    if (parser.parse(line).get(message))
+      throw ConfigError("a line is not a JSON object: " + line.substr(0, 60));
+    if (message.size() != 1) throw ConfigError("a message has not exactly one name: " + line.substr(0, 60));
     const auto [name, body] = *message.begin();
     session.take(name, body);
   }
--- a/src/orders/roster.cpp
+++ b/src/config/endpoint_list.cpp
@@ -1,6 +1,6 @@
-#include "orders/roster.hpp"
+#include "config/endpoint_list.hpp"
 
-namespace merlinbridge::orders {
+namespace merlinbridge::config {
 
 Roster readRoster(const Fields& f) {
   Roster roster{f.need<std::uint64_t>("generation"), f.get("reset", false), {}};
@@ -24,4 +24,4 @@
   return roster;
 }
 
-}  // namespace merlinbridge::orders
+}  // namespace merlinbridge::config
--- a/src/orders/roster.hpp
+++ b/src/config/endpoint_list.hpp
@@ -3,9 +3,9 @@
 #include <string>
 #include <vector>
 
-#include "orders/fields.hpp"
+#include "config/json_fields.hpp"
 
-namespace merlinbridge::orders {
+namespace merlinbridge::config {
 
 struct RosterLine {
   std::string name, address, zone, machine;
@@ -24,4 +24,4 @@
 
 Roster readRoster(const Fields&);
 
-}  // namespace merlinbridge::orders
+}  // namespace merlinbridge::config
--- a/src/orders/orders.cpp
+++ b/src/config/gateway_config.cpp
@@ -1,11 +1,11 @@
-#include "orders/orders.hpp"
+#include "config/gateway_config.hpp"
 
 #include <algorithm>
 #include <charconv>
 
-#include "orders/policy_settings_reader.hpp"
+#include "config/policy_settings_reader.hpp"
 
-namespace merlinbridge::orders {
+namespace merlinbridge::config {
 namespace {
 
 std::vector<std::string> namesOf(const Fields& f, std::string_view field) {
@@ -41,36 +41,36 @@
 
 }  // namespace
 
-Orders readProfile(const Fields& profile) {
+GatewayConfig readSettings(const Fields& profile) {
   const Fields ways = profile.partOrNone("limits");
-  Orders orders{};
-  orders.settings = readPolicySettings(profile);
-  orders.methods = namesOf(profile, "requestClasses"), orders.plans = namesOf(profile, "tariffs");
-  orders.zones = namesOf(profile, "failureDomains"), orders.machines = namesOf(profile, "machineTypes");
-  orders.idle = ways.span("connIdle", std::chrono::seconds(30));
-  orders.step = profile.span("step", Span{0});
-  orders.answerSlack = profile.part("rules").span("answerSlack", Span{0});
-  orders.drainGrace = profile.part("rules").span("drainGrace", orders.settings.connectTimeout);
-  orders.longestDeadline = longestDeadlineOf(profile);
-  return orders;
+  GatewayConfig config{};
+  config.settings = readPolicySettings(profile);
+  config.methods = namesOf(profile, "requestClasses"), config.plans = namesOf(profile, "tariffs");
+  config.zones = namesOf(profile, "failureDomains"), config.machines = namesOf(profile, "machineTypes");
+  config.idle = ways.span("connIdle", std::chrono::seconds(30));
+  config.step = profile.span("step", Span{0});
+  config.answerSlack = profile.part("rules").span("answerSlack", Span{0});
+  config.drainGrace = profile.part("rules").span("drainGrace", config.settings.connectTimeout);
+  config.longestDeadline = longestDeadlineOf(profile);
+  return config;
 }
 
-Orders readOrders(std::string text) {
+GatewayConfig readGatewayConfig(std::string text) {
   text.reserve(text.size() + simdjson::SIMDJSON_PADDING);
   simdjson::dom::parser parser;
   element root;
-  if (parser.parse(text).get(root) || !root.is_object()) throw BadInput("the file is not a JSON object");
+  if (parser.parse(text).get(root) || !root.is_object()) throw ConfigError("the file is not a JSON object");
   const Fields f("config", root);
-  Orders orders = readProfile(f.part("settings"));
-  orders.name = f.get<std::string_view>("name", "");
-  orders.listen = f.need<std::string_view>("listen");
-  orders.discovery = f.need<std::string_view>("discovery");
-  orders.counter = f.get<std::string_view>("counter", "");
-  orders.seed = readSeed(f);
-  orders.sockets = f.partOrNone("limits").get("sockets", std::size_t{1024});
-  orders.known = f.has("known") ? readRoster(f.part("known")) : Roster{0, true, {}};
-  if (orders.counter.empty()) orders.settings.counter = false;
-  return orders;
+  GatewayConfig config = readSettings(f.part("settings"));
+  config.name = f.get<std::string_view>("name", "");
+  config.listen = f.need<std::string_view>("listen");
+  config.discovery = f.need<std::string_view>("discovery");
+  config.counter = f.get<std::string_view>("counter", "");
+  config.seed = readSeed(f);
+  config.sockets = f.partOrNone("limits").get("sockets", std::size_t{1024});
+  config.known = f.has("known") ? readRoster(f.part("known")) : Roster{0, true, {}};
+  if (config.counter.empty()) config.settings.counter = false;
+  return config;
 }
 
-}  // namespace merlinbridge::orders
+}  // namespace merlinbridge::config
--- a/src/orders/orders.hpp
+++ b/src/config/gateway_config.hpp
@@ -4,13 +4,13 @@
 #include <string>
 #include <vector>
 
-#include "orders/roster.hpp"
+#include "config/endpoint_list.hpp"
 #include "policy_api/policy_settings.hpp"
 
-namespace merlinbridge::orders {
+namespace merlinbridge::config {
 
 // What the daemon is told at start: the module's terms, and what the sockets need.
-struct Orders {
+struct GatewayConfig {
   std::string name, listen, discovery, counter;  // counter: empty where there is none
   std::uint64_t seed = 0;
   std::size_t sockets = 0;  // descriptors that may be open
@@ -25,8 +25,8 @@
 };
 
 // The part of it that is the settings; the rest is left empty.
-Orders readProfile(const Fields& profile);
+GatewayConfig readSettings(const Fields& profile);
 // From the text of the file that the environment names. Throws BadInput.
-Orders readOrders(std::string text);
+GatewayConfig readGatewayConfig(std::string text);
 
-}  // namespace merlinbridge::orders
+}  // namespace merlinbridge::config
--- a/src/orders/fields.hpp
+++ b/src/config/json_fields.hpp
@@ -9,12 +9,12 @@
 
 #include "moment.hpp"
 
-namespace merlinbridge::orders {
+namespace merlinbridge::config {
 
 using simdjson::dom::element;
 
 // What came in cannot be understood; the text names the message and the field.
-struct BadInput : std::runtime_error {
+struct ConfigError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -24,7 +24,7 @@
   Fields(std::string_view message, std::optional<element> body) : message_(message), body_(body) {}
 
   [[noreturn]] void blame(std::string_view field, std::string_view what) const {
-    throw BadInput(std::string(message_) + ": field '" + std::string(field) + "' " + std::string(what));
+    throw ConfigError(std::string(message_) + ": field '" + std::string(field) + "' " + std::string(what));
   }
   bool has(std::string_view field) const {
     const auto found = find(field);
@@ -81,4 +81,4 @@
   std::optional<element> body_;
 };
 
-}  // namespace merlinbridge::orders
+}  // namespace merlinbridge::config
--- a/src/orders/pieces.cpp
+++ b/src/config/json_stream_splitter.cpp
@@ -1,6 +1,6 @@
-#include "orders/pieces.hpp"
+#include "config/json_stream_splitter.hpp"
 
-namespace merlinbridge::orders {
+namespace merlinbridge::config {
 namespace {
 
 bool isBlank(char c) {
@@ -92,4 +92,4 @@
   return true;
 }
 
-}  // namespace merlinbridge::orders
+}  // namespace merlinbridge::config
--- a/src/orders/pieces.hpp
+++ b/src/config/json_stream_splitter.hpp
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string_view>
 
-namespace merlinbridge::orders {
+namespace merlinbridge::config {
 
 // Finds where JSON objects end that come one after another, bit by bit, be each on a line of its own or
 // indented over many. It looks at what holds the text together and leaves the rest to the reader of the
@@ -41,4 +41,4 @@
   bool inText_ = false, escaped_ = false, inWord_ = false;
 };
 
-}  // namespace merlinbridge::orders
+}  // namespace merlinbridge::config
--- a/src/edge/own.cpp
+++ b/src/config/operator_config.cpp
@@ -1,10 +1,10 @@
-#include "edge/own.hpp"
+#include "config/operator_config.hpp"
 
 #include <array>
 
-#include "tables/table.hpp"
+#include "config/toml_table.hpp"
 
-namespace merlinbridge::edge {
+namespace merlinbridge::config {
 namespace {
 
 constexpr std::array kForms = std::to_array<std::pair<std::string_view, Log::Form>>(
@@ -14,24 +14,24 @@
 
 }  // namespace
 
-Own readOwn(const std::string& text, const std::string& file) {
-  const toml::table root = tables::parse(text, file);
-  tables::Table t(root, "", file);
-  Own own;
-  tables::Table log = t.part("log");
+OperatorConfig readOperatorConfig(const std::string& text, const std::string& file) {
+  const toml::table root = config::parse(text, file);
+  config::TomlTable t(root, "", file);
+  OperatorConfig own;
+  config::TomlTable log = t.part("log");
   own.form = log.oneOf<Log::Form>("form", own.form, kForms);
   own.level = log.oneOf<Level>("level", own.level, kLevels);
   log.done();
-  tables::Table end = t.part("end");
+  config::TomlTable end = t.part("end");
   own.stillComing = end.span("still_coming", own.stillComing);
   own.mostLife = end.span("most_life", own.mostLife);
   if (own.mostLife < own.stillComing) end.blame("most_life", "a time no shorter than still_coming");
   end.done();
-  tables::Table reload = t.part("reload");
+  config::TomlTable reload = t.part("reload");
   own.looks = reload.whole<int>("looks", own.looks, 0, 12);
   reload.done();
   t.done();
   return own;
 }
 
-}  // namespace merlinbridge::edge
+}  // namespace merlinbridge::config
--- a/src/edge/own.hpp
+++ b/src/config/operator_config.hpp
@@ -6,18 +6,18 @@
 #include "log.hpp"
 #include "moment.hpp"
 
-namespace merlinbridge::edge {
+namespace merlinbridge::config {
 
 // What the operators settle themselves, beside what the platform tells. Every key may be missing.
-struct Own {
+struct OperatorConfig {
   Log::Form form = Log::Form::text;
   Level level = Level::info;
   Span stillComing = std::chrono::milliseconds(700);  // after SIGTERM: for so long all that comes is answered
   Span mostLife = std::chrono::milliseconds(3700);    // and after so long the process may be killed
-  int looks = 5;                                      // at a file of orders that cannot be read
+  int looks = 5;                                      // at a file of configuration that cannot be read
 };
 
-// The whole of it is checked before anything is used. Throws tables::BadText.
-Own readOwn(const std::string& text, const std::string& file);
+// The whole of it is checked before anything is used. Throws tables::TomlError.
+OperatorConfig readOperatorConfig(const std::string& text, const std::string& file);
 
-}  // namespace merlinbridge::edge
+}  // namespace merlinbridge::config
--- a/src/orders/policy_settings_reader.cpp
+++ b/src/config/policy_settings_reader.cpp
@@ -1,6 +1,6 @@
-#include "orders/policy_settings_reader.hpp"
+#include "config/policy_settings_reader.hpp"
 
-namespace merlinbridge::orders {
+namespace merlinbridge::config {
 namespace {
 
 Method readMethod(const Fields& f) {
@@ -86,4 +86,4 @@
   if (name == "utilization" || name == "util") load.busy = value;
 }
 
-}  // namespace merlinbridge::orders
+}  // namespace merlinbridge::config
--- a/src/orders/policy_settings_reader.hpp
+++ b/src/config/policy_settings_reader.hpp
@@ -4,14 +4,14 @@
 #include <vector>
 
 #include "brain.hpp"
-#include "orders/fields.hpp"
+#include "config/json_fields.hpp"
 #include "policy_api/policy_settings.hpp"
 
-namespace merlinbridge::orders {
+namespace merlinbridge::config {
 
 PolicySettings readPolicySettings(const Fields& profile);
 std::vector<std::string> loadFieldNames(const Fields& profile);
 // One figure of a host's load report, by either of its names. What is not known is passed over.
 void readLoadFigure(LoadReport&, std::string_view name, double value);
 
-}  // namespace merlinbridge::orders
+}  // namespace merlinbridge::config
--- a/src/tables/table.hpp
+++ b/src/config/toml_table.hpp
@@ -16,10 +16,10 @@
 
 #include "moment.hpp"
 
-namespace merlinbridge::tables {
+namespace merlinbridge::config {
 
 // A TOML text that cannot be used; it says where, what was expected and what stands there.
-struct BadText : std::runtime_error {
+struct TomlError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -31,14 +31,14 @@
 inline constexpr double kLongest = 86'400;  // seconds: a day
 
 // One table of the text; knows which of its keys were asked for.
-class Table {
+class TomlTable {
  public:
-  Table(const toml::table& table, std::string path, const std::string& file)
+  TomlTable(const toml::table& table, std::string path, const std::string& file)
       : table_(table), path_(std::move(path)), file_(file) {}
 
   [[noreturn]] static void blame(const std::string& file, const toml::source_region& at,
                                  const std::string& what) {
-    throw BadText(fmt::format("{}:{}:{}: {}", file, at.begin.line, at.begin.column, what));
+    throw TomlError(fmt::format("{}:{}:{}: {}", file, at.begin.line, at.begin.column, what));
   }
   [[noreturn]] void blame(std::string_view key, const std::string& expected) const {
     const toml::node* const node = table_.get(key);
@@ -102,16 +102,16 @@
                          return {};
                        });
   }
-  Table part(std::string_view key) {
+  TomlTable part(std::string_view key) {
     used_.emplace(key);
     static const toml::table kNone;
     const toml::node* const node = table_.get(key);
     if (node && !node->is_table()) blame(key, "a table");
     return {node ? *node->as_table() : kNone, nameOf(key), file_};
   }
-  std::vector<Table> parts(std::string_view key) {
+  std::vector<TomlTable> parts(std::string_view key) {
     used_.emplace(key);
-    std::vector<Table> all;
+    std::vector<TomlTable> all;
     const toml::node* const node = table_.get(key);
     if (!node) return all;
     const toml::array* const array = node->as_array();
@@ -175,13 +175,13 @@
   std::set<std::string> used_;
 };
 
-// The whole text as one table. Throws BadText.
+// The whole text as one table. Throws TomlError.
 inline toml::table parse(const std::string& text, const std::string& file) {
   try {
     return toml::parse(text, file);
   } catch (const toml::parse_error& e) {
-    Table::blame(file, e.source(), std::string(e.description()));
+    TomlTable::blame(file, e.source(), std::string(e.description()));
   }
 }
 
-}  // namespace merlinbridge::tables
+}  // namespace merlinbridge::config
--- a/src/emulator/doorman.cpp
+++ b/src/emulator/doorman.cpp
@@ -15,8 +15,8 @@
 // The daemon's own core, with the module inside.
 class Own final : public Doorman {
  public:
-  Own(const orders::Orders& orders, Time now, front::Deadlines& deadlines, front::Ways& ways)
-      : front_(orders, now, deadlines, ways) {}
+  Own(const config::GatewayConfig& config, Time now, front::Deadlines& deadlines, front::Ways& ways)
+      : front_(config, now, deadlines, ways) {}
 
   void requestArrived(Time now, SlotRef client, const Request& request) override {
     const RequestId requestId = front_.requestArrived(now, client, request);
@@ -40,7 +40,7 @@
   void counted(Time now, const CountName& name, CountEnd end, double total, Span took) override {
     front_.counted(now, name, end, total, took);
   }
-  void hostsTold(Time now, const orders::Roster& roster) override { front_.hostsTold(now, roster); }
+  void hostsTold(Time now, const config::Roster& roster) override { front_.hostsTold(now, roster); }
   const std::string& addressOf(HostId host) const override { return front_.addressOf(host); }
   void endBy(Time by) override { front_.endBy(by); }
   std::size_t unanswered() const override { return front_.unanswered(); }
@@ -55,13 +55,13 @@
 // What the policies beside the module share: one attempt for each request, and no second.
 class Simple : public Doorman {
  public:
-  Simple(const orders::Orders& orders, Time now, front::Deadlines& deadlines, front::Ways& ways)
-      : settings_(orders.settings),
-        slack_(orders.answerSlack),
+  Simple(const config::GatewayConfig& config, Time now, front::Deadlines& deadlines, front::Ways& ways)
+      : settings_(config.settings),
+        slack_(config.answerSlack),
         deadlines_(deadlines),
         ways_(ways),
-        dice_(orders.seed, "policy") {
-    orders::Roster known = orders.known;
+        dice_(config.seed, "policy") {
+    config::Roster known = config.known;
     known.whole = true;
     Simple::hostsTold(now, known);
   }
@@ -93,9 +93,9 @@
     ways_.answerFailed(held.client);
   }
   void counted(Time, const CountName&, CountEnd, double, Span) override {}
-  void hostsTold(Time, const orders::Roster& roster) override {
+  void hostsTold(Time, const config::Roster& roster) override {
     if (roster.whole) serving_.clear();
-    for (const orders::RosterLine& line : roster.lines) {
+    for (const config::RosterLine& line : roster.lines) {
       std::erase(serving_, line.address);
       if (line.serving) serving_.push_back(line.address);
     }
@@ -176,8 +176,9 @@
 // Sees every quota and every host as they are.
 class Seeing final : public Simple {
  public:
-  Seeing(const orders::Orders& orders, Time now, front::Deadlines& deadlines, front::Ways& ways, Truth truth)
-      : Simple(orders, now, deadlines, ways), truth_(std::move(truth)) {}
+  Seeing(const config::GatewayConfig& config, Time now, front::Deadlines& deadlines, front::Ways& ways,
+         Truth truth)
+      : Simple(config, now, deadlines, ways), truth_(std::move(truth)) {}
 
  private:
   bool admits(Time, const Request& a) override {
@@ -213,17 +214,17 @@
   return std::nullopt;
 }
 
-std::unique_ptr<Doorman> doormanOf(Policy policy, const orders::Orders& orders, Time now,
+std::unique_ptr<Doorman> doormanOf(Policy policy, const config::GatewayConfig& config, Time now,
                                    front::Deadlines& deadlines, front::Ways& ways, const Truth& truth) {
   switch (policy) {
     case Policy::module:
-      return std::make_unique<Own>(orders, now, deadlines, ways);
+      return std::make_unique<Own>(config, now, deadlines, ways);
     case Policy::all:
-      return std::make_unique<Simple>(orders, now, deadlines, ways);
+      return std::make_unique<Simple>(config, now, deadlines, ways);
     case Policy::even:
-      return std::make_unique<Even>(orders, now, deadlines, ways);
+      return std::make_unique<Even>(config, now, deadlines, ways);
     case Policy::truth:
-      return std::make_unique<Seeing>(orders, now, deadlines, ways, truth);
+      return std::make_unique<Seeing>(config, now, deadlines, ways, truth);
   }
   return nullptr;
 }
--- a/src/emulator/doorman.hpp
+++ b/src/emulator/doorman.hpp
@@ -17,7 +17,7 @@
   virtual void clientLeft(Time, front::SlotRef client) = 0;
   virtual void attemptEnded(Time, RequestId, AttemptNumber, Outcome, const front::Said&) = 0;
   virtual void counted(Time, const CountName&, CountEnd, double total, Span took) = 0;
-  virtual void hostsTold(Time, const orders::Roster&) = 0;
+  virtual void hostsTold(Time, const config::Roster&) = 0;
   virtual const std::string& addressOf(HostId) const = 0;
   virtual void endBy(Time) = 0;
   virtual std::size_t unanswered() const = 0;
@@ -33,7 +33,7 @@
 std::string_view wordOf(Policy);
 std::optional<Policy> policyNamed(std::string_view word);
 
-std::unique_ptr<Doorman> doormanOf(Policy, const orders::Orders&, Time now, front::Deadlines&, front::Ways&,
-                                   const Truth&);
+std::unique_ptr<Doorman> doormanOf(Policy, const config::GatewayConfig&, Time now, front::Deadlines&,
+                                   front::Ways&, const Truth&);
 
 }  // namespace merlinbridge::emulator
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -10,12 +10,12 @@
 #include <iterator>
 #include <utility>
 
-#include "tables/table.hpp"
+#include "config/toml_table.hpp"
 
 namespace merlinbridge::emulator {
 namespace {
 
-using tables::Table;
+using config::TomlTable;
 
 constexpr std::array kTroubles = std::to_array<std::pair<std::string_view, Trouble>>({
     {"gateway_kill", Trouble::gatewayKill},
@@ -100,8 +100,8 @@
   return std::chrono::milliseconds(n);
 }
 
-void readFaults(Table& root, Scenario& s) {
-  for (Table& t : root.parts("fault")) {
+void readFaults(TomlTable& root, Scenario& s) {
+  for (TomlTable& t : root.parts("fault")) {
     Fault f{};
     f.kind = t.oneOf<Trouble>("kind", {}, kTroubles);
     f.from = t.range("from", {});
@@ -132,22 +132,22 @@
 // NOLINTNEXTLINE(readability-function-size): split in part two (issue 30)
 Scenario readScenario(const std::string& text, const std::string& file,
                       const std::vector<std::string>& changes) {
-  toml::table root = tables::parse(text, file);
+  toml::table root = config::parse(text, file);
   for (const std::string& one : changes) change(root, one);
 
   Scenario s;
-  Table t(root, "", file);
+  TomlTable t(root, "", file);
   s.name = t.text("name");
   s.length = t.span("length", {});
 
-  Table fleet = t.part("fleet");
+  TomlTable fleet = t.part("fleet");
   s.gateways = fleet.whole<std::uint32_t>("gateways", {}, 1, 4096);
   s.zones = fleet.whole<std::uint32_t>("zones", 1, 1, 1024);
   s.restart = fleet.span("restart", ms(300));
   s.notice = fleet.span("notice", ms(1000));
   fleet.done();
 
-  Table hosts = t.part("hosts");
+  TomlTable hosts = t.part("hosts");
   s.hosts = hosts.whole<std::uint32_t>("count", {}, 0, 16'384);
   s.cores = hosts.whole<int>("cores", 4, 1, 4096);
   s.room = hosts.whole<int>("room", 64, 0, 1'000'000);
@@ -161,14 +161,14 @@
   s.reports = hosts.flag("reports", true);
   hosts.done();
 
-  Table network = t.part("network");
+  TomlTable network = t.part("network");
   s.delay = network.span("delay", std::chrono::microseconds(400));
   s.jitter = network.span("jitter", std::chrono::microseconds(200));
   s.loss = network.number("loss", 0, 0, 1);
   s.connectTimeout = network.span("connect_patience", ms(250));
   network.done();
 
-  Table clients = t.part("clients");
+  TomlTable clients = t.part("clients");
   s.rate = clients.number("rate", {}, 0, 10'000'000);
   s.customers = clients.whole<std::uint32_t>("customers", 100, 1, 10'000'000);
   s.skew = clients.number("skew", 0.8, 0, 4);
@@ -180,7 +180,7 @@
   s.leaves = clients.number("leaves", 0, 0, 1);
   clients.done();
 
-  for (Table& m : t.parts("method")) {
+  for (TomlTable& m : t.parts("method")) {
     ScenarioMethod method{};
     method.name = m.text("name");
     method.repeat = m.oneOf<Repeat>("repeat", Repeat::idempotent, kRepeats);
@@ -197,7 +197,7 @@
   }
   if (s.methods.empty()) throw BadScenario(file + ":1:1: expected at least one [[method]]");
 
-  for (Table& p : t.parts("plan")) {
+  for (TomlTable& p : t.parts("plan")) {
     ScenarioPlan plan{};
     plan.name = p.text("name");
     plan.plan.rate = p.number("rate", 0, 0, 1e9);
@@ -213,7 +213,7 @@
   }
   if (s.plans.empty()) s.plans.push_back({"free", {0, 0, 0, 0, 0, 0, 1}, 1});
 
-  Table counter = t.part("counter");
+  TomlTable counter = t.part("counter");
   s.counter = counter.flag("present", true);
   s.counterParts = counter.whole<int>("parts", 1, 1, 1024);
   s.counterRoom = counter.whole<int>("room", 500, 1, 1'000'000);
@@ -221,12 +221,12 @@
   s.counterTimeout = counter.span("patience", ms(100));
   counter.done();
 
-  Table discovery = t.part("discovery");
+  TomlTable discovery = t.part("discovery");
   s.told = discovery.span("told", ms(100));
   s.indented = discovery.flag("indented", false);
   discovery.done();
 
-  Table rules = t.part("rules");
+  TomlTable rules = t.part("rules");
   s.drainGrace = rules.span("drain_grace", ms(500));
   s.answerSlack = rules.span("answer_slack", ms(50));
   s.maxRetryAfter = rules.span("longest_advice", ms(2000));
@@ -249,8 +249,8 @@
   return longest;
 }
 
-orders::Orders Scenario::orders() const {
-  orders::Orders o{};
+config::GatewayConfig Scenario::config() const {
+  config::GatewayConfig o{};
   o.sockets = 1024;
   for (const ScenarioMethod& m : methods) {
     o.settings.methods.push_back({m.repeat, m.group, m.window, m.soft, m.utility});
--- a/src/emulator/scenario.hpp
+++ b/src/emulator/scenario.hpp
@@ -6,13 +6,13 @@
 #include <string_view>
 #include <vector>
 
-#include "orders/orders.hpp"
-#include "tables/table.hpp"
+#include "config/gateway_config.hpp"
+#include "config/toml_table.hpp"
 
 namespace merlinbridge::emulator {
 
-using BadScenario = tables::BadText;
-using tables::Range;
+using BadScenario = config::TomlError;
+using config::Range;
 
 enum class Trouble {
   gatewayKill,      // a share of the gateways dies at once and comes back after the fault
@@ -100,7 +100,7 @@
 
   Span longestDeadline() const;
   // What one gateway of it is told at start, less the hosts.
-  orders::Orders orders() const;
+  config::GatewayConfig config() const;
 };
 
 std::string_view wordOf(Trouble);
--- a/src/emulator/tally.hpp
+++ b/src/emulator/tally.hpp
@@ -71,7 +71,7 @@
 
 // Plays a scenario to its end. One seed gives one run, to the last byte. `doorman` takes the place of the
 // policy's own where it is given: for tests of the ledger.
-using DoormanMaker = std::function<std::unique_ptr<Doorman>(const orders::Orders&, Time now,
+using DoormanMaker = std::function<std::unique_ptr<Doorman>(const config::GatewayConfig&, Time now,
                                                             front::Deadlines&, front::Ways&, const Truth&)>;
 Tally play(const Scenario&, std::uint64_t seed, Policy, const DoormanMaker& doorman = {});
 
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -11,10 +11,10 @@
 #include <set>
 #include <unordered_map>
 
+#include "config/json_stream_splitter.hpp"
 #include "emulator/agenda.hpp"
 #include "emulator/dice.hpp"
 #include "emulator/tally.hpp"
-#include "orders/pieces.hpp"
 
 namespace merlinbridge::emulator {
 namespace {
@@ -359,7 +359,7 @@
     node.armed = Time::max(), node.told = generation, node.refusals = 0, node.feeding = false;
     node.deadlines = {};
     node.attempts = {}, node.calls = {}, node.resting.clear(), node.knowsLife.clear();
-    orders::Orders o = orders;
+    config::GatewayConfig o = config;
     o.seed = lives.word();
     o.known.generation = generation;
     o.known.whole = true;
@@ -426,7 +426,7 @@
 
   // ---- hosts ----
 
-  orders::RosterLine lineOf(std::uint32_t m) const {
+  config::RosterLine lineOf(std::uint32_t m) const {
     const Machine& at = machines[m];
     return {at.name,
             std::to_string(m),
@@ -651,20 +651,20 @@
     for (auto at = changes.rbegin(); at != changes.rend() && at->first > node.told; ++at)
       changed.insert(at->second);
     std::string text = listText(changed);
-    orders::Pieces pieces;
+    config::Pieces pieces;
     if (any(Trouble::discoveryMangle, [](const Active&) { return true; }) && lists.lucky(0.5))
       text.resize(1 + lists.below(text.size() - 1));
     // It comes in two parts, cut anywhere, and goes the way that the daemon's bytes go.
     const std::string half = text.substr(0, lists.below(text.size() + 1));
     auto end = pieces.take(half);
-    if (end == orders::Pieces::End::more) end = pieces.take(text);
-    if (end != orders::Pieces::End::piece) return later(scaled(sc.connectTimeout, 0.5 + lists.even()));
+    if (end == config::Pieces::End::more) end = pieces.take(text);
+    if (end != config::Pieces::End::piece) return later(scaled(sc.connectTimeout, 0.5 + lists.even()));
     std::string line = text.substr(pieces.from(), pieces.at() - pieces.from());
     line.reserve(line.size() + simdjson::SIMDJSON_PADDING);
     simdjson::dom::parser parser;
-    orders::element root;
+    config::element root;
     if (parser.parse(line).get(root)) return later(scaled(sc.connectTimeout, 0.5 + lists.even()));
-    const orders::Roster roster = orders::readRoster(orders::Fields("discovery", root));
+    const config::Roster roster = config::readRoster(config::Fields("discovery", root));
     tally.listLines += roster.lines.size();
     node.told = generation, node.feeding = false;
     for (const std::uint32_t m : changed) tellOne(node, m);
@@ -682,7 +682,7 @@
         fmt::format("{{{0}\"generation\": {1},{0}\"reset\": false,{0}\"instances\": [", gap, generation);
     bool first = true;
     for (const std::uint32_t m : changed) {
-      const orders::RosterLine line = lineOf(m);
+      const config::RosterLine line = lineOf(m);
       fmt::format_to(
           std::back_inserter(text),
           "{}{}{{\"instanceId\":\"{}\",\"hostPort\":\"{}\",\"zone\":\"{}\",\"machineType\":\"m\",\"cell\":{},"
@@ -879,7 +879,7 @@
   // ---- the run ----
 
   Tally run() {
-    orders = sc.orders();
+    config = sc.config();
     drawCustomers();
     for (CounterState& c : counters) c.busyUntil.assign(static_cast<std::size_t>(sc.counterParts), kBegin);
     for (std::uint32_t h = 0; h < sc.hosts; ++h) addMachine(h % sc.zones, false);
@@ -914,7 +914,7 @@
   std::unordered_map<std::uint64_t, SlotRef> tryOf;  // by id, while attempts of it are out; looked up only
   std::size_t tryOfSweep = 1024;
   std::uint64_t lastTry = 0;
-  orders::Orders orders;
+  config::GatewayConfig config;
   std::deque<Node> nodes;
   std::vector<Machine> machines;
   front::Slots<Job> jobs;
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -13,18 +13,19 @@
 
 }  // namespace
 
-Front::Front(const orders::Orders& orders, Time now, Deadlines& deadlines, Ways& ways, Timekeeper timekeeper)
-    : settings_(orders.settings),
-      slack_(orders.answerSlack),
-      forgets_(orders.longestDeadline),
+Front::Front(const config::GatewayConfig& config, Time now, Deadlines& deadlines, Ways& ways,
+             Timekeeper timekeeper)
+    : settings_(config.settings),
+      slack_(config.answerSlack),
+      forgets_(config.longestDeadline),
       keepsTime_(timekeeper == Timekeeper::core),
       now_(now),
-      words_{Names<MethodId>(orders.methods), Names<PlanId>(orders.plans), Names<ZoneId>(orders.zones),
-             Names<MachineId>(orders.machines)},
+      words_{Names<MethodId>(config.methods), Names<PlanId>(config.plans), Names<ZoneId>(config.zones),
+             Names<MachineId>(config.machines)},
       deadlines_(deadlines),
       ways_(ways),
-      gateway_(orders.settings, orders.seed, now, *this) {
-  orders::Roster known = orders.known;
+      gateway_(config.settings, config.seed, now, *this) {
+  config::Roster known = config.known;
   known.whole = true;
   hostsTold(now, known);
 }
@@ -83,10 +84,10 @@
   settle(now, {});
 }
 
-void Front::hostsTold(Time now, const orders::Roster& roster) {
+void Front::hostsTold(Time now, const config::Roster& roster) {
   now_ = now;
   std::vector<HostLine> lines;
-  for (const orders::RosterLine& line : roster.lines) {
+  for (const config::RosterLine& line : roster.lines) {
     const auto host = numberOf(line);
     if (!host) continue;
     std::string& address = addresses_[host->value];
@@ -146,7 +147,7 @@
   throw std::out_of_range("no host named " + std::string(name));
 }
 
-std::optional<HostId> Front::numberOf(const orders::RosterLine& line) {
+std::optional<HostId> Front::numberOf(const config::RosterLine& line) {
   if (const auto known = hosts_.find(line.name)) return known;
   if (line.gone) return std::nullopt;  // never heard of, and no more
   // Guards against work for every request that grows with all the hosts that there ever were.
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -7,10 +7,10 @@
 #include <vector>
 
 #include "brain.hpp"
+#include "config/gateway_config.hpp"
 #include "front/ask.hpp"
 #include "front/deadlines.hpp"
 #include "front/slots.hpp"
-#include "orders/orders.hpp"
 
 namespace merlinbridge::front {
 
@@ -52,7 +52,7 @@
 // all deadlines. It carries the module's decisions to the adapters and hands back what came of them.
 class Front final : private Port {
  public:
-  Front(const orders::Orders&, Time now, Deadlines&, Ways&, Timekeeper = Timekeeper::core);
+  Front(const config::GatewayConfig&, Time now, Deadlines&, Ways&, Timekeeper = Timekeeper::core);
 
   const Words& words() const { return words_; }
   const PolicySettings& settings() const { return settings_; }
@@ -68,7 +68,7 @@
   void attemptEnded(Time now, RequestId, AttemptNumber, Outcome, const Said& = {});
   void counted(Time now, const CountName&, CountEnd, double total, Span took);
   void probed(Time now, HostId, bool ok, const LoadReport&);
-  void hostsTold(Time now, const orders::Roster&);
+  void hostsTold(Time now, const config::Roster&);
   // This gateway is ended at that time: whatever is still without an answer gets one before.
   void endBy(Time);
 
@@ -102,7 +102,7 @@
   void abandonAttempt(Time now, RequestId, AttemptNumber, Outcome);
   void expire(Time now, RequestId);
   void settle(Time now, RequestId);
-  std::optional<HostId> numberOf(const orders::RosterLine&);
+  std::optional<HostId> numberOf(const config::RosterLine&);
 
   const PolicySettings settings_;
   const Span slack_, forgets_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -7,10 +7,10 @@
 #include <iostream>
 #include <sstream>
 
-#include "edge/own.hpp"
+#include "config/gateway_config.hpp"
+#include "config/operator_config.hpp"
+#include "config/toml_table.hpp"
 #include "net/gate.hpp"
-#include "orders/orders.hpp"
-#include "tables/table.hpp"
 
 namespace merlinbridge {
 namespace {
@@ -20,7 +20,7 @@
 
 std::string textOf(const std::string& path) {
   std::ifstream file(path);
-  if (!file) throw orders::BadInput("cannot read " + path);
+  if (!file) throw config::ConfigError("cannot read " + path);
   std::ostringstream text;
   text << file.rdbuf();
   return std::move(text).str();
@@ -33,14 +33,15 @@
 
 // Where it is told what: the words of the command line come before the environment.
 struct Told {
-  std::string orders = settingOf("GW_CONFIG"), own = settingOf("GW_OWN");
+  std::string config = settingOf("GW_CONFIG"), own = settingOf("GW_OWN");
 
-  orders::Orders readOrders() const {
-    if (orders.empty()) throw orders::BadInput("GW_CONFIG is not set");
-    return orders::readOrders(textOf(orders));
+  config::GatewayConfig readGatewayConfig() const {
+    if (config.empty()) throw config::ConfigError("GW_CONFIG is not set");
+    return config::readGatewayConfig(textOf(config));
   }
-  edge::Own readOwn() const {
-    edge::Own read = own.empty() ? edge::Own{} : edge::readOwn(textOf(own), own);
+  config::OperatorConfig readOperatorConfig() const {
+    config::OperatorConfig read =
+        own.empty() ? config::OperatorConfig{} : config::readOperatorConfig(textOf(own), own);
     const std::string level = settingOf("GW_LOG_LEVEL");
     if (level == "debug") read.level = Level::debug;
     if (level == "info") read.level = Level::info;
@@ -57,7 +58,7 @@
 
   // The signals are caught before the file is read, and heard once it is served: guards against one that
   // comes in between, whose default would end the process.
-  Daemon(const Told& told, const edge::Own& own, Log& log)
+  Daemon(const Told& told, const config::OperatorConfig& own, Log& log)
       : told_(told), own_(own), log_(log), loop_(log, clock_), gate_(loop_, begin()) {
     ends_.async_wait([this](const net::Error& error, int) {
       if (!error) enter(Phase::leaving);
@@ -80,13 +81,13 @@
   static constexpr Span kFirstLook = std::chrono::milliseconds(50);
   static constexpr Span kOneLineIn = std::chrono::seconds(10);
 
-  orders::Orders begin() {
-    orders::Orders orders = told_.readOrders();
-    loop_.rideFor(orders.step);
-    longestDeadline_ = orders.longestDeadline;
-    log_(Level::info, "started", orders.name, " starts at ", orders.listen, " with ",
-         orders.known.lines.size(), " hosts known");
-    return orders;
+  config::GatewayConfig begin() {
+    config::GatewayConfig config = told_.readGatewayConfig();
+    loop_.rideFor(config.step);
+    longestDeadline_ = config.longestDeadline;
+    log_(Level::info, "started", config.name, " starts at ", config.listen, " with ",
+         config.known.lines.size(), " hosts known");
+    return config;
   }
 
   void hearHangUps() {
@@ -105,10 +106,10 @@
   void readAgain(int looks) {
     look_ = {};
     try {
-      const orders::Orders orders = told_.readOrders();
-      gate_.moveTo(orders.discovery, orders.counter);
-      log_(Level::info, "orders_taken", "orders read again: discovery at ", orders.discovery, ", counter at ",
-           orders.counter.empty() ? "none" : orders.counter);
+      const config::GatewayConfig config = told_.readGatewayConfig();
+      gate_.moveTo(config.discovery, config.counter);
+      log_(Level::info, "orders_taken", "configuration read again: discovery at ", config.discovery,
+           ", counter at ", config.counter.empty() ? "none" : config.counter);
     } catch (const std::runtime_error& e) {
       keepOut(looks, e.what());
     } catch (const std::invalid_argument& e) {
@@ -121,7 +122,7 @@
     const bool tell = looks == 0 && (keptOutAt_ == Time{} || now - keptOutAt_ >= kOneLineIn);
     if (tell) keptOutAt_ = now;
     log_(tell ? Level::warning : Level::debug, "orders_kept_out",
-         "orders not taken, the old ones stay in force: ", why);
+         "configuration not taken, the old ones stay in force: ", why);
     if (looks < own_.looks)
       look_ =
           loop_.deadlines.add(now + kFirstLook * (1 << looks), [this, looks](Time) { readAgain(looks + 1); });
@@ -172,7 +173,7 @@
   }
 
   const Told& told_;
-  const edge::Own own_;
+  const config::OperatorConfig own_;
   Log& log_;
   const net::SystemClock clock_;
   Span longestDeadline_{};
@@ -187,14 +188,14 @@
 int serve(const Told& told) {
   Log log(std::cerr, Level::info);
   try {
-    const edge::Own own = told.readOwn();
+    const config::OperatorConfig own = told.readOperatorConfig();
     log.use(own.level, own.form);
     Daemon(told, own, log).run();
     return kDone;
-  } catch (const orders::BadInput& e) {
+  } catch (const config::ConfigError& e) {
     log(Level::error, "orders_bad", "merlinbridge: ", e.what());
     return kUnfit;
-  } catch (const tables::BadText& e) {
+  } catch (const config::TomlError& e) {
     log(Level::error, "own_bad", "merlinbridge: ", e.what());
     return kUnfit;
   } catch (const std::invalid_argument& e) {
@@ -218,16 +219,16 @@
     }
   };
   look("own", [&told] {
-    told.readOwn();
+    told.readOperatorConfig();
     return told.own.empty() ? std::string("none, all as it is without") : "fit";
   });
-  look("orders", [&told] {
-    const orders::Orders orders = told.readOrders();
-    net::endpointOf(orders.listen), net::endpointOf(orders.discovery);
-    if (!orders.counter.empty()) net::endpointOf(orders.counter);
-    return fmt::format("fit: {} hosts known, {} methods, {} plans, {} gateways", orders.known.lines.size(),
-                       orders.settings.methods.size(), orders.settings.plans.size(),
-                       orders.settings.gateways);
+  look("configuration", [&told] {
+    const config::GatewayConfig config = told.readGatewayConfig();
+    net::endpointOf(config.listen), net::endpointOf(config.discovery);
+    if (!config.counter.empty()) net::endpointOf(config.counter);
+    return fmt::format("fit: {} hosts known, {} methods, {} plans, {} gateways", config.known.lines.size(),
+                       config.settings.methods.size(), config.settings.plans.size(),
+                       config.settings.gateways);
   });
   return worst;
 }
@@ -247,7 +248,7 @@
       "Without a word it serves.");
   app.require_subcommand(0, 1);
   const auto files = [&told](CLI::App* c) {
-    c->add_option("--orders", told.orders, "the platform's file (JSON), else GW_CONFIG");
+    c->add_option("--orders", told.config, "the platform's file (JSON), else GW_CONFIG");
     c->add_option("--own", told.own, "the operators' file (TOML), else GW_OWN");
   };
   files(app.add_subcommand("serve", "serves until SIGTERM; SIGHUP has it read the platform's file again"));
--- a/src/net/gate.cpp
+++ b/src/net/gate.cpp
@@ -29,15 +29,15 @@
 
 }  // namespace
 
-Gate::Gate(Loop& loop, const orders::Orders& orders)
+Gate::Gate(Loop& loop, const config::GatewayConfig& config)
     : loop_(loop),
-      clients_(loop, endpointOf(orders.listen), shareOf(orders.sockets), orders.idle, orders.longestDeadline),
-      hosts_(loop, shareOf(orders.sockets), orders.idle, orders.settings.connectTimeout),
-      counter_(loop, orders.counter, orders.settings.counterTimeout, orders.settings.connectTimeout,
-               orders.idle),
-      watch_(loop, orders.discovery, orders.known.generation, orders.settings.connectTimeout,
-             orders.drainGrace, orders.seed),
-      front_(orders, loop.now(), loop.deadlines, *this) {}
+      clients_(loop, endpointOf(config.listen), shareOf(config.sockets), config.idle, config.longestDeadline),
+      hosts_(loop, shareOf(config.sockets), config.idle, config.settings.connectTimeout),
+      counter_(loop, config.counter, config.settings.counterTimeout, config.settings.connectTimeout,
+               config.idle),
+      watch_(loop, config.discovery, config.known.generation, config.settings.connectTimeout,
+             config.drainGrace, config.seed),
+      front_(config, loop.now(), loop.deadlines, *this) {}
 
 void Gate::serve() {
   hosts_.serve(front_);
--- a/src/net/gate.hpp
+++ b/src/net/gate.hpp
@@ -13,7 +13,7 @@
 // The sockets round the core: carries what it decides to clients, hosts and the counter.
 class Gate final : private front::Ways {
  public:
-  Gate(Loop&, const orders::Orders&);
+  Gate(Loop&, const config::GatewayConfig&);
 
   void serve();  // clients are accepted, discovery is watched
   // Where discovery and the counter are from now on. Throws std::invalid_argument, and then nothing has
--- a/src/net/hosts.cpp
+++ b/src/net/hosts.cpp
@@ -5,7 +5,7 @@
 #include <charconv>
 #include <cmath>
 
-#include "orders/policy_settings_reader.hpp"
+#include "config/policy_settings_reader.hpp"
 
 namespace merlinbridge::net {
 namespace {
@@ -102,7 +102,7 @@
       const auto word = value.substr(0, comma);
       const auto equals = word.find('=');
       if (equals != std::string_view::npos)
-        orders::readLoadFigure(said.load, word.substr(0, equals), numberOf(word.substr(equals + 1)));
+        config::readLoadFigure(said.load, word.substr(0, equals), numberOf(word.substr(equals + 1)));
       value.remove_prefix(std::min(value.size(), comma + 1));
     }
   }
--- a/src/net/watch.cpp
+++ b/src/net/watch.cpp
@@ -51,22 +51,22 @@
     const std::size_t seen = pieces_.at();
     const bool waited = pieces_.begun();
     const auto end = pieces_.take(buffer_.view().substr(0, decoded_));
-    if (end == orders::Pieces::End::bad) return broken();
+    if (end == config::Pieces::End::bad) return broken();
     // Guards against a list that is begun and never ended, though beats come all the while.
-    if (!waited && (pieces_.begun() || end == orders::Pieces::End::piece)) begunAt_ = loop_.now();
+    if (!waited && (pieces_.begun() || end == config::Pieces::End::piece)) begunAt_ = loop_.now();
     if (pieces_.begun() ? pieces_.from() > seen : pieces_.at() > seen) {
       watch_.lists_ = -1;  // a watch that was had is asked for again first
       watch_.heard();
     }
     std::string list;
-    if (end == orders::Pieces::End::piece)
+    if (end == config::Pieces::End::piece)
       list = buffer_.view().substr(pieces_.from(), pieces_.at() - pieces_.from());
     if (const std::size_t done = pieces_.begun() ? pieces_.from() : pieces_.at(); done > 0) {
       buffer_.drop(done);
       decoded_ -= done;
       pieces_.dropped(done);
     }
-    if (end == orders::Pieces::End::more) return;
+    if (end == config::Pieces::End::more) return;
     if (!watch_.take(std::move(list))) return broken();
   }
 }
@@ -146,15 +146,15 @@
   try {
     line.reserve(line.size() + simdjson::SIMDJSON_PADDING);
     simdjson::dom::parser parser;
-    orders::element root;
+    config::element root;
     if (parser.parse(line).get(root) || !root.is_object())
-      throw orders::BadInput("a line is not a JSON object");
-    const orders::Roster roster = orders::readRoster(orders::Fields("discovery", root));
+      throw config::ConfigError("a line is not a JSON object");
+    const config::Roster roster = config::readRoster(config::Fields("discovery", root));
     generation_ = roster.generation;
     heard();
     front_->hostsTold(loop_.now(), roster);
     return true;
-  } catch (const orders::BadInput& e) {
+  } catch (const config::ConfigError& e) {
     loop_.log(Level::debug, "list_unreadable", "discovery sent what cannot be read: ", e.what());
     return false;
   }
--- a/src/net/watch.hpp
+++ b/src/net/watch.hpp
@@ -4,10 +4,10 @@
 #include <random>
 #include <string>
 
+#include "config/json_stream_splitter.hpp"
 #include "front/front.hpp"
 #include "http/message.hpp"
 #include "net/connection.hpp"
-#include "orders/pieces.hpp"
 
 namespace merlinbridge::net {
 
@@ -34,7 +34,7 @@
   http::Chunks chunks_;
   bool inBody_ = false;
   std::size_t decoded_ = 0;
-  orders::Pieces pieces_;
+  config::Pieces pieces_;
   Time heard_, begunAt_{};
 };
 
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -62,9 +62,9 @@
 // A doorman that breaks one rule on purpose and is otherwise plain.
 class Breaker final : public Doorman {
  public:
-  Breaker(Rule rule, const orders::Orders& orders, front::Deadlines& deadlines, front::Ways& ways)
+  Breaker(Rule rule, const config::GatewayConfig& config, front::Deadlines& deadlines, front::Ways& ways)
       : rule_(rule), deadlines_(deadlines), ways_(ways) {
-    for (const auto& line : orders.known.lines)
+    for (const auto& line : config.known.lines)
       if (line.serving) hosts_.push_back(line.address);
   }
   void requestArrived(Time now, SlotRef client, const Request& a) override {
@@ -112,7 +112,7 @@
     outcome == Outcome::rejected ? ways_.answerRejected(client, Span{0}) : ways_.answerFailed(client);
   }
   void counted(Time, const CountName&, CountEnd, double, Span) override {}
-  void hostsTold(Time, const orders::Roster& roster) override {
+  void hostsTold(Time, const config::Roster& roster) override {
     if (rule_ == Rule::drain) return;
     for (const auto& line : roster.lines) {
       std::erase(hosts_, line.address);
@@ -247,8 +247,8 @@
     const Scenario s = readScenario(kPlain + one.faults, "s.toml", one.changes);
     const Tally t =
         play(s, 1, Policy::module,
-             [&](const orders::Orders& orders, Time, front::Deadlines& deadlines, front::Ways& ways,
-                 const Truth&) { return std::make_unique<Breaker>(one.rule, orders, deadlines, ways); });
+             [&](const config::GatewayConfig& config, Time, front::Deadlines& deadlines, front::Ways& ways,
+                 const Truth&) { return std::make_unique<Breaker>(one.rule, config, deadlines, ways); });
     CHECK(t.breaches[static_cast<std::size_t>(one.rule)] > 0);
     bool named = false;
     for (const Breach& b : t.first)
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -45,24 +45,24 @@
   std::vector<std::uint32_t> givenUp, gone;
 };
 
-orders::RosterLine line(const std::string& name, bool serving = true) {
+config::RosterLine line(const std::string& name, bool serving = true) {
   return {name, "127.0.0.1:1", "a", "m", 0, serving, !serving, 1, 0s};
 }
-orders::Orders plainOrders(int hosts) {
-  orders::Orders orders{};
-  orders.settings = plainSettings(1);
-  orders.methods = {"look", "book", "zoned", "pay"};
-  orders.plans = {"metered", "open", "capped"};
-  orders.answerSlack = 16ms;
-  orders.longestDeadline = 2s;
-  orders.known.generation = 1;
-  for (int h = 0; h < hosts; ++h) orders.known.lines.push_back(line("h" + std::to_string(h)));
-  return orders;
+config::GatewayConfig plainConfig(int hosts) {
+  config::GatewayConfig config{};
+  config.settings = plainSettings(1);
+  config.methods = {"look", "book", "zoned", "pay"};
+  config.plans = {"metered", "open", "capped"};
+  config.answerSlack = 16ms;
+  config.longestDeadline = 2s;
+  config.known.generation = 1;
+  for (int h = 0; h < hosts; ++h) config.known.lines.push_back(line("h" + std::to_string(h)));
+  return config;
 }
 
 struct Core {
-  explicit Core(int hosts = 2) : Core(plainOrders(hosts)) {}
-  explicit Core(const orders::Orders& orders) : front(orders, now, deadlines, ways) {}
+  explicit Core(int hosts = 2) : Core(plainConfig(hosts)) {}
+  explicit Core(const config::GatewayConfig& config) : front(config, now, deadlines, ways) {}
   RequestId ask(std::uint32_t method, Span patience = 1s) {
     return front.requestArrived(now, {0, 1}, {{}, {++customers}, {1}, {method}, now + patience, 1, 1});
   }
@@ -129,7 +129,7 @@
 
 TEST_CASE("a host that has started again loses the connections that rest towards it") {
   Core core;
-  orders::RosterLine back = line("h1");
+  config::RosterLine back = line("h1");
   back.started = 1'700'000'000s;
   core.front.hostsTold(core.now, {2, false, {line("h0"), back}});
   CHECK(core.ways.gone == std::vector<std::uint32_t>{1});
@@ -195,13 +195,13 @@
 }
 
 TEST_CASE("a thousand hosts and gateways are borne, and so is the replacement of all of them") {
-  orders::Orders orders = plainOrders(1024);
-  orders.settings.gateways = 1024;
+  config::GatewayConfig config = plainConfig(1024);
+  config.settings.gateways = 1024;
   Written ways;
   front::Deadlines deadlines;
   const Time now{1'700'000'000s};
-  front::Front front(orders, now, deadlines, ways);
-  orders::Roster all{2, true, {}};
+  front::Front front(config, now, deadlines, ways);
+  config::Roster all{2, true, {}};
   for (int h = 0; h < 1024; ++h) all.lines.push_back(line("new" + std::to_string(h)));
   front.hostsTold(now, all);
   for (std::uint64_t n = 0; n < 200; ++n) {
@@ -253,9 +253,9 @@
 
 TEST_CASE("what a client says of its request is read, or its fault is named") {
   const PolicySettings settings = plainSettings();
-  const auto orders = plainOrders(1);
+  const auto config = plainConfig(1);
   const front::Words words{
-      front::Names<MethodId>(orders.methods), front::Names<PlanId>(orders.plans), {}, {}};
+      front::Names<MethodId>(config.methods), front::Names<PlanId>(config.plans), {}, {}};
   const std::string good =
       "GET /look HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: book\r\nPlan: open\r\nAccount: 00000000b4d65521\r\n"
       "Req-Deadline-Ms: 480\r\nQuota-Info: units=2, spread=3,first=1\r\n\r\n";
@@ -319,7 +319,7 @@
   core.ask(3);  // not to be repeated
   const std::uint32_t at = core.ways.calls[0].host.value;
   if (dialling) core.ways.dialling.insert(1);
-  orders::Roster roster{2, whole, {}};
+  config::Roster roster{2, whole, {}};
   for (std::uint32_t h = 0; h < 2; ++h)
     if (h != at) roster.lines.push_back(line("h" + std::to_string(h)));
   if (!whole) roster.lines.push_back(line("h" + std::to_string(at), false));
@@ -351,9 +351,9 @@
   enum class Kind { first, retry, hedge };
   const Kind kind = GENERATE(Kind::first, Kind::retry, Kind::hedge);
   const bool stays = GENERATE(true, false);
-  orders::Orders orders = plainOrders(3);
-  orders.settings.allowHedging = true;
-  Core core(orders);
+  config::GatewayConfig config = plainConfig(3);
+  config.settings.allowHedging = true;
+  Core core(config);
   for (int n = 0; n < 5; ++n) {  // what is usual for a host
     const RequestId requestId = core.ask(0);
     core.pass(10ms);
--- a/tests/link_test.cpp
+++ b/tests/link_test.cpp
@@ -3,10 +3,10 @@
 #include <catch2/catch.hpp>
 #include <sstream>
 
-#include "orders/fields.hpp"
+#include "config/json_fields.hpp"
 
 using merlinbridge::benchlink::serve;
-using merlinbridge::orders::BadInput;
+using merlinbridge::config::ConfigError;
 
 namespace {
 
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -954,11 +954,11 @@
 TEST_CASE("settings that name no time for dials, or none at all, have the operators' own") {
   const std::string is = GENERATE(as<std::string>(), "", "\"connectTimeout\":0,", "\"connectTimeout\":-5,");
   Doorstep d;
-  const orders::Orders orders = orders::readOrders(Doorstep::replaced(
+  const config::GatewayConfig config = config::readGatewayConfig(Doorstep::replaced(
       Doorstep::replaced(d.config(""), "\"connectTimeout\":250000,", is), "\"countLimit\":50000,", ""));
-  CHECK(orders.settings.connectTimeout == 250ms);
-  CHECK(orders.settings.counterTimeout == 250ms);
-  CHECK(orders.drainGrace == 250ms);
+  CHECK(config.settings.connectTimeout == 250ms);
+  CHECK(config.settings.counterTimeout == 250ms);
+  CHECK(config.drainGrace == 250ms);
 }
 
 TEST_CASE("a watch that falls silent anywhere is opened anew, with its list asked for again from the start") {
@@ -1044,16 +1044,16 @@
   std::string bare = d.config("");
   const auto from = bare.find("\"tariffs\""), to = bare.find("\"familyInfo\"");
   bare.erase(from, to - from);
-  const orders::Orders orders = orders::readOrders(bare);
-  CHECK(orders.settings.plans.size() == 1);
+  const config::GatewayConfig config = config::readGatewayConfig(bare);
+  CHECK(config.settings.plans.size() == 1);
   bare.replace(bare.find("\"startedAtMs\":0"), 15, "\"startedAtMs\":9000000000000000");
-  CHECK(orders::readOrders(bare).known.lines.at(0).started == 0s);
+  CHECK(config::readGatewayConfig(bare).known.lines.at(0).started == 0s);
 }
 
-TEST_CASE("a bad file of orders is named with its field") {
+TEST_CASE("a bad file of configuration is named with its field") {
   Doorstep d;
   const std::string good = d.config("");
-  CHECK(orders::readOrders(good).sockets == 128);
+  CHECK(config::readGatewayConfig(good).sockets == 128);
   const auto [was, is, named] = GENERATE(table<std::string, std::string, std::string>({
       {"{\"name\"", "\"name\"", "not a JSON object"},
       {"\"seed\":\"8c1f\"", "\"seed\":\"8c1x\"", "'seed' is not a hex number"},
@@ -1065,7 +1065,7 @@
   }));
   std::string bad = good;
   bad.replace(bad.find(was), was.size(), is);
-  CHECK_THROWS_WITH(orders::readOrders(bad), Catch::Contains(named));
+  CHECK_THROWS_WITH(config::readGatewayConfig(bad), Catch::Contains(named));
   CHECK_THROWS_AS(net::endpointOf("localhost:80"), std::invalid_argument);
   CHECK_THROWS_AS(net::endpointOf("127.0.0.1:x"), std::invalid_argument);
   CHECK_THROWS_AS(net::endpointOf("127.0.0.1"), std::invalid_argument);
--- a/tests/pieces_test.cpp
+++ b/tests/pieces_test.cpp
@@ -1,10 +1,10 @@
-#include "orders/pieces.hpp"
-
 #include <catch2/catch.hpp>
 #include <string>
 #include <vector>
 
-using merlinbridge::orders::Pieces;
+#include "config/json_stream_splitter.hpp"
+
+using merlinbridge::config::Pieces;
 
 namespace {
 
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -103,7 +103,7 @@
     std::ofstream(folder_ + "/" + name) << text;
     return folder_ + "/" + name;
   }
-  // The orders come through a pipe at first, so that the program waits in the middle of reading them.
+  // The configuration come through a pipe at first, so that the program waits in the middle of reading them.
   std::string pipe() {
     piped_ = true;
     REQUIRE(::mkfifo((folder_ + "/config.json").c_str(), 0600) == 0);
@@ -185,7 +185,7 @@
   }
   p.write(bad);
   for (int n = 0; n < 3; ++n) p.signal(SIGHUP);
-  REQUIRE(p.logHolds("warning: orders not taken, the old ones stay in force: "));
+  REQUIRE(p.logHolds("warning: configuration not taken, the old ones stay in force: "));
   std::optional<Far> watch, moved;
   CHECK(p.discovery.accept(watch));
   CHECK_FALSE(watch->ended());
@@ -193,7 +193,7 @@
   CHECK(within([&] { return discovery.accept(moved); }));
   CHECK(p.runs());
   const std::string log = p.log();
-  CHECK(log.find("orders not taken") == log.rfind("orders not taken"));
+  CHECK(log.find("configuration not taken") == log.rfind("configuration not taken"));
 }
 
 TEST_CASE("SIGHUP during the end does not cut it short") {
@@ -207,7 +207,7 @@
   p.signal(SIGTERM);
   REQUIRE(p.logHolds("told to end"));
   p.signal(SIGHUP);
-  REQUIRE(p.logHolds("orders read again"));
+  REQUIRE(p.logHolds("configuration read again"));
   REQUIRE(p.logHolds("ends what rests"));
   p.signal(SIGHUP);
   p.signal(SIGTERM);
@@ -340,13 +340,13 @@
 
 TEST_CASE("check says what is not fit, with its place, and starts nothing") {
   Program p;
-  const std::string orders = p.file("orders.json", p.config());
+  const std::string config = p.file("orders.json", p.config());
   const auto checked = [&](const std::string& own) {
-    return p.said({"check", "--orders", orders, "--own", p.file("own.toml", own)});
+    return p.said({"check", "--orders", config, "--own", p.file("own.toml", own)});
   };
   auto [text, status] = checked("[log]\nform = \"json\"\n[end]\nstill_coming = \"1s\"\n");
   CHECK(status == 0);
-  CHECK(text.find("orders: fit: 1 hosts known, 3 methods") != std::string::npos);
+  CHECK(text.find("configuration: fit: 1 hosts known, 3 methods") != std::string::npos);
   std::tie(text, status) = checked("[log]\nlevle = \"info\"\n");
   CHECK(status == 2);
   CHECK(text.find("own.toml:2:1: 'log.levle' is not known here") != std::string::npos);
--- a/tests/standins/reality.cpp
+++ b/tests/standins/reality.cpp
@@ -69,9 +69,9 @@
     for (const pid_t pid : pids_) ::kill(pid, SIGKILL), ::waitpid(pid, nullptr, 0);
     std::filesystem::remove_all(folder_);
   }
-  void start(const std::string& orders) {
+  void start(const std::string& config) {
     const std::string path = fmt::format("{}/{}.json", folder_, pids_.size()), log = path + ".log";
-    lab::putFile(path, orders);
+    lab::putFile(path, config);
     const std::string setting = "GW_CONFIG=" + path;
     posix_spawn_file_actions_t files;
     posix_spawn_file_actions_init(&files);
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -427,7 +427,7 @@
          R"(","zone":"a","machineType":"m","cell":0,"lifecycle":")" + state + R"(","startedAtMs":0})";
 }
 
-// A whole file of orders.
+// A whole file of configuration.
 inline std::string configText(const std::string& listen, const std::string& discovery,
                               const std::string& counter, const std::string& hostList, std::size_t sockets) {
   return R"({"name":"n0","listen":")" + listen + R"(","discovery":")" + discovery +
@@ -451,7 +451,7 @@
                     const std::string& is = "")
       : sockets_(sockets),
         loop(log, clock),
-        gate(loop, orders::readOrders(replaced(config(hostList), was, is))) {
+        gate(loop, config::readGatewayConfig(replaced(config(hostList), was, is))) {
     gate.serve();
     loop.endTurn();
   }
