--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -221,19 +221,19 @@
   void takeHosts(const Fields& f, Time now) {
     const auto how = f.need<std::string_view>("how");
     if (how == "lost") return;
-    config::Roster roster{f.get("gen", std::uint64_t{0}), how != "incr", {}};
+    config::EndpointList endpoints{f.get("gen", std::uint64_t{0}), how != "incr", {}};
     simdjson::dom::array entries;
     if (f.has("hosts") && f.need<element>("hosts").get(entries)) f.blame("hosts", "is not an array");
     if (f.has("hosts"))
       for (const element entry : entries) {
         const Fields line("peersKnown.hosts", entry);
         const auto state = line.need<std::string_view>("stageState");
-        roster.lines.push_back(
+        endpoints.entries.push_back(
             {std::string(line.need<std::string_view>("host")), "", std::to_string(line.get("area", 0u)),
              std::to_string(line.get("hw", 0u)), line.get("bay", std::int64_t{-1}), state == "in_service",
              state == "terminated", line.get("weight", 1.0), line.span("bootTime", Span{0})});
       }
-    front_.hostsTold(now, roster);
+    front_.endpointsUpdated(now, endpoints);
   }
 
   std::int64_t number_;
--- a/src/brain.cpp
+++ b/src/brain.cpp
@@ -185,7 +185,7 @@
 
   // ---- hosts ----
 
-  void learn(const HostLine& line) {
+  void learn(const HostUpdate& line) {
     const std::size_t h = line.host.value;
     if (h >= serving.size()) {
       const auto grow = [n = h + 1](auto&... arrays) { (arrays.resize(n), ...); };
@@ -749,18 +749,18 @@
     : mind_(std::make_unique<Mind>(std::move(settings), seed, now, port)) {}
 Gateway::~Gateway() = default;
 
-void Gateway::hostsChanged(Time now, const std::vector<HostLine>& lines) {
+void Gateway::hostsUpdated(Time now, const std::vector<HostUpdate>& lines) {
   mind_->now = now;
-  for (const HostLine& line : lines) mind_->learn(line);
+  for (const HostUpdate& line : lines) mind_->learn(line);
 }
 
-void Gateway::hostsListed(Time now, const std::vector<HostLine>& lines) {
+void Gateway::allHostsUpdated(Time now, const std::vector<HostUpdate>& lines) {
   std::vector<char> named(mind_->serving.size(), 0);
-  for (const HostLine& line : lines)
+  for (const HostUpdate& line : lines)
     if (line.host.value < named.size()) named[line.host.value] = 1;
   for (std::size_t h = 0; h < named.size(); ++h)
     if (!named[h]) mind_->servingHosts -= std::exchange(mind_->serving[h], 0);
-  hostsChanged(now, lines);
+  hostsUpdated(now, lines);
 }
 
 void Gateway::requestArrived(Time now, const Request& request) {
--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -57,7 +57,7 @@
   LoadReport load;
 };
 
-struct HostLine {
+struct HostUpdate {
   HostId host;
   ZoneId zone;
   CellId cell;
@@ -78,8 +78,8 @@
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  void hostsChanged(Time now, const std::vector<HostLine>&);  // the lines that changed
-  void hostsListed(Time now, const std::vector<HostLine>&);   // all lines: what is missing has gone
+  void hostsUpdated(Time now, const std::vector<HostUpdate>&);     // the lines that changed
+  void allHostsUpdated(Time now, const std::vector<HostUpdate>&);  // all lines: what is missing has gone
   void requestArrived(Time now, const Request&);
   void attemptEnded(Time now, const AttemptResult&);
   void answerStarted(Time now, RequestId, AttemptNumber);  // a streamed answer is the client's from here on
--- a/src/config/endpoint_list.cpp
+++ b/src/config/endpoint_list.cpp
@@ -2,10 +2,10 @@
 
 namespace merlinbridge::config {
 
-Roster readRoster(const Fields& f) {
-  Roster roster{f.need<std::uint64_t>("generation"), f.get("reset", false), {}};
+EndpointList readEndpointList(const Fields& f) {
+  EndpointList endpoints{f.need<std::uint64_t>("generation"), f.get("reset", false), {}};
   simdjson::dom::array entries;
-  if (!f.has("instances")) return roster;
+  if (!f.has("instances")) return endpoints;
   if (f.need<element>("instances").get(entries)) f.blame("instances", "is not an array");
   for (const element entry : entries) {
     const Fields line("instances", entry);
@@ -14,14 +14,15 @@
     if (started < 0 || started > std::chrono::duration_cast<std::chrono::milliseconds>(Span::max()).count())
       started = 0;
     const auto state = line.need<std::string_view>("lifecycle");
-    roster.lines.push_back({std::string(line.need<std::string_view>("instanceId")),
-                            std::string(line.get<std::string_view>("hostPort", "")),
-                            std::string(line.get<std::string_view>("zone", "")),
-                            std::string(line.get<std::string_view>("machineType", "")),
-                            line.get("cell", std::int64_t{-1}), state == "in_service", state == "terminated",
-                            line.get("weight", 1.0), std::chrono::milliseconds(started)});
+    endpoints.entries.push_back({std::string(line.need<std::string_view>("instanceId")),
+                                 std::string(line.get<std::string_view>("hostPort", "")),
+                                 std::string(line.get<std::string_view>("zone", "")),
+                                 std::string(line.get<std::string_view>("machineType", "")),
+                                 line.get("cell", std::int64_t{-1}), state == "in_service",
+                                 state == "terminated", line.get("weight", 1.0),
+                                 std::chrono::milliseconds(started)});
   }
-  return roster;
+  return endpoints;
 }
 
 }  // namespace merlinbridge::config
--- a/src/config/endpoint_list.hpp
+++ b/src/config/endpoint_list.hpp
@@ -7,7 +7,7 @@
 
 namespace merlinbridge::config {
 
-struct RosterLine {
+struct Endpoint {
   std::string name, address, zone, machine;
   std::int64_t cell = -1;
   bool serving = false, gone = false;
@@ -16,12 +16,12 @@
 };
 
 // Discovery's word on the hosts: the whole list, or what has changed.
-struct Roster {
+struct EndpointList {
   std::uint64_t generation = 0;
-  bool whole = false;
-  std::vector<RosterLine> lines;
+  bool complete = false;
+  std::vector<Endpoint> entries;
 };
 
-Roster readRoster(const Fields&);
+EndpointList readEndpointList(const Fields&);
 
 }  // namespace merlinbridge::config
--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -68,7 +68,7 @@
   config.counter = f.get<std::string_view>("counter", "");
   config.seed = readSeed(f);
   config.sockets = f.partOrNone("limits").get("sockets", std::size_t{1024});
-  config.known = f.has("known") ? readRoster(f.part("known")) : Roster{0, true, {}};
+  config.known = f.has("known") ? readEndpointList(f.part("known")) : EndpointList{0, true, {}};
   if (config.counter.empty()) config.settings.counter = false;
   return config;
 }
--- a/src/config/gateway_config.hpp
+++ b/src/config/gateway_config.hpp
@@ -14,7 +14,7 @@
   std::string name, listen, discovery, counter;  // counter: empty where there is none
   std::uint64_t seed = 0;
   std::size_t sockets = 0;  // descriptors that may be open
-  Roster known;
+  EndpointList known;
   PolicySettings settings;
   std::vector<std::string> methods, plans, zones, machines;
   Span idle{};         // a host closes a connection that rested so long
--- a/src/emulator/doorman.cpp
+++ b/src/emulator/doorman.cpp
@@ -40,7 +40,9 @@
   void counted(Time now, const CountName& name, CountEnd end, double total, Span took) override {
     front_.counted(now, name, end, total, took);
   }
-  void hostsTold(Time now, const config::Roster& roster) override { front_.hostsTold(now, roster); }
+  void endpointsUpdated(Time now, const config::EndpointList& endpoints) override {
+    front_.endpointsUpdated(now, endpoints);
+  }
   const std::string& addressOf(HostId host) const override { return front_.addressOf(host); }
   void endBy(Time by) override { front_.endBy(by); }
   std::size_t unanswered() const override { return front_.unanswered(); }
@@ -61,9 +63,9 @@
         deadlines_(deadlines),
         ways_(ways),
         dice_(config.seed, "policy") {
-    config::Roster known = config.known;
-    known.whole = true;
-    Simple::hostsTold(now, known);
+    config::EndpointList known = config.known;
+    known.complete = true;
+    Simple::endpointsUpdated(now, known);
   }
 
   void requestArrived(Time now, SlotRef client, const Request& request) override {
@@ -93,9 +95,9 @@
     ways_.answerFailed(held.client);
   }
   void counted(Time, const CountName&, CountEnd, double, Span) override {}
-  void hostsTold(Time, const config::Roster& roster) override {
-    if (roster.whole) serving_.clear();
-    for (const config::RosterLine& line : roster.lines) {
+  void endpointsUpdated(Time, const config::EndpointList& endpoints) override {
+    if (endpoints.complete) serving_.clear();
+    for (const config::Endpoint& line : endpoints.entries) {
       std::erase(serving_, line.address);
       if (line.serving) serving_.push_back(line.address);
     }
--- a/src/emulator/doorman.hpp
+++ b/src/emulator/doorman.hpp
@@ -17,7 +17,7 @@
   virtual void clientLeft(Time, front::SlotRef client) = 0;
   virtual void attemptEnded(Time, RequestId, AttemptNumber, Outcome, const front::Said&) = 0;
   virtual void counted(Time, const CountName&, CountEnd, double total, Span took) = 0;
-  virtual void hostsTold(Time, const config::Roster&) = 0;
+  virtual void endpointsUpdated(Time, const config::EndpointList&) = 0;
   virtual const std::string& addressOf(HostId) const = 0;
   virtual void endBy(Time) = 0;
   virtual std::size_t unanswered() const = 0;
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -362,10 +362,10 @@
     config::GatewayConfig o = config;
     o.seed = lives.word();
     o.known.generation = generation;
-    o.known.whole = true;
+    o.known.complete = true;
     for (std::uint32_t m = 0; m < machines.size(); ++m)
       if (machines[m].state != Machine::State::gone) {
-        o.known.lines.push_back(lineOf(m));
+        o.known.entries.push_back(lineOf(m));
         tellOne(node, m);
       }
     Truth truth{
@@ -426,7 +426,7 @@
 
   // ---- hosts ----
 
-  config::RosterLine lineOf(std::uint32_t m) const {
+  config::Endpoint lineOf(std::uint32_t m) const {
     const Machine& at = machines[m];
     return {at.name,
             std::to_string(m),
@@ -664,11 +664,11 @@
     simdjson::dom::parser parser;
     config::element root;
     if (parser.parse(line).get(root)) return later(scaled(sc.connectTimeout, 0.5 + lists.even()));
-    const config::Roster roster = config::readRoster(config::Fields("discovery", root));
-    tally.listLines += roster.lines.size();
+    const config::EndpointList endpoints = config::readEndpointList(config::Fields("discovery", root));
+    tally.listLines += endpoints.entries.size();
     node.told = generation, node.feeding = false;
     for (const std::uint32_t m : changed) tellOne(node, m);
-    node.doorman->hostsTold(agenda.now(), roster);
+    node.doorman->endpointsUpdated(agenda.now(), endpoints);
     arm(node);
   }
   void tellOne(Node& node, std::uint32_t m) {
@@ -682,7 +682,7 @@
         fmt::format("{{{0}\"generation\": {1},{0}\"reset\": false,{0}\"instances\": [", gap, generation);
     bool first = true;
     for (const std::uint32_t m : changed) {
-      const config::RosterLine line = lineOf(m);
+      const config::Endpoint line = lineOf(m);
       fmt::format_to(
           std::back_inserter(text),
           "{}{}{{\"instanceId\":\"{}\",\"hostPort\":\"{}\",\"zone\":\"{}\",\"machineType\":\"m\",\"cell\":{},"
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -25,9 +25,9 @@
       deadlines_(deadlines),
       ways_(ways),
       gateway_(config.settings, config.seed, now, *this) {
-  config::Roster known = config.known;
-  known.whole = true;
-  hostsTold(now, known);
+  config::EndpointList known = config.known;
+  known.complete = true;
+  endpointsUpdated(now, known);
 }
 
 // ---- from the adapters to the module ----
@@ -84,10 +84,10 @@
   settle(now, {});
 }
 
-void Front::hostsTold(Time now, const config::Roster& roster) {
+void Front::endpointsUpdated(Time now, const config::EndpointList& endpoints) {
   now_ = now;
-  std::vector<HostLine> lines;
-  for (const config::RosterLine& line : roster.lines) {
+  std::vector<HostUpdate> lines;
+  for (const config::Endpoint& line : endpoints.entries) {
     const auto host = numberOf(line);
     if (!host) continue;
     std::string& address = addresses_[host->value];
@@ -107,16 +107,16 @@
                      line.started.count() ? std::optional(Time(line.started)) : std::nullopt});
   }
   std::vector<char> off(hosts_.size(), 0);
-  for (const HostLine& line : lines) off[line.host.value] = !line.serving;
-  if (roster.whole) {
+  for (const HostUpdate& line : lines) off[line.host.value] = !line.serving;
+  if (endpoints.complete) {
     std::vector<char> named(hosts_.size(), 0);
-    for (const HostLine& line : lines) named[line.host.value] = 1;
+    for (const HostUpdate& line : lines) named[line.host.value] = 1;
     for (std::uint32_t h = 0; h < named.size(); ++h)
       if (off[h] |= !named[h]; !named[h] && !std::exchange(gone_[h], 1))
         goneAt_[h] = now, ways_.hostGone({h});
-    gateway_.hostsListed(now, lines);
+    gateway_.allHostsUpdated(now, lines);
   } else {
-    gateway_.hostsChanged(now, lines);
+    gateway_.hostsUpdated(now, lines);
   }
   // Guards against a connection that comes up so late that its attempt is new to a host that drains by then.
   requests_.each([&](SlotRef slot, const PendingRequest& row) {
@@ -147,7 +147,7 @@
   throw std::out_of_range("no host named " + std::string(name));
 }
 
-std::optional<HostId> Front::numberOf(const config::RosterLine& line) {
+std::optional<HostId> Front::numberOf(const config::Endpoint& line) {
   if (const auto known = hosts_.find(line.name)) return known;
   if (line.gone) return std::nullopt;  // never heard of, and no more
   // Guards against work for every request that grows with all the hosts that there ever were.
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -68,7 +68,7 @@
   void attemptEnded(Time now, RequestId, AttemptNumber, Outcome, const Said& = {});
   void counted(Time now, const CountName&, CountEnd, double total, Span took);
   void probed(Time now, HostId, bool ok, const LoadReport&);
-  void hostsTold(Time now, const config::Roster&);
+  void endpointsUpdated(Time now, const config::EndpointList&);
   // This gateway is ended at that time: whatever is still without an answer gets one before.
   void endBy(Time);
 
@@ -102,7 +102,7 @@
   void abandonAttempt(Time now, RequestId, AttemptNumber, Outcome);
   void expire(Time now, RequestId);
   void settle(Time now, RequestId);
-  std::optional<HostId> numberOf(const config::RosterLine&);
+  std::optional<HostId> numberOf(const config::Endpoint&);
 
   const PolicySettings settings_;
   const Span slack_, forgets_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -86,7 +86,7 @@
     loop_.rideFor(config.step);
     longestDeadline_ = config.longestDeadline;
     log_(Level::info, "started", config.name, " starts at ", config.listen, " with ",
-         config.known.lines.size(), " hosts known");
+         config.known.entries.size(), " hosts known");
     return config;
   }
 
@@ -224,9 +224,9 @@
   });
   look("configuration", [&told] {
     const config::GatewayConfig config = told.readGatewayConfig();
-    net::endpointOf(config.listen), net::endpointOf(config.discovery);
-    if (!config.counter.empty()) net::endpointOf(config.counter);
-    return fmt::format("fit: {} hosts known, {} methods, {} plans, {} gateways", config.known.lines.size(),
+    net::parseAddress(config.listen), net::parseAddress(config.discovery);
+    if (!config.counter.empty()) net::parseAddress(config.counter);
+    return fmt::format("fit: {} hosts known, {} methods, {} plans, {} gateways", config.known.entries.size(),
                        config.settings.methods.size(), config.settings.plans.size(),
                        config.settings.gateways);
   });
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -205,7 +205,7 @@
   if (requestId) clients_.front_->clientLeft(loop_.now(), *requestId);
 }
 
-Clients::Clients(Loop& loop, const Endpoint& at, std::size_t most, Span idle, Span longestDeadline)
+Clients::Clients(Loop& loop, const SocketAddress& at, std::size_t most, Span idle, Span longestDeadline)
     : loop_(loop), acceptor_(loop.strand), most_(most), idle_(idle), longest_(longestDeadline) {
   acceptor_.open(at.protocol());
   acceptor_.set_option(asio::socket_base::reuse_address(true));
--- a/src/net/clients.hpp
+++ b/src/net/clients.hpp
@@ -56,7 +56,7 @@
 // The listener and all clients' connections, within their share of the descriptors.
 class Clients {
  public:
-  Clients(Loop&, const Endpoint& at, std::size_t most, Span idle, Span longestDeadline);
+  Clients(Loop&, const SocketAddress& at, std::size_t most, Span idle, Span longestDeadline);
 
   void serve(front::Front& front);  // from here on clients are accepted
   void setReady(bool ready) { ready_ = ready; }
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -26,7 +26,7 @@
   loop->endTurn();
 }
 
-void Connection::connect(const Endpoint& peer) {
+void Connection::connect(const SocketAddress& peer) {
   peer_ = peer;
   watchWait();
   readStep({});
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -22,7 +22,7 @@
   bool unread() const;     // bytes have come that are not in the buffer yet
   bool hungUp() const;     // the peer has ended or reset, though not all that it sent is read yet
   bool untouched() const;  // neither bytes nor the peer's end have come that were not seen yet
-  void connect(const Endpoint&);
+  void connect(const SocketAddress&);
   void start();  // an accepted one
   void close();
   void discard();  // reads what has come, for nobody
@@ -74,7 +74,7 @@
   void lookAtWait(Time now);
 
   mutable Socket socket_;
-  Endpoint peer_;
+  SocketAddress peer_;
   SlotRef ref_;
   bool up_ = false, readPaused_ = false, writing_ = false, later_ = false, peerEnded_ = false;
   std::size_t unsent_ = 0;
--- a/src/net/counter.cpp
+++ b/src/net/counter.cpp
@@ -13,8 +13,8 @@
 // address closes it a second and a half after the move, or later.
 constexpr int kOldFor = 4;
 
-Endpoint counterAt(const std::string& address) {
-  return address.empty() ? Endpoint() : endpointOf(address);
+SocketAddress counterAt(const std::string& address) {
+  return address.empty() ? SocketAddress() : parseAddress(address);
 }
 
 }  // namespace
@@ -122,7 +122,7 @@
       idle_(idle) {}
 
 void Counter::moveTo(const std::string& address) {
-  const Endpoint peer = counterAt(address);
+  const SocketAddress peer = counterAt(address);
   if (address == address_) return;
   address_ = address, peer_ = peer;
   for (const SlotRef old : std::exchange(links_, {}))
--- a/src/net/counter.hpp
+++ b/src/net/counter.hpp
@@ -60,7 +60,7 @@
   Loop& loop_;
   front::Front* front_ = nullptr;
   std::string address_;
-  Endpoint peer_;
+  SocketAddress peer_;
   Span patience_, connectTimeout_, idle_;
   std::array<SlotRef, 2> links_{};
 };
--- a/src/net/gate.cpp
+++ b/src/net/gate.cpp
@@ -31,7 +31,8 @@
 
 Gate::Gate(Loop& loop, const config::GatewayConfig& config)
     : loop_(loop),
-      clients_(loop, endpointOf(config.listen), shareOf(config.sockets), config.idle, config.longestDeadline),
+      clients_(loop, parseAddress(config.listen), shareOf(config.sockets), config.idle,
+               config.longestDeadline),
       hosts_(loop, shareOf(config.sockets), config.idle, config.settings.connectTimeout),
       counter_(loop, config.counter, config.settings.counterTimeout, config.settings.connectTimeout,
                config.idle),
@@ -48,7 +49,7 @@
 }
 
 void Gate::moveTo(const std::string& discovery, const std::string& counter) {
-  if (!counter.empty()) endpointOf(counter);
+  if (!counter.empty()) parseAddress(counter);
   watch_.moveTo(discovery);
   counter_.moveTo(counter);
 }
--- a/src/net/hosts.cpp
+++ b/src/net/hosts.cpp
@@ -200,7 +200,7 @@
   }
   if (all_.size() >= most_ && !closeOldest()) return nullptr;
   try {
-    const Endpoint at = endpointOf(front_->addressOf(host));
+    const SocketAddress at = parseAddress(front_->addressOf(host));
     HostLink& link = loop_.open<HostLink>(*this, host);
     all_.push_back(link.ref());
     link.connect(at);
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -8,7 +8,7 @@
 
 namespace merlinbridge::net {
 
-Endpoint endpointOf(const std::string& address) {
+SocketAddress parseAddress(const std::string& address) {
   const auto colon = address.rfind(':');
   std::uint16_t port = 0;
   Error error;
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -20,13 +20,13 @@
 using Error = boost::system::error_code;
 using Strand = asio::strand<asio::io_context::executor_type>;
 using Socket = asio::basic_stream_socket<asio::ip::tcp, Strand>;
-using Endpoint = asio::ip::tcp::endpoint;
+using SocketAddress = asio::ip::tcp::endpoint;
 using front::SlotRef;
 
 class Connection;
 
 // "10.0.0.4:8080"; throws std::invalid_argument.
-Endpoint endpointOf(const std::string& address);
+SocketAddress parseAddress(const std::string& address);
 
 // The one thread's loop: all connections in numbered slots, all deadlines, and what every turn ends with.
 class Loop {
--- a/src/net/watch.cpp
+++ b/src/net/watch.cpp
@@ -114,7 +114,7 @@
              std::uint64_t seed)
     : loop_(loop),
       address_(std::move(address)),
-      peer_(endpointOf(address_)),
+      peer_(parseAddress(address_)),
       generation_(from),
       connectTimeout_(connectTimeout),
       drainGrace_(drainGrace),
@@ -149,10 +149,10 @@
     config::element root;
     if (parser.parse(line).get(root) || !root.is_object())
       throw config::ConfigError("a line is not a JSON object");
-    const config::Roster roster = config::readRoster(config::Fields("discovery", root));
-    generation_ = roster.generation;
+    const config::EndpointList endpoints = config::readEndpointList(config::Fields("discovery", root));
+    generation_ = endpoints.generation;
     heard();
-    front_->hostsTold(loop_.now(), roster);
+    front_->endpointsUpdated(loop_.now(), endpoints);
     return true;
   } catch (const config::ConfigError& e) {
     loop_.log(Level::debug, "list_unreadable", "discovery sent what cannot be read: ", e.what());
@@ -191,7 +191,7 @@
 // new one is opened at once and tells all since the last generation. Told the same address again, it only
 // makes haste where it would have waited.
 void Watch::moveTo(const std::string& address) {
-  const Endpoint peer = endpointOf(address);
+  const SocketAddress peer = parseAddress(address);
   if (address == address_ && link_) return;
   address_ = address, peer_ = peer;
   if (link_) loop_.bury(std::exchange(link_, {}));
--- a/src/net/watch.hpp
+++ b/src/net/watch.hpp
@@ -77,7 +77,7 @@
   Loop& loop_;
   front::Front* front_ = nullptr;
   std::string address_;
-  Endpoint peer_;
+  SocketAddress peer_;
   std::uint64_t generation_;
   Span connectTimeout_, drainGrace_;
   SlotRef link_{};
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -99,7 +99,7 @@
 TEST_CASE("no hosts: rejected at once") {
   World w(plainSettings(), 1);
   for (auto& host : w.hosts) host.serving = false;
-  w.tellHosts();
+  w.updateHosts();
   CHECK(w.ask(0, 5, 0, 0, 1).rejected);
 }
 
@@ -232,7 +232,7 @@
   };
   load(2000);
   w.hosts[0].started = w.now;
-  w.tellHosts();
+  w.updateHosts();
   w.hosts[0].taken = 0;
   load(40);  // one request from each gateway
   CHECK(w.hosts[0].taken > 0);
@@ -331,6 +331,6 @@
   triesAt0(3000);
   CHECK(triesAt0(3000) < 150);  // a second's sitting out each time would make it some 400
   w.hosts[0].unreachable = false, w.hosts[0].started = w.now - w.settings.slowStartTime;
-  w.tellHosts();
+  w.updateHosts();
   CHECK(triesAt0(1000) > 100);
 }
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -64,7 +64,7 @@
  public:
   Breaker(Rule rule, const config::GatewayConfig& config, front::Deadlines& deadlines, front::Ways& ways)
       : rule_(rule), deadlines_(deadlines), ways_(ways) {
-    for (const auto& line : config.known.lines)
+    for (const auto& line : config.known.entries)
       if (line.serving) hosts_.push_back(line.address);
   }
   void requestArrived(Time now, SlotRef client, const Request& a) override {
@@ -112,9 +112,9 @@
     outcome == Outcome::rejected ? ways_.answerRejected(client, Span{0}) : ways_.answerFailed(client);
   }
   void counted(Time, const CountName&, CountEnd, double, Span) override {}
-  void hostsTold(Time, const config::Roster& roster) override {
+  void endpointsUpdated(Time, const config::EndpointList& endpoints) override {
     if (rule_ == Rule::drain) return;
-    for (const auto& line : roster.lines) {
+    for (const auto& line : endpoints.entries) {
       std::erase(hosts_, line.address);
       if (line.serving) hosts_.push_back(line.address);
     }
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -45,7 +45,7 @@
   std::vector<std::uint32_t> givenUp, gone;
 };
 
-config::RosterLine line(const std::string& name, bool serving = true) {
+config::Endpoint line(const std::string& name, bool serving = true) {
   return {name, "127.0.0.1:1", "a", "m", 0, serving, !serving, 1, 0s};
 }
 config::GatewayConfig plainConfig(int hosts) {
@@ -56,7 +56,7 @@
   config.answerSlack = 16ms;
   config.longestDeadline = 2s;
   config.known.generation = 1;
-  for (int h = 0; h < hosts; ++h) config.known.lines.push_back(line("h" + std::to_string(h)));
+  for (int h = 0; h < hosts; ++h) config.known.entries.push_back(line("h" + std::to_string(h)));
   return config;
 }
 
@@ -129,9 +129,9 @@
 
 TEST_CASE("a host that has started again loses the connections that rest towards it") {
   Core core;
-  config::RosterLine back = line("h1");
+  config::Endpoint back = line("h1");
   back.started = 1'700'000'000s;
-  core.front.hostsTold(core.now, {2, false, {line("h0"), back}});
+  core.front.endpointsUpdated(core.now, {2, false, {line("h0"), back}});
   CHECK(core.ways.gone == std::vector<std::uint32_t>{1});
 }
 
@@ -156,8 +156,8 @@
 
 TEST_CASE("hosts that are gone, or missing from a whole list, are asked no more") {
   Core core(3);
-  core.front.hostsTold(core.now, {2, false, {line("h0", false)}});
-  core.front.hostsTold(core.now, {3, true, {line("h2")}});
+  core.front.endpointsUpdated(core.now, {2, false, {line("h0", false)}});
+  core.front.endpointsUpdated(core.now, {3, true, {line("h2")}});
   CHECK(core.ways.gone == std::vector<std::uint32_t>{0, 1});
   for (int n = 0; n < 6; ++n) core.ask(0);
   CHECK(
@@ -167,10 +167,10 @@
 TEST_CASE("hosts' numbers stay bounded while hosts come and go") {
   Core core(1);
   for (int n = 0; n < 9000; ++n) {
-    core.front.hostsTold(core.now, {2, false, {line("n" + std::to_string(n))}});
-    core.front.hostsTold(core.now, {3, false, {line("n" + std::to_string(n), false)}});
+    core.front.endpointsUpdated(core.now, {2, false, {line("n" + std::to_string(n))}});
+    core.front.endpointsUpdated(core.now, {3, false, {line("n" + std::to_string(n), false)}});
   }
-  core.front.hostsTold(core.now, {4, true, {line("last")}});
+  core.front.endpointsUpdated(core.now, {4, true, {line("last")}});
   core.ask(0);
   REQUIRE(core.ways.calls.size() == 1);
   CHECK(core.ways.calls[0].host.value < 4096);
@@ -180,13 +180,13 @@
 TEST_CASE("the number of a host long gone goes to a new one, and nothing of the old is left to it") {
   Core core;
   for (int n = 0; n < 300; ++n) {
-    core.front.hostsTold(core.now, {2, false, {line("n" + std::to_string(n))}});
+    core.front.endpointsUpdated(core.now, {2, false, {line("n" + std::to_string(n))}});
     core.ways.gone.clear();
-    core.front.hostsTold(core.now, {3, false, {line("n" + std::to_string(n), false)}});
+    core.front.endpointsUpdated(core.now, {3, false, {line("n" + std::to_string(n), false)}});
     core.now += 1s;
   }
   core.ways.gone.clear();
-  core.front.hostsTold(core.now, {4, true, {line("last")}});
+  core.front.endpointsUpdated(core.now, {4, true, {line("last")}});
   core.ask(0);
   REQUIRE(core.ways.calls.size() == 1);
   const std::uint32_t number = core.ways.calls[0].host.value;
@@ -201,9 +201,9 @@
   front::Deadlines deadlines;
   const Time now{1'700'000'000s};
   front::Front front(config, now, deadlines, ways);
-  config::Roster all{2, true, {}};
-  for (int h = 0; h < 1024; ++h) all.lines.push_back(line("new" + std::to_string(h)));
-  front.hostsTold(now, all);
+  config::EndpointList all{2, true, {}};
+  for (int h = 0; h < 1024; ++h) all.entries.push_back(line("new" + std::to_string(h)));
+  front.endpointsUpdated(now, all);
   for (std::uint64_t n = 0; n < 200; ++n) {
     const RequestId requestId = front.requestArrived(now, {0, 1}, {{}, {n + 1}, {1}, {0}, now + 1s, 1, 1024});
     front.attemptEnded(now, requestId, {0}, Outcome::ok, {"body", {}, 0, {}});
@@ -319,11 +319,11 @@
   core.ask(3);  // not to be repeated
   const std::uint32_t at = core.ways.calls[0].host.value;
   if (dialling) core.ways.dialling.insert(1);
-  config::Roster roster{2, whole, {}};
+  config::EndpointList endpoints{2, whole, {}};
   for (std::uint32_t h = 0; h < 2; ++h)
-    if (h != at) roster.lines.push_back(line("h" + std::to_string(h)));
-  if (!whole) roster.lines.push_back(line("h" + std::to_string(at), false));
-  core.front.hostsTold(core.now, roster);
+    if (h != at) endpoints.entries.push_back(line("h" + std::to_string(h)));
+  if (!whole) endpoints.entries.push_back(line("h" + std::to_string(at), false));
+  core.front.endpointsUpdated(core.now, endpoints);
   REQUIRE(core.ways.calls.size() == (dialling ? 2 : 1));
   if (dialling) CHECK(core.ways.calls[1].host.value != at);
 }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -483,7 +483,7 @@
   Doorstep d;
   FarListener far;
   auto& answering = d.loop.open<Answering>();
-  answering.connect(net::endpointOf(far.address()));
+  answering.connect(net::parseAddress(far.address()));
   std::optional<Far> peer;
   REQUIRE(d.until([&] { return far.accept(peer); }));
   peer->say(
@@ -1047,7 +1047,7 @@
   const config::GatewayConfig config = config::readGatewayConfig(bare);
   CHECK(config.settings.plans.size() == 1);
   bare.replace(bare.find("\"startedAtMs\":0"), 15, "\"startedAtMs\":9000000000000000");
-  CHECK(config::readGatewayConfig(bare).known.lines.at(0).started == 0s);
+  CHECK(config::readGatewayConfig(bare).known.entries.at(0).started == 0s);
 }
 
 TEST_CASE("a bad file of configuration is named with its field") {
@@ -1066,7 +1066,7 @@
   std::string bad = good;
   bad.replace(bad.find(was), was.size(), is);
   CHECK_THROWS_WITH(config::readGatewayConfig(bad), Catch::Contains(named));
-  CHECK_THROWS_AS(net::endpointOf("localhost:80"), std::invalid_argument);
-  CHECK_THROWS_AS(net::endpointOf("127.0.0.1:x"), std::invalid_argument);
-  CHECK_THROWS_AS(net::endpointOf("127.0.0.1"), std::invalid_argument);
+  CHECK_THROWS_AS(net::parseAddress("localhost:80"), std::invalid_argument);
+  CHECK_THROWS_AS(net::parseAddress("127.0.0.1:x"), std::invalid_argument);
+  CHECK_THROWS_AS(net::parseAddress("127.0.0.1"), std::invalid_argument);
 }
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -23,7 +23,7 @@
       auto& host = w.hosts[below(6)];
       host.serving = !host.serving;
       if (host.serving) host.started = w.now;
-      w.tellHosts();
+      w.updateHosts();
     }
     const std::uint32_t victim = below(w.settings.gateways);
     if (troubled && step % 170 == 90 && w.alive(victim)) {
@@ -75,7 +75,7 @@
   World w(plainSettings(), 3);
   w.load(500);
   for (std::size_t h : {0, 1, 2}) w.hosts[h].started = w.now;
-  w.tellHosts();
+  w.updateHosts();
   w.load(500);
   CHECK(w.broken == std::set<std::string>{});
   CHECK(w.hosts[0].sent.size() > 0);
--- a/tests/standins/reality.cpp
+++ b/tests/standins/reality.cpp
@@ -304,10 +304,10 @@
         R"({}{{"instanceId":"h{}","hostPort":"{}","zone":"z{}","machineType":"m","cell":{},"lifecycle":"in_service","weight":1,"startedAtMs":0}})",
         h ? "," : "", h, hosts.back()->address(), h % s.zones, h % 8);
   }
-  const std::string roster = fmt::format(R"({{"generation":1,"reset":true,"instances":[{}]}})", list);
+  const std::string endpoints = fmt::format(R"({{"generation":1,"reset":true,"instances":[{}]}})", list);
   Counter counter(io, s.counterService);
   Discovery discovery(io);
-  discovery.tell(roster);
+  discovery.tell(endpoints);
   Daemons daemons(program);
   std::vector<Tcp::endpoint> gateways;
   for (std::uint32_t g = 0; g < s.gateways; ++g) {
@@ -315,7 +315,7 @@
     daemons.start(fmt::format(
         R"({{"name":"n{}","listen":"127.0.0.1:{}","discovery":"{}","seed":"{:x}","limits":{{"sockets":1024}},{}"known":{},"settings":{}}})",
         g, gateways.back().port(), discovery.address(), seed * 1000 + g,
-        s.counter ? fmt::format(R"("counter":"{}",)", counter.address()) : "", roster, settingsOf(s, g)));
+        s.counter ? fmt::format(R"("counter":"{}",)", counter.address()) : "", endpoints, settingsOf(s, g)));
   }
   io.run_for(std::chrono::milliseconds(500));
   Clients clients(io, s, seed, gateways);
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -98,7 +98,7 @@
     Node& n = nodes_[g];
     n.out = std::make_unique<Way>(*this, g, ++lives_);
     n.gateway = std::make_unique<Gateway>(settings, dice_(), now, *n.out);
-    n.gateway->hostsListed(now, lines());
+    n.gateway->allHostsUpdated(now, lines());
   }
   void kill(std::uint32_t g) {
     for (auto& [id, t] : tries)
@@ -106,9 +106,9 @@
     nodes_[g].gateway.reset();
   }
   bool alive(std::uint32_t g) const { return nodes_[g].gateway != nullptr; }
-  void tellHosts() {
+  void updateHosts() {
     for (Node& n : nodes_)
-      if (n.gateway) n.gateway->hostsChanged(now, lines());
+      if (n.gateway) n.gateway->hostsUpdated(now, lines());
   }
   Try& ask(std::uint32_t g, std::uint64_t customer, std::uint32_t plan, std::uint32_t method, double units,
            Span patience = 2s) {
@@ -156,8 +156,8 @@
   };
 
   void blame(const std::string& how) { broken.insert(how); }
-  std::vector<HostLine> lines() const {
-    std::vector<HostLine> all;
+  std::vector<HostUpdate> lines() const {
+    std::vector<HostUpdate> all;
     for (std::uint32_t h = 0; h < hosts.size(); ++h)
       all.push_back({{h}, hosts[h].zone, {hosts[h].zone.value}, {0}, hosts[h].serving, 1, hosts[h].started});
     return all;
