--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -25,10 +25,10 @@
 
 using Output = fmt::memory_buffer;
 
-std::int64_t micros(Span span) {
+std::int64_t micros(Duration span) {
   return span.count() / 1000;
 }
-std::int64_t micros(Time time) {
+std::int64_t micros(TimePoint time) {
   return micros(time.time_since_epoch());
 }
 
@@ -48,7 +48,7 @@
 // time and tells of it; a request's word on the wire stands for its client.
 class Instance final : private front::Ways {
  public:
-  Instance(std::int64_t number, const Fields& init, Time now, Output& out)
+  Instance(std::int64_t number, const Fields& init, TimePoint now, Output& out)
       : number_(number),
         out_(out),
         loadNames_(config::loadFieldNames(init.part("profileData"))),
@@ -56,9 +56,9 @@
 
   void fault(std::string_view text) { write(R"({{"fault":{{"i":{},"bodyText":{}}}}})", jsonText(text)); }
 
-  void take(std::string_view message, const Fields& f, Time now) {
+  void take(std::string_view message, const Fields& f, TimePoint now) {
     read(message, f, now);
-    const Time next = deadlines_.next();
+    const TimePoint next = deadlines_.next();
     if (next >= wokenAt_) return;
     wokenAt_ = next;
     write(R"({{"notifyMe":{{"i":{},"fireAt":{},"mark":"due"}}}})", micros(std::max(next, now)));
@@ -66,7 +66,7 @@
 
  private:
   void answerOk(SlotRef, std::string_view, std::string_view) override {}  // the bench has seen to it
-  void answerRejected(SlotRef requestId, Span comeBackAfter) override {
+  void answerRejected(SlotRef requestId, Duration comeBackAfter) override {
     write(R"({{"sayNo":{{"i":{},"id":"{:016x}","holdOff":{}}}}})", requestId.packed(), micros(comeBackAfter));
   }
   void answerFailed(SlotRef requestId) override {
@@ -85,7 +85,7 @@
   void probe(HostId host) override {
     write(R"({{"touch":{{"i":{},"host":{}}}}})", jsonText(front_.nameOf(host)));
   }
-  void count(const CountName& name, double units, Span keptFor) override {
+  void count(const CountName& name, double units, Duration keptFor) override {
     write(R"({{"postAmount":{{"i":{},"n":{},"forgetAfter":{},"counter":"{}"}}}})", units, micros(keptFor),
           word(name));
   }
@@ -100,7 +100,7 @@
     return told;
   }
 
-  void read(std::string_view message, const Fields& f, Time now) {
+  void read(std::string_view message, const Fields& f, TimePoint now) {
     if (message == "demand") return takeDemand(f, now);
     if (message == "result") return takeResult(f, now);
     if (message == "fired") return takeFired(now);
@@ -140,14 +140,14 @@
     return requestId;
   }
 
-  void takeDemand(const Fields& f, Time now) {
+  void takeDemand(const Fields& f, TimePoint now) {
     const std::uint64_t word = readRequestId(f);
     const RequestId requestId = front_.requestArrived(now, SlotRef::unpacked(word),
                                                       {{},
                                                        {f.get("apiKey", std::uint64_t{0})},
                                                        {f.get("tariff", 0u)},
                                                        {f.get("class", 0u)},
-                                                       Time(f.span("dropDead")),
+                                                       TimePoint(f.duration("dropDead")),
                                                        f.get("costUnits", 1.0),
                                                        f.get("doors", 0u)});
     if (front_.holds(requestId)) requests_.emplace(word, requestId);
@@ -157,8 +157,8 @@
     if (!front_.holds(at->second)) requests_.erase(at);
   }
 
-  void takeFired(Time now) {
-    wokenAt_ = Time::max();
+  void takeFired(TimePoint now) {
+    wokenAt_ = TimePoint::max();
     deadlines_.run(now);
   }
 
@@ -190,7 +190,7 @@
     return load;
   }
 
-  void takeResult(const Fields& f, Time now) {
+  void takeResult(const Fields& f, TimePoint now) {
     const auto at = requests_.find(readRequestId(f));
     if (at == requests_.end()) return;
     front_.attemptEnded(now, at->second, {f.need<std::uint32_t>("sendNo")}, outcomeOf(f),
@@ -198,12 +198,12 @@
                          {},
                          f.get("finalUnits", 0.0),
                          readLoad(f),
-                         f.span("elapsed", Span{0}),
+                         f.duration("elapsed", Duration{0}),
                          f.get("finished", false)});
     forget(at);
   }
 
-  void takeCounted(const Fields& f, Time now) {
+  void takeCounted(const Fields& f, TimePoint now) {
     const auto name = f.need<std::string_view>("counter");
     const auto code = f.need<std::string_view>("code");
     CountName count{name.starts_with('u') ? CountName::What::use : CountName::What::open, {0}, {0}};
@@ -215,10 +215,10 @@
                          : code == "turned_away" || code == "no_connection" ? CountEnd::notAdded
                                                                             : CountEnd::unknown;
     front_.counted(now, count, end, end == CountEnd::ok ? f.get("level", 0.0) : 0,
-                   f.span("elapsed", Span{0}));
+                   f.duration("elapsed", Duration{0}));
   }
 
-  void takeHosts(const Fields& f, Time now) {
+  void takeHosts(const Fields& f, TimePoint now) {
     const auto how = f.need<std::string_view>("how");
     if (how == "lost") return;
     config::EndpointList endpoints{f.get("gen", std::uint64_t{0}), how != "incr", {}};
@@ -231,7 +231,7 @@
         endpoints.entries.push_back(
             {std::string(line.need<std::string_view>("host")), "", std::to_string(line.get("area", 0u)),
              std::to_string(line.get("hw", 0u)), line.get("bay", std::int64_t{-1}), state == "in_service",
-             state == "terminated", line.get("weight", 1.0), line.span("bootTime", Span{0})});
+             state == "terminated", line.get("weight", 1.0), line.duration("bootTime", Duration{0})});
       }
     front_.endpointsUpdated(now, endpoints);
   }
@@ -240,7 +240,7 @@
   Output& out_;
   std::vector<std::string> loadNames_;
   front::Deadlines deadlines_;
-  Time wokenAt_ = Time::max();                             // the bench wakes it then, or before
+  TimePoint wokenAt_ = TimePoint::max();                   // the bench wakes it then, or before
   std::unordered_map<std::uint64_t, RequestId> requests_;  // by their words on the wire
   front::Front front_;
 };
@@ -265,7 +265,7 @@
  private:
   void beginBatch(const Fields& f) {
     if (inBatch_) throw ConfigError("turn: inside a batch");
-    now_ = Time(f.span("wall"));
+    now_ = TimePoint(f.duration("wall"));
     inBatch_ = true;
   }
   void endBatch() {
@@ -302,7 +302,7 @@
   std::map<std::int64_t, Instance> instances_;
   Output reply_;
   bool inBatch_ = false;
-  Time now_{};
+  TimePoint now_{};
 };
 
 }  // namespace
--- a/src/brain.cpp
+++ b/src/brain.cpp
@@ -15,7 +15,7 @@
 namespace merlinbridge {
 namespace {
 
-constexpr Span kSlot = std::chrono::seconds(10);  // the design's slot of a count
+constexpr Duration kSlot = std::chrono::seconds(10);  // the design's slot of a count
 constexpr double kKept = 3.0;   // slots for which a count is kept, and a customer who sends no request
 constexpr double kRound = 2.0;  // a round, in patiences of the counter
 // Calls to the counter in one patience, of all gateways: at first, and what one more of them is worth.
@@ -48,14 +48,14 @@
 constexpr double kTakeBack = 2.0;       // as long without a word until what it owes is taken back
 constexpr double kFurtherShare = 0.1;   // further attempts for overdue ones, of all attempts
 constexpr double kFurtherStore = 10.0;  // of them at once
-constexpr Span kSweep = std::chrono::milliseconds(50);
+constexpr Duration kSweep = std::chrono::milliseconds(50);
 
 // A figure that counts what happened lately.
 struct Recent {
   double sum = 0;
-  Time at{};
-  double read(Time now, double span) const { return sum * std::exp(-seconds(now - at) / span); }
-  void add(Time now, double span, double n) {
+  TimePoint at{};
+  double read(TimePoint now, double span) const { return sum * std::exp(-seconds(now - at) / span); }
+  void add(TimePoint now, double span, double n) {
     sum = read(now, span) + n;
     at = now;
   }
@@ -64,7 +64,7 @@
 // What this gateway may still send a cold host until that time.
 struct ColdPart {
   double left = 0;  // units; under 0: sent ahead of the next part
-  Time ends{};
+  TimePoint ends{};
 };
 
 struct Tried {
@@ -77,9 +77,9 @@
   CustomerId customer;
   double gateways = 1;
   double level = 0;  // copy of the bucket
-  Time levelAt{};
+  TimePoint levelAt{};
   double ceiling = 0;  // this gateway's part of the hard ceiling
-  Time ceilingAt{};
+  TimePoint ceilingAt{};
   int open = 0;                        // attempts out
   double pending = 0;                  // units not yet published
   double grant = 0;                    // what is left of this gateway's slice
@@ -90,7 +90,7 @@
   bool known = false;                  // the counts have been read since this customer was new
   int failed = 0;                      // rounds in a row
   bool asking = false, waiting = false, busy = false;
-  Time lastRound{}, roundAt{}, lastSeen{};
+  TimePoint lastRound{}, roundAt{}, lastSeen{};
   SlotId slot{-1};
   double ownInSlot = 0, othersInSlot = 0;
   bool silent = false;  // decided by the divided quota
@@ -98,14 +98,14 @@
 
 struct Attempt {
   HostId host;
-  Time sentAt;
+  TimePoint sentAt;
   std::function<void(const AttemptResult&)> next;  // what its end leads to
   bool out = true, ran = false;                    // still out; may have run
 };
 
 struct PendingRequest {
   Request asked;
-  Time came;
+  TimePoint came;
   Book* book;
   std::vector<Attempt> attempts;
   bool done = false;  // it has had its final answer
@@ -123,8 +123,8 @@
   const PolicySettings settings;
   Port& port;
   std::ranlux24_base chance;
-  const Time born;
-  Time now = born;
+  const TimePoint born;
+  TimePoint now = born;
 
   std::map<CustomerId, Book> books;
   std::unordered_map<std::uint64_t, PendingRequest> requests;
@@ -134,7 +134,7 @@
   // Rounds that are due wait for a call; calls in one patience, in hand now, and when they were cut last.
   std::deque<Book*> due;
   double calls = kCallsFirst / settings.gateways, callsInHand = 1;
-  Time callsAt = born, callsCut{}, lastGood = born;
+  TimePoint callsAt = born, callsCut{}, lastGood = born;
   int failedInRow = 0;
   bool pumping = false, sweeping = false;
 
@@ -142,10 +142,10 @@
   std::vector<char> serving, newcomer;  // newcomer: has had no turn in the rotation yet
   std::vector<ZoneId> zone;
   std::vector<CellId> cell;
-  std::vector<std::optional<Time>> started;
+  std::vector<std::optional<TimePoint>> started;
   std::vector<double> latency, credit;
   std::vector<int> out, unreached;  // attempts out; and in a row those that found no way to it
-  std::vector<Time> benchedUntil, heard;
+  std::vector<TimePoint> benchedUntil, heard;
   std::vector<ColdPart> coldParts;
   std::vector<std::size_t> able;  // those that may be asked now
   std::vector<Recent> answeredAt;
@@ -159,26 +159,26 @@
   double further = kFurtherStore;          // attempts for overdue ones that may be made now
   std::deque<std::pair<std::uint64_t, std::size_t>> inOrder;  // attempts as they went out
 
-  Mind(PolicySettings t, std::uint64_t seed, Time at, Port& p)
+  Mind(PolicySettings t, std::uint64_t seed, TimePoint at, Port& p)
       : settings(std::move(t)), port(p), chance(static_cast<std::uint32_t>(seed)), born(at) {}
 
   // Staff are told when it begins and ends, at most once a slot.
   struct Told {
     const char *began, *ended;
     bool on = false;
-    Time at{};
+    TimePoint at{};
   };
   Told silence{"counter silent: quotas divided among the gateways", "counter back: quotas shared again"};
   Told shedding{"hosts have no room: requests rejected, the least worth first", "hosts have room again"};
-  Time lastShed{}, booksSwept{};
+  TimePoint lastShed{}, booksSwept{};
 
   void tell(Told& told, bool on) {
-    if (told.on == on || (told.at != Time{} && now - told.at < kSlot)) return;
+    if (told.on == on || (told.at != TimePoint{} && now - told.at < kSlot)) return;
     told.on = on, told.at = now;
     port.note(on ? told.began : told.ended);
   }
 
-  void after(Time at, std::function<void()> what) {
+  void after(TimePoint at, std::function<void()> what) {
     timers.emplace(++lastTimer, std::move(what));
     port.wakeAt(std::max(at, now), {lastTimer});
   }
@@ -195,7 +195,7 @@
     }
     if (line.started != started[h] || !serving[h]) {  // new or back: nothing seen of it holds any more
       std::fill(kinds[h].begin(), kinds[h].end(), Tried{});
-      latency[h] = unreached[h] = 0, benchedUntil[h] = Time{}, newcomer[h] = 1, answeredAt[h] = Recent{};
+      latency[h] = unreached[h] = 0, benchedUntil[h] = TimePoint{}, newcomer[h] = 1, answeredAt[h] = Recent{};
     }
     servingHosts += line.serving - serving[h];
     serving[h] = line.serving, zone[h] = line.zone, cell[h] = line.cell, started[h] = line.started;
@@ -203,7 +203,7 @@
 
   // The least share of its capacity that a host has by now.
   double warmth(std::size_t h) const {
-    if (!started[h] || settings.slowStartTime <= Span{0}) return 1;
+    if (!started[h] || settings.slowStartTime <= Duration{0}) return 1;
     const double ramp = std::clamp(seconds(now - *started[h]) / seconds(settings.slowStartTime), 0.0, 1.0);
     return settings.startCapacity + (1 - settings.startCapacity) * ramp;
   }
@@ -313,16 +313,16 @@
   }
 
   // Guards against a repeat that is dialling, or waits to be written, while the hosts forget the first.
-  Time windowEnd(const PendingRequest& requestId) const {
+  TimePoint windowEnd(const PendingRequest& requestId) const {
     const Method& m = settings.methods[requestId.asked.method.value];
-    Time end = Time::max();
+    TimePoint end = TimePoint::max();
     for (const Attempt& c : requestId.attempts)
       if (repeatOf(requestId) == Repeat::deduplicated && (c.out || c.ran) && &c != &requestId.attempts.back())
         end = std::min(end, c.sentAt + m.window);
     return end;
   }
 
-  void sawLatency(std::size_t h, double took, Time heardBefore = {}) {
+  void sawLatency(std::size_t h, double took, TimePoint heardBefore = {}) {
     if (latency[h] <= 0) latency[h] = meanLatency > 0 ? meanLatency : took;
     const double gain =
         std::clamp(1 - std::exp(-seconds(now - heardBefore) / kLatencySpan), kLatencyGain, kLatencyMost);
@@ -335,7 +335,7 @@
     const std::size_t h = end.host.value;
     --out[h], --outTotal;
     if (end.outcome == Outcome::cancelled || end.outcome == Outcome::notSent) return;
-    const Time heardBefore = heard[h];
+    const TimePoint heardBefore = heard[h];
     const bool ok = end.outcome == Outcome::ok, full = end.outcome == Outcome::rejected;
     const auto tried = [&](std::size_t kind, bool badly) {
       (badly ? kinds[h][kind].badly : kinds[h][kind].well).add(now, kTriedSpan, 1);
@@ -358,7 +358,7 @@
       sitOut(h, scaled(settings.connectTimeout, kSitOut * times));
     }
   }
-  void sitOut(std::size_t h, Span span) { benchedUntil[h] = std::max(benchedUntil[h], now + span); }
+  void sitOut(std::size_t h, Duration span) { benchedUntil[h] = std::max(benchedUntil[h], now + span); }
 
   // Guards against few jammed hosts that make all look full: a report counts for so much and no more. And
   // against a jam that each gateway must find out: a host that queues more than it answers in a soft deadline
@@ -369,14 +369,15 @@
     reports.add(now, kHostSpan, 1);
     reportedFull.add(now, kHostSpan, std::min(kFullest, held / (rate * kHostWait * soft + kSpare)));
     if (load.queued.value_or(0) > 0 && held > rate * soft)
-      sitOut(h, spanOf(std::min(kKept * seconds(kSlot), std::max(held, double(settings.gateways)) / rate)));
+      sitOut(h,
+             durationOf(std::min(kKept * seconds(kSlot), std::max(held, double(settings.gateways)) / rate)));
   }
 
   // ---- the customer's bucket ----
 
   double inSlot(SlotId slot) const { return seconds(now.time_since_epoch() - slot.value * kSlot); }
   SlotId slotNow() const { return {now.time_since_epoch() / kSlot}; }
-  Span round() const { return scaled(settings.counterTimeout, kRound); }
+  Duration round() const { return scaled(settings.counterTimeout, kRound); }
   double part(const Book& b) const { return b.known && !b.silent ? 1 : 1 / b.gateways; }
 
   Book& bookOf(const Request& a) {
@@ -474,7 +475,7 @@
     if (b.asking || b.waiting) return;
     b.waiting = true;
     const auto queue = [this, &b] { due.push_back(&b), pump(); };
-    const Time at = b.lastRound + round();
+    const TimePoint at = b.lastRound + round();
     at <= now ? queue() : after(at, queue);
   }
 
@@ -493,11 +494,11 @@
     if (due.empty() || pumping) return;
     pumping = true;
     // Guards against a timer due at once, over and over: less than a nanosecond may be missing.
-    const Span wait = std::max(Span{1}, spanOf((1 - callsInHand) * patience / calls));
+    const Duration wait = std::max(Duration{1}, durationOf((1 - callsInHand) * patience / calls));
     after(now + wait, [this] { pumping = false, pump(); });
   }
 
-  void pace(CountEnd end, Span took) {
+  void pace(CountEnd end, Duration took) {
     failedInRow = end == CountEnd::ok ? 0 : failedInRow + 1;
     if (end == CountEnd::ok) lastGood = now;
     tell(silence, counterSilent());
@@ -638,8 +639,8 @@
 
   void advise(RequestId requestId, double wait) {
     port.reject(requestId, settings.allowRetryAfter
-                               ? std::clamp(spanOf(wait), Span{0}, settings.maxRetryAfter)
-                               : Span{0});
+                               ? std::clamp(durationOf(wait), Duration{0}, settings.maxRetryAfter)
+                               : Duration{0});
   }
 
   bool send(PendingRequest& requestId) {
@@ -745,16 +746,16 @@
   }
 };
 
-Gateway::Gateway(PolicySettings settings, std::uint64_t seed, Time now, Port& port)
+Gateway::Gateway(PolicySettings settings, std::uint64_t seed, TimePoint now, Port& port)
     : mind_(std::make_unique<Mind>(std::move(settings), seed, now, port)) {}
 Gateway::~Gateway() = default;
 
-void Gateway::hostsUpdated(Time now, const std::vector<HostUpdate>& lines) {
+void Gateway::hostsUpdated(TimePoint now, const std::vector<HostUpdate>& lines) {
   mind_->now = now;
   for (const HostUpdate& line : lines) mind_->learn(line);
 }
 
-void Gateway::allHostsUpdated(Time now, const std::vector<HostUpdate>& lines) {
+void Gateway::allHostsUpdated(TimePoint now, const std::vector<HostUpdate>& lines) {
   std::vector<char> named(mind_->serving.size(), 0);
   for (const HostUpdate& line : lines)
     if (line.host.value < named.size()) named[line.host.value] = 1;
@@ -763,27 +764,27 @@
   hostsUpdated(now, lines);
 }
 
-void Gateway::requestArrived(Time now, const Request& request) {
+void Gateway::requestArrived(TimePoint now, const Request& request) {
   mind_->now = now;
   mind_->arrive(request);
 }
 
-void Gateway::attemptEnded(Time now, const AttemptResult& end) {
+void Gateway::attemptEnded(TimePoint now, const AttemptResult& end) {
   mind_->now = now;
   const auto at = mind_->requests.find(end.requestId.value);
   if (at == mind_->requests.end() || end.no.value >= at->second.attempts.size()) return;
   if (const auto next = std::exchange(at->second.attempts[end.no.value].next, nullptr)) next(end);
 }
 
-void Gateway::answerStarted(Time, RequestId, AttemptNumber) {}
+void Gateway::answerStarted(TimePoint, RequestId, AttemptNumber) {}
 
-void Gateway::clientLeft(Time now, RequestId requestId) {
+void Gateway::clientLeft(TimePoint now, RequestId requestId) {
   mind_->now = now;
   const auto at = mind_->requests.find(requestId.value);
   if (at != mind_->requests.end()) at->second.done = true;
 }
 
-void Gateway::counted(Time now, const CountName& name, CountEnd end, double total, Span took) {
+void Gateway::counted(TimePoint now, const CountName& name, CountEnd end, double total, Duration took) {
   mind_->now = now;
   mind_->pace(end, took);
   const auto at = mind_->asked.find(name);
@@ -794,9 +795,9 @@
   next(end, total);
 }
 
-void Gateway::probed(Time, HostId, bool, const LoadReport&) {}
+void Gateway::probed(TimePoint, HostId, bool, const LoadReport&) {}
 
-void Gateway::woken(Time now, TimerId timer) {
+void Gateway::woken(TimePoint now, TimerId timer) {
   mind_->now = now;
   const auto at = mind_->timers.find(timer.value);
   if (at == mind_->timers.end()) return;
--- a/src/brain.hpp
+++ b/src/brain.hpp
@@ -12,7 +12,7 @@
 // How long an attempt may take: it is given up then, and by then its last byte must be on its way, or it
 // never is sent (a repeat whose host would no longer know the first).
 struct Until {
-  Time giveUp, written;
+  TimePoint giveUp, written;
 };
 
 // The way out of the decisions: whoever hosts a gateway carries these out.
@@ -21,10 +21,10 @@
   virtual ~Port() = default;
   virtual void startAttempt(RequestId, HostId, Until) = 0;
   virtual void cancel(RequestId, AttemptNumber) = 0;
-  virtual void reject(RequestId, Span comeBackAfter) = 0;  // final; 0 gives no advice
-  virtual void fail(RequestId) = 0;                        // final
-  virtual void addToCount(const CountName&, double units, Span keptFor) = 0;
-  virtual void wakeAt(Time, TimerId) = 0;
+  virtual void reject(RequestId, Duration comeBackAfter) = 0;  // final; 0 gives no advice
+  virtual void fail(RequestId) = 0;                            // final
+  virtual void addToCount(const CountName&, double units, Duration keptFor) = 0;
+  virtual void wakeAt(TimePoint, TimerId) = 0;
   virtual void probe(HostId) = 0;
   virtual void note(const std::string& line) = 0;
 };
@@ -34,7 +34,7 @@
   CustomerId customer;
   PlanId plan;
   MethodId method;
-  Time deadline;               // the client gives up on this try
+  TimePoint deadline;          // the client gives up on this try
   double units = 0;            // a guess where they are settled after the answer
   std::uint32_t gateways = 1;  // through which the customer's requests come
   bool marked = true;          // bears what a repeat of a deduplicated method is known by
@@ -52,7 +52,7 @@
   HostId host;
   Outcome outcome = Outcome::notSent;
   bool closed = false;  // the request has had its final answer
-  Span took{};
+  Duration took{};
   double trueUnits = 0;  // 0: not told
   LoadReport load;
 };
@@ -64,7 +64,7 @@
   MachineId machine;
   bool serving = false;  // false: draining or gone
   double weight = 1;
-  std::optional<Time> started;  // empty: long ago
+  std::optional<TimePoint> started;  // empty: long ago
 };
 
 enum class CountEnd { ok, notAdded, unknown };
@@ -73,20 +73,21 @@
 // returns. Times never go back. Nothing is shared with other gateways.
 class Gateway {
  public:
-  Gateway(PolicySettings, std::uint64_t seed, Time now, Port&);
+  Gateway(PolicySettings, std::uint64_t seed, TimePoint now, Port&);
   ~Gateway();
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  void hostsUpdated(Time now, const std::vector<HostUpdate>&);     // the lines that changed
-  void allHostsUpdated(Time now, const std::vector<HostUpdate>&);  // all lines: what is missing has gone
-  void requestArrived(Time now, const Request&);
-  void attemptEnded(Time now, const AttemptResult&);
-  void answerStarted(Time now, RequestId, AttemptNumber);  // a streamed answer is the client's from here on
-  void clientLeft(Time now, RequestId);
-  void counted(Time now, const CountName&, CountEnd, double total, Span took);
-  void probed(Time now, HostId, bool ok, const LoadReport&);
-  void woken(Time now, TimerId);
+  void hostsUpdated(TimePoint now, const std::vector<HostUpdate>&);     // the lines that changed
+  void allHostsUpdated(TimePoint now, const std::vector<HostUpdate>&);  // all lines: what is missing has gone
+  void requestArrived(TimePoint now, const Request&);
+  void attemptEnded(TimePoint now, const AttemptResult&);
+  void answerStarted(TimePoint now, RequestId,
+                     AttemptNumber);  // a streamed answer is the client's from here on
+  void clientLeft(TimePoint now, RequestId);
+  void counted(TimePoint now, const CountName&, CountEnd, double total, Duration took);
+  void probed(TimePoint now, HostId, bool ok, const LoadReport&);
+  void woken(TimePoint now, TimerId);
 
  private:
   struct Mind;
--- a/src/config/endpoint_list.cpp
+++ b/src/config/endpoint_list.cpp
@@ -11,7 +11,8 @@
     const Fields line("instances", entry);
     // Guards against a start that no clock can hold: it is no date, and so long ago.
     auto started = line.get("startedAtMs", std::int64_t{0});
-    if (started < 0 || started > std::chrono::duration_cast<std::chrono::milliseconds>(Span::max()).count())
+    if (started < 0 ||
+        started > std::chrono::duration_cast<std::chrono::milliseconds>(Duration::max()).count())
       started = 0;
     const auto state = line.need<std::string_view>("lifecycle");
     endpoints.entries.push_back({std::string(line.need<std::string_view>("instanceId")),
--- a/src/config/endpoint_list.hpp
+++ b/src/config/endpoint_list.hpp
@@ -12,7 +12,7 @@
   std::int64_t cell = -1;
   bool serving = false, gone = false;
   double weight = 1;
-  Span started{};  // since the clock's origin; 0: long ago
+  Duration started{};  // since the clock's origin; 0: long ago
 };
 
 // Discovery's word on the hosts: the whole list, or what has changed.
--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -29,13 +29,13 @@
   return seed;
 }
 
-Span longestDeadlineOf(const Fields& profile) {
-  Span longest{0};
+Duration longestDeadlineOf(const Fields& profile) {
+  Duration longest{0};
   simdjson::dom::array entries;
   if (profile.need<element>("requestClasses").get(entries))
     profile.blame("requestClasses", "is not an array");
   for (const element entry : entries)
-    longest = std::max(longest, Fields("requestClasses", entry).span("hardLimit", Span{0}));
+    longest = std::max(longest, Fields("requestClasses", entry).duration("hardLimit", Duration{0}));
   return longest;
 }
 
@@ -47,10 +47,10 @@
   config.settings = readPolicySettings(profile);
   config.methods = namesOf(profile, "requestClasses"), config.plans = namesOf(profile, "tariffs");
   config.zones = namesOf(profile, "failureDomains"), config.machines = namesOf(profile, "machineTypes");
-  config.idle = ways.span("connIdle", std::chrono::seconds(30));
-  config.step = profile.span("step", Span{0});
-  config.answerSlack = profile.part("rules").span("answerSlack", Span{0});
-  config.drainGrace = profile.part("rules").span("drainGrace", config.settings.connectTimeout);
+  config.idle = ways.duration("connIdle", std::chrono::seconds(30));
+  config.step = profile.duration("step", Duration{0});
+  config.answerSlack = profile.part("rules").duration("answerSlack", Duration{0});
+  config.drainGrace = profile.part("rules").duration("drainGrace", config.settings.connectTimeout);
   config.longestDeadline = longestDeadlineOf(profile);
   return config;
 }
--- a/src/config/gateway_config.hpp
+++ b/src/config/gateway_config.hpp
@@ -17,11 +17,11 @@
   EndpointList known;
   PolicySettings settings;
   std::vector<std::string> methods, plans, zones, machines;
-  Span idle{};         // a host closes a connection that rested so long
-  Span step{};         // what comes closer together than that is as good as at once
-  Span answerSlack{};  // an answer this long after the deadline still counts
-  Span longestDeadline{};
-  Span drainGrace{};  // what discovery tells must be heeded by then
+  Duration idle{};         // a host closes a connection that rested so long
+  Duration step{};         // what comes closer together than that is as good as at once
+  Duration answerSlack{};  // an answer this long after the deadline still counts
+  Duration longestDeadline{};
+  Duration drainGrace{};  // what discovery tells must be heeded by then
 };
 
 // The part of it that is the settings; the rest is left empty.
--- a/src/config/json_fields.hpp
+++ b/src/config/json_fields.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "moment.hpp"
+#include "policy_api/time.hpp"
 
 namespace merlinbridge::config {
 
@@ -43,9 +43,9 @@
   }
   Fields part(std::string_view field) const { return {field, need<element>(field)}; }
   Fields partOrNone(std::string_view field) const { return {field, find(field)}; }
-  Span span(std::string_view field) const { return asSpan(field, need<double>(field)); }
-  Span span(std::string_view field, Span otherwise) const {
-    return has(field) ? asSpan(field, need<double>(field)) : otherwise;
+  Duration duration(std::string_view field) const { return asDuration(field, need<double>(field)); }
+  Duration duration(std::string_view field, Duration otherwise) const {
+    return has(field) ? asDuration(field, need<double>(field)) : otherwise;
   }
 
  private:
@@ -72,7 +72,7 @@
       return static_cast<T>(value);
     }
   }
-  Span asSpan(std::string_view field, double micros) const {
+  Duration asDuration(std::string_view field, double micros) const {
     if (!(micros > -9e15 && micros < 9e15)) blame(field, "is out of range");
     return std::chrono::microseconds(static_cast<std::int64_t>(micros));
   }
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -23,8 +23,8 @@
   own.level = log.oneOf<Level>("level", own.level, kLevels);
   log.done();
   config::TomlTable end = t.part("end");
-  own.stillComing = end.span("still_coming", own.stillComing);
-  own.mostLife = end.span("most_life", own.mostLife);
+  own.stillComing = end.duration("still_coming", own.stillComing);
+  own.mostLife = end.duration("most_life", own.mostLife);
   if (own.mostLife < own.stillComing) end.blame("most_life", "a time no shorter than still_coming");
   end.done();
   config::TomlTable reload = t.part("reload");
--- a/src/config/operator_config.hpp
+++ b/src/config/operator_config.hpp
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "log.hpp"
-#include "moment.hpp"
+#include "policy_api/time.hpp"
 
 namespace merlinbridge::config {
 
@@ -12,9 +12,10 @@
 struct OperatorConfig {
   Log::Form form = Log::Form::text;
   Level level = Level::info;
-  Span stillComing = std::chrono::milliseconds(700);  // after SIGTERM: for so long all that comes is answered
-  Span mostLife = std::chrono::milliseconds(3700);    // and after so long the process may be killed
-  int looks = 5;                                      // at a file of configuration that cannot be read
+  Duration stillComing =
+      std::chrono::milliseconds(700);  // after SIGTERM: for so long all that comes is answered
+  Duration mostLife = std::chrono::milliseconds(3700);  // and after so long the process may be killed
+  int looks = 5;                                        // at a file of configuration that cannot be read
 };
 
 // The whole of it is checked before anything is used. Throws tables::TomlError.
--- a/src/config/policy_settings_reader.cpp
+++ b/src/config/policy_settings_reader.cpp
@@ -9,7 +9,7 @@
   return {effect == "free" ? Repeat::idempotent
                            : (effect == "guarded" ? Repeat::deduplicated : Repeat::nonIdempotent),
           group == "all" ? Group::all : (group == "zone" ? Group::zone : Group::cell),
-          f.span("window", Span{0}), f.span("promise"), f.get("importance", 1.0)};
+          f.duration("window", Duration{0}), f.duration("promise"), f.get("importance", 1.0)};
 }
 
 Plan readPlan(const Fields& f) {
@@ -18,11 +18,11 @@
 }
 
 // What the operators' page has where the settings are silent. No wait may be without end, nor over at once.
-constexpr Span kConnectTimeout = std::chrono::milliseconds(250);
+constexpr Duration kConnectTimeout = std::chrono::milliseconds(250);
 
-Span positive(const Fields& f, std::string_view field, Span otherwise) {
-  const Span span = f.span(field, otherwise);
-  return span > Span{0} ? span : otherwise;
+Duration positive(const Fields& f, std::string_view field, Duration otherwise) {
+  const Duration span = f.duration(field, otherwise);
+  return span > Duration{0} ? span : otherwise;
 }
 
 template <class T, class Read>
@@ -43,7 +43,7 @@
   std::vector<Plan> plans =
       profile.has("tariffs") ? readEach<Plan>(profile, "tariffs", readPlan) : std::vector<Plan>{};
   if (plans.empty()) plans.push_back({0, 0, 0, 0, 0, 0, 1});
-  const Span connectTimeout = positive(limits, "connectTimeout", kConnectTimeout);
+  const Duration connectTimeout = positive(limits, "connectTimeout", kConnectTimeout);
   return {
       .methods = readEach<Method>(profile, "requestClasses", readMethod),
       .plans = std::move(plans),
@@ -55,12 +55,12 @@
       .allowHedging = limits.get("secondCopies", false),
       .allowRetryAfter = limits.get("retryAfter", false),
       .maxAttempts = limits.get("tryLimit", 1u),
-      .maxRetryAfter = limits.span("maxRetryAfter", Span{0}),
+      .maxRetryAfter = limits.duration("maxRetryAfter", Duration{0}),
       .connectTimeout = connectTimeout,
       .startCapacity = rules.need<double>("startCapacity"),
       .overloadMultiple = rules.need<double>("tipMultiple"),
-      .slowStartTime = rules.span("cold"),
-      .overloadWindow = rules.span("fall"),
+      .slowStartTime = rules.duration("cold"),
+      .overloadWindow = rules.duration("fall"),
   };
 }
 
--- a/src/config/toml_table.hpp
+++ b/src/config/toml_table.hpp
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-#include "moment.hpp"
+#include "policy_api/time.hpp"
 
 namespace merlinbridge::config {
 
@@ -70,13 +70,13 @@
                          return static_cast<Whole>(*value);
                        });
   }
-  Span span(std::string_view key, std::optional<Span> otherwise) {
-    return read<Span>(key, otherwise, "a time from 0 to a day, as \"250ms\"",
-                      [](const toml::node& node) -> std::optional<Span> {
-                        const auto value = secondsOf(node);
-                        if (!value) return {};
-                        return spanOf(*value);
-                      });
+  Duration duration(std::string_view key, std::optional<Duration> otherwise) {
+    return read<Duration>(key, otherwise, "a time from 0 to a day, as \"250ms\"",
+                          [](const toml::node& node) -> std::optional<Duration> {
+                            const auto value = secondsOf(node);
+                            if (!value) return {};
+                            return durationOf(*value);
+                          });
   }
   // Seconds, either one time or the least and the most.
   Range range(std::string_view key, std::optional<Range> otherwise) {
--- a/src/emulator/agenda.hpp
+++ b/src/emulator/agenda.hpp
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "moment.hpp"
+#include "policy_api/time.hpp"
 
 namespace merlinbridge::emulator {
 
@@ -15,16 +15,16 @@
  public:
   using What = std::function<void()>;
 
-  explicit Agenda(Time begin) : now_(begin) {}
+  explicit Agenda(TimePoint begin) : now_(begin) {}
 
-  Time now() const { return now_; }
-  void at(Time when, What what) {
+  TimePoint now() const { return now_; }
+  void at(TimePoint when, What what) {
     heap_.push_back({std::max(when, now_), ++last_, std::move(what)});
     std::push_heap(heap_.begin(), heap_.end(), later);
   }
-  void after(Span span, What what) { at(now_ + span, std::move(what)); }
+  void after(Duration span, What what) { at(now_ + span, std::move(what)); }
   // The next thing happens; false where there is none up to that time, which then has come.
-  bool step(Time until) {
+  bool step(TimePoint until) {
     if (heap_.empty() || heap_.front().at > until) return now_ = std::max(now_, until), false;
     std::pop_heap(heap_.begin(), heap_.end(), later);
     Entry next = std::move(heap_.back());
@@ -37,7 +37,7 @@
 
  private:
   struct Entry {
-    Time at;
+    TimePoint at;
     std::uint64_t order;
     What what;
   };
@@ -45,7 +45,7 @@
     return std::pair(a.at, a.order) > std::pair(b.at, b.order);
   }
 
-  Time now_;
+  TimePoint now_;
   std::uint64_t last_ = 0;
   std::vector<Entry> heap_;
 };
--- a/src/emulator/dice.hpp
+++ b/src/emulator/dice.hpp
@@ -5,7 +5,7 @@
 #include <random>
 #include <string_view>
 
-#include "moment.hpp"
+#include "policy_api/time.hpp"
 
 namespace merlinbridge::emulator {
 
@@ -31,7 +31,7 @@
   bool lucky(double odds) { return even() < odds; }
   std::size_t below(std::size_t n) { return std::min(n - 1, static_cast<std::size_t>(even() * double(n))); }
   double exponential(double mean) { return -mean * std::log(1 - even()); }
-  Span span(Span mean) { return scaled(mean, exponential(1)); }
+  Duration duration(Duration mean) { return scaled(mean, exponential(1)); }
   std::uint64_t word() { return static_cast<std::uint64_t>(engine_()) << 24 | engine_(); }
 
  private:
--- a/src/emulator/doorman.cpp
+++ b/src/emulator/doorman.cpp
@@ -15,10 +15,10 @@
 // The daemon's own core, with the module inside.
 class Own final : public Doorman {
  public:
-  Own(const config::GatewayConfig& config, Time now, front::Deadlines& deadlines, front::Ways& ways)
+  Own(const config::GatewayConfig& config, TimePoint now, front::Deadlines& deadlines, front::Ways& ways)
       : front_(config, now, deadlines, ways) {}
 
-  void requestArrived(Time now, SlotRef client, const Request& request) override {
+  void requestArrived(TimePoint now, SlotRef client, const Request& request) override {
     const RequestId requestId = front_.requestArrived(now, client, request);
     if (front_.holds(requestId)) requests_[client.packed()] = requestId;
     if (requests_.size() > sweepAt_) {
@@ -26,25 +26,25 @@
       sweepAt_ = std::max<std::size_t>(64, 2 * requests_.size());
     }
   }
-  void clientLeft(Time now, SlotRef client) override {
+  void clientLeft(TimePoint now, SlotRef client) override {
     const auto at = requests_.find(client.packed());
     if (at == requests_.end()) return;
     const RequestId requestId = at->second;
     requests_.erase(at);
     front_.clientLeft(now, requestId);
   }
-  void attemptEnded(Time now, RequestId requestId, AttemptNumber no, Outcome outcome,
+  void attemptEnded(TimePoint now, RequestId requestId, AttemptNumber no, Outcome outcome,
                     const front::Said& said) override {
     front_.attemptEnded(now, requestId, no, outcome, said);
   }
-  void counted(Time now, const CountName& name, CountEnd end, double total, Span took) override {
+  void counted(TimePoint now, const CountName& name, CountEnd end, double total, Duration took) override {
     front_.counted(now, name, end, total, took);
   }
-  void endpointsUpdated(Time now, const config::EndpointList& endpoints) override {
+  void endpointsUpdated(TimePoint now, const config::EndpointList& endpoints) override {
     front_.endpointsUpdated(now, endpoints);
   }
   const std::string& addressOf(HostId host) const override { return front_.addressOf(host); }
-  void endBy(Time by) override { front_.endBy(by); }
+  void endBy(TimePoint by) override { front_.endBy(by); }
   std::size_t unanswered() const override { return front_.unanswered(); }
 
  private:
@@ -57,7 +57,7 @@
 // What the policies beside the module share: one attempt for each request, and no second.
 class Simple : public Doorman {
  public:
-  Simple(const config::GatewayConfig& config, Time now, front::Deadlines& deadlines, front::Ways& ways)
+  Simple(const config::GatewayConfig& config, TimePoint now, front::Deadlines& deadlines, front::Ways& ways)
       : settings_(config.settings),
         slack_(config.answerSlack),
         deadlines_(deadlines),
@@ -68,22 +68,22 @@
     Simple::endpointsUpdated(now, known);
   }
 
-  void requestArrived(Time now, SlotRef client, const Request& request) override {
+  void requestArrived(TimePoint now, SlotRef client, const Request& request) override {
     const auto host = admits(now, request) ? choose(now) : std::nullopt;
     if (!host) return ways_.answerRejected(client, settings_.connectTimeout);
     const RequestId requestId{++last_};
-    const Time by = std::min(request.deadline, latest_) - slack_;
-    const auto sent = ways_.startAttempt(requestId, {0}, client, *host, {by, Time::max()});
-    if (std::holds_alternative<Outcome>(sent)) return ways_.answerRejected(client, Span{0});
+    const TimePoint by = std::min(request.deadline, latest_) - slack_;
+    const auto sent = ways_.startAttempt(requestId, {0}, client, *host, {by, TimePoint::max()});
+    if (std::holds_alternative<Outcome>(sent)) return ways_.answerRejected(client, Duration{0});
     requests_[requestId.value] = {client, std::get<SlotRef>(sent),
                                   settings_.methods[request.method.value].repeat == Repeat::idempotent};
     byClient_[client.packed()] = requestId.value;
-    deadlines_.add(std::max(now, by), [this, requestId](Time) { giveUp(requestId, true); });
+    deadlines_.add(std::max(now, by), [this, requestId](TimePoint) { giveUp(requestId, true); });
   }
-  void clientLeft(Time, SlotRef client) override {
+  void clientLeft(TimePoint, SlotRef client) override {
     if (const auto at = byClient_.find(client.packed()); at != byClient_.end()) giveUp({at->second}, false);
   }
-  void attemptEnded(Time, RequestId requestId, AttemptNumber, Outcome outcome,
+  void attemptEnded(TimePoint, RequestId requestId, AttemptNumber, Outcome outcome,
                     const front::Said& said) override {
     const auto at = requests_.find(requestId.value);
     if (at == requests_.end()) return;
@@ -91,11 +91,11 @@
     drop(requestId);
     if (outcome == Outcome::ok) return ways_.answerOk(held.client, said.body, said.type);
     if (held.idempotent || outcome == Outcome::rejected || outcome == Outcome::noConnection)
-      return ways_.answerRejected(held.client, Span{0});
+      return ways_.answerRejected(held.client, Duration{0});
     ways_.answerFailed(held.client);
   }
-  void counted(Time, const CountName&, CountEnd, double, Span) override {}
-  void endpointsUpdated(Time, const config::EndpointList& endpoints) override {
+  void counted(TimePoint, const CountName&, CountEnd, double, Duration) override {}
+  void endpointsUpdated(TimePoint, const config::EndpointList& endpoints) override {
     if (endpoints.complete) serving_.clear();
     for (const config::Endpoint& line : endpoints.entries) {
       std::erase(serving_, line.address);
@@ -103,18 +103,18 @@
     }
   }
   const std::string& addressOf(HostId host) const override { return serving_[host.value]; }
-  void endBy(Time by) override { latest_ = by; }
+  void endBy(TimePoint by) override { latest_ = by; }
   std::size_t unanswered() const override { return requests_.size(); }
 
  protected:
-  virtual bool admits(Time, const Request&) { return true; }
-  virtual std::optional<HostId> choose(Time) {
+  virtual bool admits(TimePoint, const Request&) { return true; }
+  virtual std::optional<HostId> choose(TimePoint) {
     if (serving_.empty()) return std::nullopt;
     return HostId{static_cast<std::uint32_t>(dice_.below(serving_.size()))};
   }
 
   const PolicySettings settings_;
-  const Span slack_;
+  const Duration slack_;
   std::vector<std::string> serving_;  // an attempt is made at once, so its place here is the host's number
 
  private:
@@ -143,7 +143,7 @@
 
  private:
   std::uint64_t last_ = 0;
-  Time latest_ = Time::max();
+  TimePoint latest_ = TimePoint::max();
   std::unordered_map<std::uint64_t, Held> requests_;
   std::unordered_map<std::uint64_t, std::uint64_t> byClient_;
 };
@@ -156,9 +156,9 @@
  private:
   struct Part {
     double level, ceiling;
-    Time at;
+    TimePoint at;
   };
-  bool admits(Time now, const Request& a) override {
+  bool admits(TimePoint now, const Request& a) override {
     const Plan& p = settings_.plans[a.plan.value];
     const double share = 1.0 / std::max(1u, a.gateways);
     // A part of the ceiling begins empty: what an earlier life has sent is not known.
@@ -178,15 +178,15 @@
 // Sees every quota and every host as they are.
 class Seeing final : public Simple {
  public:
-  Seeing(const config::GatewayConfig& config, Time now, front::Deadlines& deadlines, front::Ways& ways,
+  Seeing(const config::GatewayConfig& config, TimePoint now, front::Deadlines& deadlines, front::Ways& ways,
          Truth truth)
       : Simple(config, now, deadlines, ways), truth_(std::move(truth)) {}
 
  private:
-  bool admits(Time, const Request& a) override {
+  bool admits(TimePoint, const Request& a) override {
     return truth_.inside(a.customer.value, a.plan.value, a.units);
   }
-  std::optional<HostId> choose(Time) override {
+  std::optional<HostId> choose(TimePoint) override {
     std::optional<HostId> best;
     double least = 0;
     const std::size_t from = serving_.empty() ? 0 : dice_.below(serving_.size());
@@ -216,7 +216,7 @@
   return std::nullopt;
 }
 
-std::unique_ptr<Doorman> doormanOf(Policy policy, const config::GatewayConfig& config, Time now,
+std::unique_ptr<Doorman> doormanOf(Policy policy, const config::GatewayConfig& config, TimePoint now,
                                    front::Deadlines& deadlines, front::Ways& ways, const Truth& truth) {
   switch (policy) {
     case Policy::module:
--- a/src/emulator/doorman.hpp
+++ b/src/emulator/doorman.hpp
@@ -13,13 +13,13 @@
 class Doorman {
  public:
   virtual ~Doorman() = default;
-  virtual void requestArrived(Time, front::SlotRef client, const Request&) = 0;
-  virtual void clientLeft(Time, front::SlotRef client) = 0;
-  virtual void attemptEnded(Time, RequestId, AttemptNumber, Outcome, const front::Said&) = 0;
-  virtual void counted(Time, const CountName&, CountEnd, double total, Span took) = 0;
-  virtual void endpointsUpdated(Time, const config::EndpointList&) = 0;
+  virtual void requestArrived(TimePoint, front::SlotRef client, const Request&) = 0;
+  virtual void clientLeft(TimePoint, front::SlotRef client) = 0;
+  virtual void attemptEnded(TimePoint, RequestId, AttemptNumber, Outcome, const front::Said&) = 0;
+  virtual void counted(TimePoint, const CountName&, CountEnd, double total, Duration took) = 0;
+  virtual void endpointsUpdated(TimePoint, const config::EndpointList&) = 0;
   virtual const std::string& addressOf(HostId) const = 0;
-  virtual void endBy(Time) = 0;
+  virtual void endBy(TimePoint) = 0;
   virtual std::size_t unanswered() const = 0;
 };
 
@@ -33,7 +33,7 @@
 std::string_view wordOf(Policy);
 std::optional<Policy> policyNamed(std::string_view word);
 
-std::unique_ptr<Doorman> doormanOf(Policy, const config::GatewayConfig&, Time now, front::Deadlines&,
+std::unique_ptr<Doorman> doormanOf(Policy, const config::GatewayConfig&, TimePoint now, front::Deadlines&,
                                    front::Ways&, const Truth&);
 
 }  // namespace merlinbridge::emulator
--- a/src/emulator/ledger.cpp
+++ b/src/emulator/ledger.cpp
@@ -10,7 +10,7 @@
 
 // Breaches of one rule that are written down in words; all are counted.
 constexpr std::uint64_t kInWords = 5;
-constexpr Span kWindow = std::chrono::seconds(10);
+constexpr Duration kWindow = std::chrono::seconds(10);
 // What binary fractions lose when units are drawn and filled; no request is so small.
 constexpr double kRounding = 1e-6;
 
@@ -39,7 +39,7 @@
     open_.erase(attemptId.value);
 }
 
-void Ledger::breach(Time at, Rule rule, TryId attemptId, std::string what) {
+void Ledger::breach(TimePoint at, Rule rule, TryId attemptId, std::string what) {
   if (counts_[static_cast<std::size_t>(rule)]++ < kInWords)
     first_.push_back({at, rule, attemptId, std::move(what)});
 }
@@ -53,12 +53,12 @@
 // ---- the client's side: one whole answer in time ----
 
 // What comes to a gateway after its time is late by no fault of the gateway's: it has the slack from then on.
-void Ledger::taken(Time now, TryId attemptId, const Asked& asked) {
+void Ledger::taken(TimePoint now, TryId attemptId, const Asked& asked) {
   Open& open = open_.emplace(attemptId.value, Open{asked, {}, false, false, false}).first->second;
   open.asked.deadline = std::max(asked.deadline, now);
 }
 
-void Ledger::clientLeft(Time now, TryId attemptId) {
+void Ledger::clientLeft(TimePoint now, TryId attemptId) {
   Open* const open = find(attemptId);
   if (!open) return;
   if (!open->answered && !open->left && now > open->asked.deadline + s_.answerSlack)
@@ -67,7 +67,7 @@
   close(attemptId);
 }
 
-void Ledger::answered(Time now, TryId attemptId, Answer how) {
+void Ledger::answered(TimePoint now, TryId attemptId, Answer how) {
   Open* const open = find(attemptId);
   if (!open)
     return breach(now, Rule::lost, attemptId, "an answer to what was never asked, or to a client long gone");
@@ -88,13 +88,13 @@
 }
 
 // What it held is the clients' to ask again: it has not ended it, its machine has.
-void Ledger::gatewayDied(Time, GatewayNo gateway) {
+void Ledger::gatewayDied(TimePoint, GatewayNo gateway) {
   std::erase_if(open_, [gateway](const auto& at) { return at.second.asked.gateway == gateway; });
   notServing_.erase(notServing_.lower_bound({gateway.value, 0}),
                     notServing_.lower_bound({gateway.value + 1, 0}));
 }
 
-void Ledger::finish(Time now) {
+void Ledger::finish(TimePoint now) {
   std::vector<std::uint64_t> late;
   for (const auto& [attemptId, open] : open_)
     if (!open.answered && !open.left && now > open.asked.deadline + s_.answerSlack) late.push_back(attemptId);
@@ -108,7 +108,7 @@
   return std::any_of(open.outs.begin(), open.outs.end(), [](const Out& o) { return !o.proven; });
 }
 
-bool Ledger::mayRepeat(Time now, const Open& open, std::uint32_t zone, std::int64_t cell) const {
+bool Ledger::mayRepeat(TimePoint now, const Open& open, std::uint32_t zone, std::int64_t cell) const {
   const ScenarioMethod& m = s_.methods[open.asked.method];
   if (m.repeat == Repeat::idempotent) return true;
   return std::all_of(open.outs.begin(), open.outs.end(), [&](const Out& o) {
@@ -118,7 +118,7 @@
   });
 }
 
-void Ledger::sent(Time now, TryId attemptId, std::uint32_t no, MachineNo machine, std::uint32_t zone,
+void Ledger::sent(TimePoint now, TryId attemptId, std::uint32_t no, MachineNo machine, std::uint32_t zone,
                   std::int64_t cell) {
   Open* const open = find(attemptId);
   if (!open) return breach(now, Rule::lost, attemptId, "sent on for a client that is not there");
@@ -137,7 +137,7 @@
   open->outs[no] = {machine, zone, cell, now};
 }
 
-void Ledger::ran(Time now, TryId attemptId, std::uint32_t no, MachineNo, std::uint32_t zone,
+void Ledger::ran(TimePoint now, TryId attemptId, std::uint32_t no, MachineNo, std::uint32_t zone,
                  std::int64_t cell) {
   Open* const open = find(attemptId);
   if (!open || no >= open->outs.size()) return;
@@ -156,12 +156,12 @@
   open->outs[no].ran = true;
 }
 
-void Ledger::served(Time, TryId attemptId, std::uint32_t no) {
+void Ledger::served(TimePoint, TryId attemptId, std::uint32_t no) {
   Open* const open = find(attemptId);
   if (open && no < open->outs.size()) open->outs[no].served = true;
 }
 
-void Ledger::over(Time now, TryId attemptId, std::uint32_t no, bool proven) {
+void Ledger::over(TimePoint now, TryId attemptId, std::uint32_t no, bool proven) {
   Open* const open = find(attemptId);
   if (!open || no >= open->outs.size()) return;
   Out& out = open->outs[no];
@@ -172,13 +172,13 @@
 
 // ---- quotas and ceilings ----
 
-std::optional<bool> Ledger::reached(Time now, TryId attemptId, std::uint32_t) {
+std::optional<bool> Ledger::reached(TimePoint now, TryId attemptId, std::uint32_t) {
   Open* const open = find(attemptId);
   if (!open || std::exchange(open->drawn, true)) return std::nullopt;
   return draw(now, attemptId, *open);
 }
 
-std::optional<bool> Ledger::draw(Time now, TryId attemptId, Open& open) {
+std::optional<bool> Ledger::draw(TimePoint now, TryId attemptId, Open& open) {
   const Plan& p = s_.plans[open.asked.plan].plan;
   const double units = open.asked.units;
   unitsSent_ += units;
@@ -224,7 +224,7 @@
   return inside;
 }
 
-bool Ledger::wouldFit(Time now, std::uint64_t customer, std::uint32_t plan, double units) const {
+bool Ledger::wouldFit(TimePoint now, std::uint64_t customer, std::uint32_t plan, double units) const {
   const Plan& p = s_.plans[plan].plan;
   const auto at = purses_.find(customer);
   if (at == purses_.end()) return true;
@@ -236,7 +236,7 @@
 
 // ---- drains and cold hosts ----
 
-void Ledger::told(Time now, GatewayNo gateway, MachineNo machine, bool serving) {
+void Ledger::told(TimePoint now, GatewayNo gateway, MachineNo machine, bool serving) {
   if (serving)
     notServing_.erase({gateway.value, machine.value});
   else
@@ -248,7 +248,7 @@
   for (std::uint32_t g = 0; g < s_.gateways; ++g) notServing_.erase({g, machine.value});
 }
 
-double Ledger::coldBudget(Time now, Time started) const {
+double Ledger::coldBudget(TimePoint now, TimePoint started) const {
   const double ramp =
       s_.cold.count() > 0 ? std::clamp(seconds(now - started) / seconds(s_.cold), 0.0, 1.0) : 1;
   const double share = s_.startCapacity + (1 - s_.startCapacity) * ramp;
@@ -256,7 +256,7 @@
   return n + 2 * std::sqrt(n) + 2;
 }
 
-bool Ledger::hostAsked(Time now, MachineNo machine, Time started, Span work, bool told) {
+bool Ledger::hostAsked(TimePoint now, MachineNo machine, TimePoint started, Duration work, bool told) {
   if (now >= started + s_.cold) return cold_.erase(machine.value), false;
   Cold& cold = cold_[machine.value];
   const auto take = [&cold](const Cold::Part& part, double sign) {
--- a/src/emulator/ledger.hpp
+++ b/src/emulator/ledger.hpp
@@ -23,7 +23,7 @@
 enum class Answer { ok, rejected, failed };
 
 struct Breach {
-  Time at;
+  TimePoint at;
   Rule rule;
   TryId attemptId;  // 0 where it is no single request's
   std::string what;
@@ -41,27 +41,27 @@
     std::uint32_t method = 0, plan = 0;
     std::uint64_t customer = 0;
     double units = 0;
-    Time deadline;
+    TimePoint deadline;
   };
-  void taken(Time, TryId, const Asked&);
-  void clientLeft(Time, TryId);
-  void answered(Time, TryId, Answer);
-  void gatewayDied(Time, GatewayNo);
+  void taken(TimePoint, TryId, const Asked&);
+  void clientLeft(TimePoint, TryId);
+  void answered(TimePoint, TryId, Answer);
+  void gatewayDied(TimePoint, GatewayNo);
 
-  void sent(Time, TryId, std::uint32_t no, MachineNo, std::uint32_t zone, std::int64_t cell);
+  void sent(TimePoint, TryId, std::uint32_t no, MachineNo, std::uint32_t zone, std::int64_t cell);
   // The whole of it is at the host. True: its units were inside the customer's quota. Empty: not its first.
-  std::optional<bool> reached(Time, TryId, std::uint32_t no);
-  void ran(Time, TryId, std::uint32_t no, MachineNo, std::uint32_t zone, std::int64_t cell);
-  void served(Time, TryId, std::uint32_t no);  // the host has written its answer
+  std::optional<bool> reached(TimePoint, TryId, std::uint32_t no);
+  void ran(TimePoint, TryId, std::uint32_t no, MachineNo, std::uint32_t zone, std::int64_t cell);
+  void served(TimePoint, TryId, std::uint32_t no);  // the host has written its answer
   // The gateway has it that this attempt is over; proven: by the protocol's table it has never run.
-  void over(Time, TryId, std::uint32_t no, bool proven);
+  void over(TimePoint, TryId, std::uint32_t no, bool proven);
 
   // Work has come to a host that started then. True: it is cold and falls over under it.
-  bool hostAsked(Time, MachineNo, Time started, Span work, bool told);
-  void told(Time, GatewayNo, MachineNo, bool serving);
+  bool hostAsked(TimePoint, MachineNo, TimePoint started, Duration work, bool told);
+  void told(TimePoint, GatewayNo, MachineNo, bool serving);
   void hostForgotten(MachineNo);  // gone for so long that nobody speaks of it any more
 
-  void finish(Time);
+  void finish(TimePoint);
 
   const std::vector<Breach>& first() const { return first_; }  // of each rule, the first few
   std::uint64_t count(Rule rule) const { return counts_[static_cast<std::size_t>(rule)]; }
@@ -77,16 +77,16 @@
   double unitsBeyond() const { return unitsBeyond_; }
   std::uint64_t runsTwice() const { return runsTwice_; }
   // Would these units be inside the customer's quota, and its ceiling, right now?
-  bool wouldFit(Time, std::uint64_t customer, std::uint32_t plan, double units) const;
+  bool wouldFit(TimePoint, std::uint64_t customer, std::uint32_t plan, double units) const;
   // What a cold host may be sent in the time that the terms name, by the page's budget.
-  double coldBudget(Time now, Time started) const;
+  double coldBudget(TimePoint now, TimePoint started) const;
 
  private:
   struct Out {
     MachineNo machine;
     std::uint32_t zone = 0;
     std::int64_t cell = 0;
-    Time sentAt;
+    TimePoint sentAt;
     bool out = true, proven = false, served = false, ran = false;
   };
   struct Open {
@@ -96,15 +96,15 @@
   };
   struct Purse {
     double level, ceiling;
-    Time at;
-    std::deque<std::pair<Time, double>>
+    TimePoint at;
+    std::deque<std::pair<TimePoint, double>>
         window;  // units sent in the last ten seconds, where there is a ceiling
     double inWindow = 0;
-    Time seen;
+    TimePoint seen;
   };
   struct Cold {
     struct Part {
-      Time at;
+      TimePoint at;
       double rpcs = 0;    // of mean work
       bool told = false;  // the gateway had been told of the start
     };
@@ -114,10 +114,10 @@
 
   Open* find(TryId);
   void close(TryId);
-  void breach(Time, Rule, TryId, std::string what);
-  bool mayRepeat(Time, const Open&, std::uint32_t zone, std::int64_t cell) const;
+  void breach(TimePoint, Rule, TryId, std::string what);
+  bool mayRepeat(TimePoint, const Open&, std::uint32_t zone, std::int64_t cell) const;
   bool mayHaveRun(const Open&) const;
-  std::optional<bool> draw(Time, TryId, Open&);
+  std::optional<bool> draw(TimePoint, TryId, Open&);
 
   const Scenario& s_;
   double capacity_ = 1, meanWork_ = 1;  // requests a second that a warm host carries; seconds of one
@@ -125,7 +125,7 @@
   std::unordered_map<std::uint64_t, Purse> purses_;
   std::size_t sweepAt_ = 1024;
   std::map<std::uint32_t, Cold> cold_;
-  std::map<std::pair<std::uint32_t, std::uint32_t>, Time> notServing_;  // gateway and machine: told when
+  std::map<std::pair<std::uint32_t, std::uint32_t>, TimePoint> notServing_;  // gateway and machine: told when
   std::vector<Breach> first_;
   std::uint64_t counts_[kRules] = {};
   double worstWindow_ = 0, nearestCold_ = 0, unitsSent_ = 0, unitsBeyond_ = 0;
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -96,7 +96,7 @@
 constexpr std::array kGroups = std::to_array<std::pair<std::string_view, Group>>(
     {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}});
 
-Span ms(int n) {
+Duration ms(int n) {
   return std::chrono::milliseconds(n);
 }
 
@@ -138,13 +138,13 @@
   Scenario s;
   TomlTable t(root, "", file);
   s.name = t.text("name");
-  s.length = t.span("length", {});
+  s.length = t.duration("length", {});
 
   TomlTable fleet = t.part("fleet");
   s.gateways = fleet.whole<std::uint32_t>("gateways", {}, 1, 4096);
   s.zones = fleet.whole<std::uint32_t>("zones", 1, 1, 1024);
-  s.restart = fleet.span("restart", ms(300));
-  s.notice = fleet.span("notice", ms(1000));
+  s.restart = fleet.duration("restart", ms(300));
+  s.notice = fleet.duration("notice", ms(1000));
   fleet.done();
 
   TomlTable hosts = t.part("hosts");
@@ -152,20 +152,20 @@
   s.cores = hosts.whole<int>("cores", 4, 1, 4096);
   s.room = hosts.whole<int>("room", 64, 0, 1'000'000);
   s.connections = hosts.whole<int>("connections", 1000, 1, 1'000'000);
-  s.idle = hosts.span("idle", ms(10'000));
-  s.cold = hosts.span("cold", ms(8000));
+  s.idle = hosts.duration("idle", ms(10'000));
+  s.cold = hosts.duration("cold", ms(8000));
   s.startCapacity = hosts.number("cold_share", 0.25, 0.001, 1);
-  s.tip = hosts.span("tip", ms(1000));
+  s.tip = hosts.duration("tip", ms(1000));
   s.overloadMultiple = hosts.number("tip_multiple", 2, 0.1, 1000);
   s.stopsCancelled = hosts.flag("stops_cancelled", true);
   s.reports = hosts.flag("reports", true);
   hosts.done();
 
   TomlTable network = t.part("network");
-  s.delay = network.span("delay", std::chrono::microseconds(400));
-  s.jitter = network.span("jitter", std::chrono::microseconds(200));
+  s.delay = network.duration("delay", std::chrono::microseconds(400));
+  s.jitter = network.duration("jitter", std::chrono::microseconds(200));
   s.loss = network.number("loss", 0, 0, 1);
-  s.connectTimeout = network.span("connect_patience", ms(250));
+  s.connectTimeout = network.duration("connect_patience", ms(250));
   network.done();
 
   TomlTable clients = t.part("clients");
@@ -175,7 +175,7 @@
   s.units = clients.number("units", 1, 0, 1000);
   s.spread = clients.whole<std::uint32_t>("spread", 3, 1, 4096);
   s.tries = clients.whole<int>("tries", 3, 1, 100);
-  s.wait = clients.span("wait", ms(100));
+  s.wait = clients.duration("wait", ms(100));
   s.heedsAdvice = clients.number("heeds_advice", 0.8, 0, 1);
   s.leaves = clients.number("leaves", 0, 0, 1);
   clients.done();
@@ -185,10 +185,10 @@
     method.name = m.text("name");
     method.repeat = m.oneOf<Repeat>("repeat", Repeat::idempotent, kRepeats);
     method.group = m.oneOf<Group>("group", Group::all, kGroups);
-    method.window = m.span("window", ms(4000));
-    method.soft = m.span("soft", ms(500));
-    method.deadline = m.span("deadline", ms(2000));
-    method.work = m.span("work", ms(8));
+    method.window = m.duration("window", ms(4000));
+    method.soft = m.duration("soft", ms(500));
+    method.deadline = m.duration("deadline", ms(2000));
+    method.work = m.duration("work", ms(8));
     method.share = m.number("share", 1, 0, 1e6);
     method.utility = m.number("utility", 1, 0, 1e6);
     if (method.deadline < method.soft) m.blame("deadline", "a time no shorter than the soft deadline");
@@ -217,19 +217,19 @@
   s.counter = counter.flag("present", true);
   s.counterParts = counter.whole<int>("parts", 1, 1, 1024);
   s.counterRoom = counter.whole<int>("room", 500, 1, 1'000'000);
-  s.counterService = counter.span("service", std::chrono::microseconds(200));
-  s.counterTimeout = counter.span("patience", ms(100));
+  s.counterService = counter.duration("service", std::chrono::microseconds(200));
+  s.counterTimeout = counter.duration("patience", ms(100));
   counter.done();
 
   TomlTable discovery = t.part("discovery");
-  s.told = discovery.span("told", ms(100));
+  s.told = discovery.duration("told", ms(100));
   s.indented = discovery.flag("indented", false);
   discovery.done();
 
   TomlTable rules = t.part("rules");
-  s.drainGrace = rules.span("drain_grace", ms(500));
-  s.answerSlack = rules.span("answer_slack", ms(50));
-  s.maxRetryAfter = rules.span("longest_advice", ms(2000));
+  s.drainGrace = rules.duration("drain_grace", ms(500));
+  s.answerSlack = rules.duration("answer_slack", ms(50));
+  s.maxRetryAfter = rules.duration("longest_advice", ms(2000));
   s.allowCancel = rules.flag("may_cancel", true);
   s.allowHedging = rules.flag("may_copy", false);
   s.maxAttempts = rules.whole<std::uint32_t>("most_call_outs", 3, 1, 100);
@@ -243,8 +243,8 @@
   return s;
 }
 
-Span Scenario::longestDeadline() const {
-  Span longest{0};
+Duration Scenario::longestDeadline() const {
+  Duration longest{0};
   for (const ScenarioMethod& m : methods) longest = std::max(longest, m.deadline);
   return longest;
 }
@@ -295,7 +295,7 @@
     }
     out += "\"\n";
   };
-  const auto time = [&word](std::string_view key, Span value) {
+  const auto time = [&word](std::string_view key, Duration value) {
     const auto ns = value.count();
     word(key, ns % 1'000'000'000 == 0 ? fmt::format("{}s", ns / 1'000'000'000)
               : ns % 1'000'000 == 0   ? fmt::format("{}ms", ns / 1'000'000)
--- a/src/emulator/scenario.hpp
+++ b/src/emulator/scenario.hpp
@@ -50,7 +50,7 @@
   std::string name;
   Repeat repeat{};
   Group group{};
-  Span window{}, soft{}, deadline{}, work{};
+  Duration window{}, soft{}, deadline{}, work{};
   double share = 1, utility = 1;
 };
 
@@ -63,42 +63,42 @@
 struct Scenario {
   std::string name;
   std::uint64_t hash = 0;  // of the text that it was read from
-  Span length{};
+  Duration length{};
 
   std::uint32_t gateways = 1, zones = 1;
-  Span restart{}, notice{};
+  Duration restart{}, notice{};
 
   std::uint32_t hosts = 0;
   int cores = 1, room = 0, connections = 0;
-  Span cold{}, tip{}, idle{};
+  Duration cold{}, tip{}, idle{};
   double startCapacity = 1, overloadMultiple = 1;
   bool stopsCancelled = false, reports = false;
 
-  Span delay{}, jitter{}, connectTimeout{};
+  Duration delay{}, jitter{}, connectTimeout{};
   double loss = 0;
 
   double rate = 0, skew = 0, heedsAdvice = 1, leaves = 0, units = 1;
   std::uint32_t customers = 1, spread = 1;
   int tries = 1;
-  Span wait{};
+  Duration wait{};
 
   std::vector<ScenarioMethod> methods;
   std::vector<ScenarioPlan> plans;
 
   bool counter = false;
   int counterParts = 1, counterRoom = 1;
-  Span counterService{}, counterTimeout{};
+  Duration counterService{}, counterTimeout{};
 
-  Span told{};
+  Duration told{};
   bool indented = false;
 
-  Span drainGrace{}, answerSlack{}, maxRetryAfter{};
+  Duration drainGrace{}, answerSlack{}, maxRetryAfter{};
   bool allowCancel = true, allowHedging = false;
   std::uint32_t maxAttempts = 1;
 
   std::vector<Fault> faults;
 
-  Span longestDeadline() const;
+  Duration longestDeadline() const;
   // What one gateway of it is told at start, less the hosts.
   config::GatewayConfig config() const;
 };
--- a/src/emulator/tally.hpp
+++ b/src/emulator/tally.hpp
@@ -14,7 +14,7 @@
 // Times from 10 us to 1000 s, each known to one part in a hundred, up to the longest.
 class Latencies {
  public:
-  void add(Span span) {
+  void add(Duration span) {
     ++n_;
     most_ = std::max(most_, seconds(span));
     bins_(std::max(seconds(span), kLeast));
@@ -71,7 +71,7 @@
 
 // Plays a scenario to its end. One seed gives one run, to the last byte. `doorman` takes the place of the
 // policy's own where it is given: for tests of the ledger.
-using DoormanMaker = std::function<std::unique_ptr<Doorman>(const config::GatewayConfig&, Time now,
+using DoormanMaker = std::function<std::unique_ptr<Doorman>(const config::GatewayConfig&, TimePoint now,
                                                             front::Deadlines&, front::Ways&, const Truth&)>;
 Tally play(const Scenario&, std::uint64_t seed, Policy, const DoormanMaker& doorman = {});
 
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -21,17 +21,17 @@
 
 using front::SlotRef;
 
-constexpr Time kBegin{std::chrono::seconds(1'700'000'000)};
+constexpr TimePoint kBegin{std::chrono::seconds(1'700'000'000)};
 // The protocol's: so long after it is told to end a gateway is still sent new requests, and what of its time
 // is left.
-constexpr Span kStillComing = std::chrono::milliseconds(700), kLongestKept = std::chrono::seconds(3),
-               kSpared = std::chrono::milliseconds(150);
-constexpr Span kSentAgain = std::chrono::milliseconds(200);  // what a lost message comes late by
+constexpr Duration kStillComing = std::chrono::milliseconds(700), kLongestKept = std::chrono::seconds(3),
+                   kSpared = std::chrono::milliseconds(150);
+constexpr Duration kSentAgain = std::chrono::milliseconds(200);  // what a lost message comes late by
 constexpr double kUneven =
     1.5;  // of an even draw, the power: a customer's first gateways see more than its last
 constexpr double kLateWorth = 0.5;  // of an answer after the soft deadline
 constexpr int kOdd = 2;             // refused agents ask again after up to so many beats
-constexpr Span kBeat = std::chrono::seconds(2);
+constexpr Duration kBeat = std::chrono::seconds(2);
 
 struct World;
 
@@ -40,7 +40,7 @@
   std::uint32_t zone;
   std::int64_t cell;
   std::string name;
-  Time started;
+  TimePoint started;
   bool cold;  // its start is told
   State state = State::up;
   bool serving = true;
@@ -48,7 +48,7 @@
   int running = 0, connections = 0;
   std::deque<SlotRef> queue{};
   double doneLately = 0;
-  Time doneAt{};
+  TimePoint doneAt{};
 };
 
 struct Job {
@@ -59,7 +59,7 @@
   SlotRef attempt;
   TryId requestId;
   std::uint32_t no;
-  Span work;
+  Duration work;
   bool running = false;
 };
 
@@ -78,7 +78,7 @@
   std::uint64_t customer;
   std::uint32_t plan, method;
   double units;
-  Time askedAt, deadline;
+  TimePoint askedAt, deadline;
   int triesLeft, triesMade = 0;
   SlotRef current{};
 };
@@ -93,7 +93,7 @@
 
 struct Call {
   CountName name;
-  Time madeAt;
+  TimePoint madeAt;
 };
 
 // One gateway: the doorman inside and, round it, what the sockets would be.
@@ -103,13 +103,13 @@
   Node(World& world, std::uint32_t number, std::uint32_t z) : w(world), no(number), zone(z) {}
 
   void answerOk(SlotRef client, std::string_view, std::string_view) override;
-  void answerRejected(SlotRef client, Span comeBackAfter) override;
+  void answerRejected(SlotRef client, Duration comeBackAfter) override;
   void answerFailed(SlotRef client) override;
   std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
                                               Until) override;
   bool giveUp(SlotRef client, AttemptNumber, SlotRef link) override;
   void probe(HostId) override {}
-  void count(const CountName&, double units, Span keptFor) override;
+  void count(const CountName&, double units, Duration keptFor) override;
   void hostGone(HostId host) override;
   void note(const std::string&) override {}
 
@@ -120,11 +120,11 @@
   bool listed = true;  // the clients' front sends to it
   front::Deadlines deadlines;
   std::unique_ptr<Doorman> doorman;
-  Time armed = Time::max();
+  TimePoint armed = TimePoint::max();
   front::Slots<Attempt> attempts;
   front::Slots<Call> calls;
-  std::map<std::uint32_t, std::deque<Time>> resting;  // connections by machine, and since when
-  std::uint64_t told = 0;                             // generation
+  std::map<std::uint32_t, std::deque<TimePoint>> resting;  // connections by machine, and since when
+  std::uint64_t told = 0;                                  // generation
   bool feeding = false;
   int refusals = 0;
   std::map<std::uint32_t, std::uint64_t> knowsLife;  // of machines: the start that it was told of
@@ -134,7 +134,7 @@
   const Fault* fault;
   std::vector<char> marked;  // gateways or hosts or zones that it concerns
   std::uint32_t zone = 0;
-  Time ends{};
+  TimePoint ends{};
 };
 
 struct World {
@@ -157,13 +157,13 @@
   bool marked(Trouble kind, std::uint32_t which) const {
     return any(kind, [which](const Active& a) { return which < a.marked.size() && a.marked[which]; });
   }
-  Span delay() {
+  Duration delay() {
     double factor = 1, lost = 1 - sc.loss;
     for (const auto& [key, a] : active) {
       if (a.fault->kind == Trouble::netSlow) factor *= a.fault->factor;
       if (a.fault->kind == Trouble::netLoss) lost *= 1 - std::min(1.0, a.fault->factor);
     }
-    Span span = scaled(sc.delay, factor) + scaled(sc.jitter, network.even() * factor);
+    Duration span = scaled(sc.delay, factor) + scaled(sc.jitter, network.even() * factor);
     for (int n = 0; lost < 1 && n < 6 && network.lucky(1 - lost); ++n) span += kSentAgain * (1 << n);
     return span;
   }
@@ -201,8 +201,8 @@
   void nextArrival() {
     const double rate = sc.rate * product(Trouble::loadBurst);
     // Where nobody asks just now, it is looked again a little later.
-    const Time at = agenda.now() + (rate > 0 ? spanOf(std::min(1e4, arrivals.exponential(1 / rate)))
-                                             : Span(std::chrono::milliseconds(100)));
+    const TimePoint at = agenda.now() + (rate > 0 ? durationOf(std::min(1e4, arrivals.exponential(1 / rate)))
+                                                  : Duration(std::chrono::milliseconds(100)));
     if (at > kBegin + sc.length) return;
     agenda.at(at, [this, rate] {
       if (rate > 0) arrive();
@@ -217,13 +217,13 @@
     const double units = sc.units > 0 ? std::clamp(std::round(arrivals.exponential(sc.units)),
                                                    std::min(1.0, sc.units), std::max(1.0, 4 * sc.units))
                                       : 0;
-    const Time now = agenda.now();
+    const TimePoint now = agenda.now();
     const SlotRef wish =
         wishes.add(Wish{customer, plan, method, units, now, now + sc.methods[method].deadline, sc.tries});
     ++tally.asked, ++second().asked;
     tally.worthAsked += worthOf(*wishes.find(wish));
     const bool leaves = arrivals.lucky(sc.leaves);
-    const Time until =
+    const TimePoint until =
         leaves ? now + scaled(sc.methods[method].deadline, arrivals.even())
                : now + sc.methods[method].deadline + 2 * sc.answerSlack + 2 * (sc.delay + sc.jitter);
     agenda.at(until, [this, wish, leaves] { stopWaiting(wish, leaves); });
@@ -253,7 +253,7 @@
     t->gatewayLife = node.life;
     if (node.state == Node::State::down) {
       ++tally.unreached;
-      return agenda.after(delay(), [this, ref] { again(ref, true, Span{0}); });
+      return agenda.after(delay(), [this, ref] { again(ref, true, Duration{0}); });
     }
     const Wish& wish = *wishes.find(t->wish);
     ledger.taken(agenda.now(), t->id,
@@ -271,7 +271,7 @@
     arm(node);
   }
   // This try is over without a result; may the client ask once more?
-  void again(SlotRef ref, bool may, Span advice) {
+  void again(SlotRef ref, bool may, Duration advice) {
     Try* const t = tries.find(ref);
     if (!t) return;
     const SlotRef wishRef = t->wish;
@@ -280,8 +280,8 @@
     if (!wish) return;
     wish->current = {};
     if (!may) return fail(wishRef);
-    Span wait = scaled(sc.wait, (0.5 + choices.even()) * double(1 << std::min(10, wish->triesMade - 1)));
-    if (advice > Span{0} && choices.lucky(sc.heedsAdvice)) wait = std::max(wait, advice);
+    Duration wait = scaled(sc.wait, (0.5 + choices.even()) * double(1 << std::min(10, wish->triesMade - 1)));
+    if (advice > Duration{0} && choices.lucky(sc.heedsAdvice)) wait = std::max(wait, advice);
     if (agenda.now() + wait >= wish->deadline || wish->triesLeft <= 0) return fail(wishRef);
     agenda.after(wait, [this, wishRef] {
       if (wishes.find(wishRef)) ask(wishRef);
@@ -320,7 +320,7 @@
       tries.drop(current);
     });
   }
-  void answerCame(SlotRef ref, Answer how, Span advice) {
+  void answerCame(SlotRef ref, Answer how, Duration advice) {
     Try* const t = tries.find(ref);
     if (!t) return;
     const SlotRef wishRef = t->wish;
@@ -331,7 +331,7 @@
       how == Answer::rejected ? void((++tally.rejected, ++second().rejected)) : void(++tally.failedAnswers);
       return again(ref, how == Answer::rejected || mayAskAgain(*wish), advice);
     }
-    const Time now = agenda.now();
+    const TimePoint now = agenda.now();
     const bool inTime = now <= wish->askedAt + sc.methods[wish->method].soft;
     inTime ? void((++tally.inTime, ++second().inTime)) : void((++tally.late, ++second().late));
     if (t->inside) tally.worth += worthOf(*wish) * (inTime ? 1 : kLateWorth);
@@ -343,12 +343,12 @@
   // ---- gateways ----
 
   void arm(Node& node) {
-    const Time next = node.deadlines.next();
+    const TimePoint next = node.deadlines.next();
     if (node.state == Node::State::down || next >= node.armed) return;
     node.armed = next;
     agenda.at(next, [this, &node, life = node.life, next] {
       if (node.life != life || node.state == Node::State::down || node.armed != next) return;
-      node.armed = Time::max();
+      node.armed = TimePoint::max();
       node.deadlines.run(agenda.now());
       arm(node);
     });
@@ -356,7 +356,7 @@
   void bear(Node& node) {
     ++node.life;
     node.state = Node::State::ready;
-    node.armed = Time::max(), node.told = generation, node.refusals = 0, node.feeding = false;
+    node.armed = TimePoint::max(), node.told = generation, node.refusals = 0, node.feeding = false;
     node.deadlines = {};
     node.attempts = {}, node.calls = {}, node.resting.clear(), node.knowsLife.clear();
     config::GatewayConfig o = config;
@@ -393,7 +393,7 @@
         const Try* const t = tries.find(ref);
         if (!t) return;
         const Wish* const wish = wishes.find(t->wish);
-        again(ref, wish && mayAskAgain(*wish), Span{0});
+        again(ref, wish && mayAskAgain(*wish), Duration{0});
       });
     node.attempts.each([&](SlotRef, Attempt& a) { dropAtHost(a); });
     node.attempts = {};
@@ -408,7 +408,7 @@
   void leave(Node& node) {
     if (node.state != Node::State::ready) return;
     node.state = Node::State::leaving;
-    const Time by = agenda.now() + kStillComing + std::min(sc.longestDeadline(), kLongestKept) - kSpared;
+    const TimePoint by = agenda.now() + kStillComing + std::min(sc.longestDeadline(), kLongestKept) - kSpared;
     node.doorman->endBy(by);
     agenda.after(kStillComing / 2, [&node] { node.listed = false; });
     arm(node);
@@ -436,7 +436,7 @@
             at.serving && at.state != Machine::State::gone,
             at.state == Machine::State::gone,
             1,
-            at.cold ? at.started.time_since_epoch() : Span{0}};
+            at.cold ? at.started.time_since_epoch() : Duration{0}};
   }
   std::uint32_t addMachine(std::uint32_t zone, bool cold) {
     const auto m = static_cast<std::uint32_t>(machines.size());
@@ -446,7 +446,7 @@
   }
   // The least share of its capacity that it has by now.
   double warmth(const Machine& m) const {
-    if (sc.cold <= Span{0}) return 1;
+    if (sc.cold <= Duration{0}) return 1;
     return sc.startCapacity + (1 - sc.startCapacity) *
                                   std::clamp(seconds(agenda.now() - m.started) / seconds(sc.cold), 0.0, 1.0);
   }
@@ -507,7 +507,7 @@
     if (const auto at = tryOf.find(a->tryId.value); at != tryOf.end()) asked = tries.find(at->second);
     if (asked) wish = wishes.find(asked->wish);
     const std::uint32_t method = methodOf(*a, wish);
-    const Span work = scaled(sc.methods[method].work, 0.5 + works.exponential(0.5));
+    const Duration work = scaled(sc.methods[method].work, 0.5 + works.exponential(0.5));
     const bool toldOfIt = node.knowsLife.contains(a->machine);
     if (const auto inside = ledger.reached(agenda.now(), a->tryId, a->no.value)) {
       second().unitsSent += wish ? wish->units : 0;
@@ -584,7 +584,7 @@
       said.load.perSecond = m.doneLately;
     }
     const std::uint64_t machineLife = m.life;
-    agenda.after(atOnce ? Span{0} : delay(), [this, g, life, ref, outcome, said, machineLife] {
+    agenda.after(atOnce ? Duration{0} : delay(), [this, g, life, ref, outcome, said, machineLife] {
       Node& at = nodes[g];
       if (at.life != life) return;
       Attempt* const attempt = at.attempts.find(ref);
@@ -633,16 +633,16 @@
   void feedSoon(Node& node) {
     if (node.state == Node::State::down || node.feeding || node.told == generation) return;
     node.feeding = true;
-    const Span wait = scaled(sc.told, (0.5 + lists.even()) * product(Trouble::discoveryLate));
+    const Duration wait = scaled(sc.told, (0.5 + lists.even()) * product(Trouble::discoveryLate));
     agenda.after(wait, [this, &node, life = node.life] { feed(node, life); });
   }
   void feed(Node& node, std::uint64_t life) {
     if (node.life != life || node.state == Node::State::down) return;
-    const auto later = [&](Span wait) { agenda.after(wait, [this, &node, life] { feed(node, life); }); };
+    const auto later = [&](Duration wait) { agenda.after(wait, [this, &node, life] { feed(node, life); }); };
     if (any(Trouble::discoveryDown, [](const Active&) { return true; }))
       return later(scaled(sc.connectTimeout, 0.5 + lists.even()));
     if (marked(Trouble::discoveryRefuse, node.no)) {
-      const Span most = kOdd * kBeat;
+      const Duration most = kOdd * kBeat;
       return later(scaled(std::min(most, sc.connectTimeout * (1 << std::min(8, node.refusals++))),
                           0.5 + lists.even()));
     }
@@ -698,21 +698,21 @@
   // ---- the counter ----
 
   struct CounterState {
-    std::map<std::tuple<int, std::uint64_t, std::int64_t>, std::pair<double, Time>> counts;
-    std::vector<Time> busyUntil;
+    std::map<std::tuple<int, std::uint64_t, std::int64_t>, std::pair<double, TimePoint>> counts;
+    std::vector<TimePoint> busyUntil;
     std::size_t sweepAt = 4096;
   };
   void counterCalled(std::uint32_t g, std::uint64_t life, SlotRef ref, CountName name, double units,
-                     Span keptFor) {
+                     Duration keptFor) {
     CounterState& c = counters[marked(Trouble::counterSplit, g) ? 1 : 0];
     if (any(Trouble::counterDown, [](const Active&) { return true; })) return;
-    const Span service = scaled(sc.counterService, product(Trouble::counterSlow));
-    Time& busy = c.busyUntil[name.customer.value % c.busyUntil.size()];
-    const Time now = agenda.now();
+    const Duration service = scaled(sc.counterService, product(Trouble::counterSlow));
+    TimePoint& busy = c.busyUntil[name.customer.value % c.busyUntil.size()];
+    const TimePoint now = agenda.now();
     if (busy > now + sc.counterRoom * service) return counterSays(g, life, ref, CountEnd::notAdded, 0);
     busy = std::max(busy, now) + service;
     agenda.at(busy, [this, &c, g, life, ref, name, units, keptFor] {
-      const Time at = agenda.now();
+      const TimePoint at = agenda.now();
       auto& entry = c.counts
                         .try_emplace({static_cast<int>(name.what), name.customer.value, name.slot.value}, 0,
                                      at + keptFor)
@@ -759,13 +759,13 @@
     for (std::size_t n = 0; n < sc.faults.size(); ++n) {
       const Fault& f = sc.faults[n];
       Dice dice(seed, fmt::format("fault {}", n));
-      const Time from = kBegin + spanOf(dice.between(f.from.least, f.from.most));
-      const Span lasts = spanOf(dice.between(f.lasts.least, f.lasts.most));
+      const TimePoint from = kBegin + durationOf(dice.between(f.from.least, f.from.most));
+      const Duration lasts = durationOf(dice.between(f.lasts.least, f.lasts.most));
       agenda.at(from, [this, n, &f, dice, lasts]() mutable { begin(n, f, dice, lasts); });
     }
   }
   // NOLINTNEXTLINE(readability-function-size): becomes a class for each fault in part two (issue 30)
-  void begin(std::size_t n, const Fault& f, Dice& dice, Span lasts) {
+  void begin(std::size_t n, const Fault& f, Dice& dice, Duration lasts) {
     Active a{&f, {}, static_cast<std::uint32_t>(dice.below(sc.zones)), agenda.now() + lasts};
     const auto gatewayFault = [&] {
       return f.kind == Trouble::gatewayKill || f.kind == Trouble::gatewayRestart ||
@@ -839,7 +839,7 @@
     });
     for (const SlotRef ref : held) agenda.after(jobs.find(ref)->work, [this, ref] { done(ref); });
   }
-  void restartInSteps(const Fault& f, const Active& a, Span lasts) {
+  void restartInSteps(const Fault& f, const Active& a, Duration lasts) {
     std::vector<std::uint32_t> who;
     for (std::uint32_t g = 0; g < a.marked.size(); ++g)
       if (a.marked[g]) who.push_back(g);
@@ -847,7 +847,7 @@
       agenda.after(lasts * static_cast<int>(i * static_cast<std::size_t>(f.steps) / who.size()) / f.steps,
                    [this, g = who[i]] { leave(nodes[g]); });
   }
-  void replaceInSteps(const Fault& f, const Active& a, Span lasts) {
+  void replaceInSteps(const Fault& f, const Active& a, Duration lasts) {
     std::vector<std::uint32_t> who;
     for (std::uint32_t m = 0; m < a.marked.size(); ++m)
       if (a.marked[m]) who.push_back(m);
@@ -887,7 +887,7 @@
     for (Node& node : nodes) bear(node);
     planFaults();
     nextArrival();
-    const Time until = kBegin + sc.length + sc.longestDeadline() + std::chrono::seconds(2);
+    const TimePoint until = kBegin + sc.length + sc.longestDeadline() + std::chrono::seconds(2);
     while (agenda.step(until)) ++tally.events;
     ledger.finish(agenda.now());
     tally.unitsSent = ledger.unitsSent(), tally.unitsBeyond = ledger.unitsBeyond();
@@ -895,7 +895,7 @@
     tally.nearestCold = ledger.nearestCold();
     for (std::size_t r = 0; r < kRules; ++r) tally.breaches[r] = ledger.count(static_cast<Rule>(r));
     tally.first = ledger.first();
-    for (Breach& b : tally.first) b.at = Time(b.at - kBegin);
+    for (Breach& b : tally.first) b.at = TimePoint(b.at - kBegin);
     return std::move(tally);
   }
 
@@ -930,10 +930,10 @@
   const Try* const t = w.tries.find(client);
   if (!t) return;
   w.ledger.answered(w.agenda.now(), t->id, Answer::ok);
-  w.agenda.after(w.delay(), [&world = w, client] { world.answerCame(client, Answer::ok, Span{0}); });
+  w.agenda.after(w.delay(), [&world = w, client] { world.answerCame(client, Answer::ok, Duration{0}); });
 }
 
-void Node::answerRejected(SlotRef client, Span comeBackAfter) {
+void Node::answerRejected(SlotRef client, Duration comeBackAfter) {
   const Try* const t = w.tries.find(client);
   if (!t) return;
   w.ledger.answered(w.agenda.now(), t->id, Answer::rejected);
@@ -946,7 +946,7 @@
   const Try* const t = w.tries.find(client);
   if (!t) return;
   w.ledger.answered(w.agenda.now(), t->id, Answer::failed);
-  w.agenda.after(w.delay(), [&world = w, client] { world.answerCame(client, Answer::failed, Span{0}); });
+  w.agenda.after(w.delay(), [&world = w, client] { world.answerCame(client, Answer::failed, Duration{0}); });
 }
 
 std::variant<SlotRef, Outcome> Node::startAttempt(RequestId requestId, AttemptNumber attemptNumber,
@@ -958,7 +958,7 @@
   std::from_chars(address.data(), address.data() + address.size(), m);
   const Machine& machine = w.machines.at(m);
   auto& rest = resting[m];
-  const Time now = w.agenda.now();
+  const TimePoint now = w.agenda.now();
   while (!rest.empty() && rest.front() + w.sc.idle / 2 <= now) {
     rest.pop_front();
     if (machine.state == Machine::State::up) --w.machines[m].connections;
@@ -976,7 +976,7 @@
   if (attemptNumber.value > 0) ++w.tally.further;
   if (fresh) ++w.tally.connects, ++w.second().connects;
   w.print(20'000 + m);
-  const Span way = fresh ? 2 * w.delay() + w.delay() : w.delay();
+  const Duration way = fresh ? 2 * w.delay() + w.delay() : w.delay();
   w.agenda.after(way, [&world = w, g = no, l = life, ref] { world.reachHost(g, l, ref); });
   return ref;
 }
@@ -992,7 +992,7 @@
   return true;
 }
 
-void Node::count(const CountName& name, double units, Span keptFor) {
+void Node::count(const CountName& name, double units, Duration keptFor) {
   ++w.tally.countCalls, ++w.second().countCalls;
   const SlotRef ref = calls.add(Call{name, w.agenda.now()});
   w.agenda.after(w.delay(), [&world = w, g = no, l = life, ref, name, units, keptFor] {
--- a/src/front/ask.cpp
+++ b/src/front/ask.cpp
@@ -31,7 +31,8 @@
 
 }  // namespace
 
-Ask readAsk(const http::Message& message, const Words& words, const PolicySettings& settings, Time came) {
+Ask readAsk(const http::Message& message, const Words& words, const PolicySettings& settings,
+            TimePoint came) {
   std::string_view id, kind, plan, account, patience, quota, mark;
   for (std::size_t n = 0; n < message.fields(); ++n) {
     const auto [name, value] = message.field(n);
--- a/src/front/ask.hpp
+++ b/src/front/ask.hpp
@@ -22,6 +22,6 @@
   Request request;  // without the request's id; the deadline counted from the time given
 };
 
-Ask readAsk(const http::Message&, const Words&, const PolicySettings&, Time came);
+Ask readAsk(const http::Message&, const Words&, const PolicySettings&, TimePoint came);
 
 }  // namespace merlinbridge::front
--- a/src/front/deadlines.hpp
+++ b/src/front/deadlines.hpp
@@ -6,26 +6,26 @@
 #include <map>
 #include <utility>
 
-#include "moment.hpp"
+#include "policy_api/time.hpp"
 
 namespace merlinbridge::front {
 
 // All that is to happen at a time, in one ordered structure: of two that are due together, the older first.
 class Deadlines {
  public:
-  using Ticket = std::pair<Time, std::uint64_t>;
-  using What = std::function<void(Time now)>;
+  using Ticket = std::pair<TimePoint, std::uint64_t>;
+  using What = std::function<void(TimePoint now)>;
 
-  Ticket add(Time at, What what) {
+  Ticket add(TimePoint at, What what) {
     const Ticket ticket{at, ++last_};
     waiting_.emplace(ticket, std::move(what));
     return ticket;
   }
   void drop(Ticket ticket) { waiting_.erase(ticket); }
-  Time next() const { return waiting_.empty() ? Time::max() : waiting_.begin()->first.first; }
+  TimePoint next() const { return waiting_.empty() ? TimePoint::max() : waiting_.begin()->first.first; }
 
   // What is added meanwhile waits for the next run, so that none can keep the loop to itself.
-  void run(Time now) {
+  void run(TimePoint now) {
     const std::uint64_t until = last_;
     for (auto at = waiting_.begin(); at != waiting_.end() && at->first.first <= now; at = waiting_.begin()) {
       while (at != waiting_.end() && at->first.second > until) ++at;
@@ -36,12 +36,12 @@
     }
   }
   // By how much the loop has lately come late, or does now.
-  Span late(Time now) const { return waiting_.empty() ? late_ : std::max(late_, now - next()); }
+  Duration late(TimePoint now) const { return waiting_.empty() ? late_ : std::max(late_, now - next()); }
 
  private:
   std::map<Ticket, What> waiting_;
   std::uint64_t last_ = 0;
-  Span late_{0};
+  Duration late_{0};
 };
 
 }  // namespace merlinbridge::front
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-Front::Front(const config::GatewayConfig& config, Time now, Deadlines& deadlines, Ways& ways,
+Front::Front(const config::GatewayConfig& config, TimePoint now, Deadlines& deadlines, Ways& ways,
              Timekeeper timekeeper)
     : settings_(config.settings),
       slack_(config.answerSlack),
@@ -32,17 +32,17 @@
 
 // ---- from the adapters to the module ----
 
-RequestId Front::requestArrived(Time now, SlotRef client, Request request) {
+RequestId Front::requestArrived(TimePoint now, SlotRef client, Request request) {
   now_ = now;
   // Answered while the client still waits: the slack that the rules allow, and the loop's own delay, before.
   if (keepsTime_) request.deadline = std::max(now, request.deadline - slack_ - deadlines_.late(now));
   request.deadline = std::min(request.deadline, latest_);
-  const Time deadline = keepsTime_ ? request.deadline : request.deadline + slack_;
+  const TimePoint deadline = keepsTime_ ? request.deadline : request.deadline + slack_;
   const SlotRef slot = requests_.add();
   const RequestId requestId{slot.packed()};
   PendingRequest& row = *requests_.find(slot);
   row.client = client, row.deadline = deadline;
-  row.by = deadlines_.add(deadline, [this, requestId](Time at) { expire(at, requestId); });
+  row.by = deadlines_.add(deadline, [this, requestId](TimePoint at) { expire(at, requestId); });
   ++unanswered_;
   request.requestId = requestId;
   gateway_.requestArrived(now, request);
@@ -50,14 +50,15 @@
   return requestId;
 }
 
-void Front::clientLeft(Time now, RequestId requestId) {
+void Front::clientLeft(TimePoint now, RequestId requestId) {
   now_ = now;
   if (!owed(requestId)) return;
   gateway_.clientLeft(now, requestId);
   settle(now, requestId);
 }
 
-void Front::attemptEnded(Time now, RequestId requestId, AttemptNumber no, Outcome outcome, const Said& said) {
+void Front::attemptEnded(TimePoint now, RequestId requestId, AttemptNumber no, Outcome outcome,
+                         const Said& said) {
   now_ = now;
   PendingRequest* const row = find(requestId);
   if (!row || no.value >= row->attempts.size() || !row->attempts[no.value].out) return;
@@ -72,19 +73,19 @@
   settle(now, requestId);
 }
 
-void Front::counted(Time now, const CountName& name, CountEnd end, double total, Span took) {
+void Front::counted(TimePoint now, const CountName& name, CountEnd end, double total, Duration took) {
   now_ = now;
   gateway_.counted(now, name, end, total, took);
   settle(now, {});
 }
 
-void Front::probed(Time now, HostId host, bool ok, const LoadReport& load) {
+void Front::probed(TimePoint now, HostId host, bool ok, const LoadReport& load) {
   now_ = now;
   gateway_.probed(now, host, ok, load);
   settle(now, {});
 }
 
-void Front::endpointsUpdated(Time now, const config::EndpointList& endpoints) {
+void Front::endpointsUpdated(TimePoint now, const config::EndpointList& endpoints) {
   now_ = now;
   std::vector<HostUpdate> lines;
   for (const config::Endpoint& line : endpoints.entries) {
@@ -104,7 +105,7 @@
                      words_.machines.idOf(line.machine),
                      line.serving,
                      line.weight,
-                     line.started.count() ? std::optional(Time(line.started)) : std::nullopt});
+                     line.started.count() ? std::optional(TimePoint(line.started)) : std::nullopt});
   }
   std::vector<char> off(hosts_.size(), 0);
   for (const HostUpdate& line : lines) off[line.host.value] = !line.serving;
@@ -122,7 +123,7 @@
   requests_.each([&](SlotRef slot, const PendingRequest& row) {
     for (std::uint32_t no = 0; no < row.attempts.size(); ++no)
       if (const Attempt& c = row.attempts[no]; c.out && off[c.host.value] && ways_.unwritten(c.link))
-        soon_.emplace_back([this, requestId = RequestId{slot.packed()}, no](Time at) {
+        soon_.emplace_back([this, requestId = RequestId{slot.packed()}, no](TimePoint at) {
           abandonAttempt(at, requestId, {no}, Outcome::notSent);
         });
   });
@@ -131,14 +132,14 @@
 
 // Guards against requests whose time is longer than the gateway's own, as with hosts that hang: the end would
 // find them without an answer.
-void Front::endBy(Time latest) {
+void Front::endBy(TimePoint latest) {
   latest_ = latest;
   requests_.each([this](SlotRef slot, PendingRequest& row) {
     if (row.answered || row.deadline <= latest_) return;
     deadlines_.drop(row.by);
     row.deadline = latest_;
-    row.by = deadlines_.add(latest_,
-                            [this, requestId = RequestId{slot.packed()}](Time at) { expire(at, requestId); });
+    row.by = deadlines_.add(
+        latest_, [this, requestId = RequestId{slot.packed()}](TimePoint at) { expire(at, requestId); });
   });
 }
 
@@ -190,37 +191,37 @@
   // Guards against an attempt for a client whose end has come and is handled only after this, as in a late
   // turn.
   const bool wanted = wants(requestId);
-  if (!wanted) soon_.emplace_back([this, requestId](Time now) { clientLeft(now, requestId); });
+  if (!wanted) soon_.emplace_back([this, requestId](TimePoint now) { clientLeft(now, requestId); });
   const AttemptNumber no{static_cast<std::uint32_t>(row->attempts.size())};
   row->attempts.push_back({host, now_, {}, true});
   ++row->out, ++outAt_[host.value];
-  const Time by = std::min(until.giveUp, row->deadline);
+  const TimePoint by = std::min(until.giveUp, row->deadline);
   std::variant<SlotRef, Outcome> sent = Outcome::notSent;
   if (wanted) sent = ways_.startAttempt(requestId, no, row->client, host, {by, until.written});
   if (const Outcome* const at = std::get_if<Outcome>(&sent)) {
     soon_.emplace_back(
-        [this, requestId, no, outcome = *at](Time now) { attemptEnded(now, requestId, no, outcome); });
+        [this, requestId, no, outcome = *at](TimePoint now) { attemptEnded(now, requestId, no, outcome); });
     return;
   }
   row->attempts[no.value].link = std::get<SlotRef>(sent);
   if (keepsTime_ && by < row->deadline)
     deadlines_.add(
-        by, [this, requestId, no](Time now) { abandonAttempt(now, requestId, no, Outcome::noAnswer); });
+        by, [this, requestId, no](TimePoint now) { abandonAttempt(now, requestId, no, Outcome::noAnswer); });
 }
 
 void Front::cancel(RequestId requestId, AttemptNumber no) {
   soon_.emplace_back(
-      [this, requestId, no](Time now) { abandonAttempt(now, requestId, no, Outcome::cancelled); });
+      [this, requestId, no](TimePoint now) { abandonAttempt(now, requestId, no, Outcome::cancelled); });
 }
 
-void Front::abandonAttempt(Time now, RequestId requestId, AttemptNumber no, Outcome outcome) {
+void Front::abandonAttempt(TimePoint now, RequestId requestId, AttemptNumber no, Outcome outcome) {
   const PendingRequest* const row = find(requestId);
   if (!row || no.value >= row->attempts.size() || !row->attempts[no.value].out) return;
   if (ways_.unwritten(row->attempts[no.value].link)) outcome = Outcome::notSent;
   if (ways_.giveUp(row->client, no, row->attempts[no.value].link)) attemptEnded(now, requestId, no, outcome);
 }
 
-void Front::reject(RequestId requestId, Span comeBackAfter) {
+void Front::reject(RequestId requestId, Duration comeBackAfter) {
   if (const PendingRequest* const row = owed(requestId)) ways_.answerRejected(row->client, comeBackAfter);
 }
 
@@ -228,12 +229,12 @@
   if (const PendingRequest* const row = owed(requestId)) ways_.answerFailed(row->client);
 }
 
-void Front::addToCount(const CountName& name, double units, Span keptFor) {
+void Front::addToCount(const CountName& name, double units, Duration keptFor) {
   ways_.count(name, units, keptFor);
 }
 
-void Front::wakeAt(Time at, TimerId timer) {
-  deadlines_.add(at, [this, timer](Time now) {
+void Front::wakeAt(TimePoint at, TimerId timer) {
+  deadlines_.add(at, [this, timer](TimePoint now) {
     now_ = now;
     gateway_.woken(now, timer);
     settle(now, {});
@@ -250,7 +251,7 @@
 
 // The request's time is up: what is out is given up, and the module answers; a request that it holds all the
 // same is failed here, so that none is lost.
-void Front::expire(Time now, RequestId requestId) {
+void Front::expire(TimePoint now, RequestId requestId) {
   for (std::uint32_t no = 0; keepsTime_ && find(requestId) && no < find(requestId)->attempts.size(); ++no)
     abandonAttempt(now, requestId, {no}, Outcome::noAnswer);
   if (const PendingRequest* const row = owed(requestId)) {
@@ -261,7 +262,7 @@
 }
 
 // After every call of the module: the ends that came meanwhile, in order, and the row if it is done with.
-void Front::settle(Time now, RequestId requestId) {
+void Front::settle(TimePoint now, RequestId requestId) {
   if (!settling_) {
     settling_ = true;
     while (!soon_.empty()) {
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -19,7 +19,7 @@
  public:
   virtual ~Ways() = default;
   virtual void answerOk(SlotRef client, std::string_view body, std::string_view type) = 0;
-  virtual void answerRejected(SlotRef client, Span comeBackAfter) = 0;
+  virtual void answerRejected(SlotRef client, Duration comeBackAfter) = 0;
   virtual void answerFailed(SlotRef client) = 0;
   // Either the link that carries it, or the outcome that it had at once.
   virtual std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
@@ -31,7 +31,7 @@
   // False: its connection has ended, be that end read yet or not.
   virtual bool clientThere(SlotRef) { return true; }
   virtual void probe(HostId) = 0;
-  virtual void count(const CountName&, double units, Span keptFor) = 0;
+  virtual void count(const CountName&, double units, Duration keptFor) = 0;
   virtual void hostGone(HostId) = 0;  // it wants nothing new: what rests towards it may go
   virtual void note(const std::string& line) = 0;
 };
@@ -41,8 +41,8 @@
   std::string_view body, type;
   double trueUnits = 0;
   LoadReport load{};
-  std::optional<Span> took = {};  // where the adapter knows it better than the clock does
-  bool answered = false;          // the client has had its answer without the core's doing
+  std::optional<Duration> took = {};  // where the adapter knows it better than the clock does
+  bool answered = false;              // the client has had its answer without the core's doing
 };
 
 // Who ends attempts at their time: the core, by its deadlines, or the adapter.
@@ -52,7 +52,7 @@
 // all deadlines. It carries the module's decisions to the adapters and hands back what came of them.
 class Front final : private Port {
  public:
-  Front(const config::GatewayConfig&, Time now, Deadlines&, Ways&, Timekeeper = Timekeeper::core);
+  Front(const config::GatewayConfig&, TimePoint now, Deadlines&, Ways&, Timekeeper = Timekeeper::core);
 
   const Words& words() const { return words_; }
   const PolicySettings& settings() const { return settings_; }
@@ -63,25 +63,25 @@
   std::size_t unanswered() const { return unanswered_; }
   bool wants(RequestId);  // it has had no answer, and its client is there to get one
 
-  RequestId requestArrived(Time now, SlotRef client, Request);
-  void clientLeft(Time now, RequestId);
-  void attemptEnded(Time now, RequestId, AttemptNumber, Outcome, const Said& = {});
-  void counted(Time now, const CountName&, CountEnd, double total, Span took);
-  void probed(Time now, HostId, bool ok, const LoadReport&);
-  void endpointsUpdated(Time now, const config::EndpointList&);
+  RequestId requestArrived(TimePoint now, SlotRef client, Request);
+  void clientLeft(TimePoint now, RequestId);
+  void attemptEnded(TimePoint now, RequestId, AttemptNumber, Outcome, const Said& = {});
+  void counted(TimePoint now, const CountName&, CountEnd, double total, Duration took);
+  void probed(TimePoint now, HostId, bool ok, const LoadReport&);
+  void endpointsUpdated(TimePoint now, const config::EndpointList&);
   // This gateway is ended at that time: whatever is still without an answer gets one before.
-  void endBy(Time);
+  void endBy(TimePoint);
 
  private:
   struct Attempt {
     HostId host;
-    Time sentAt;
+    TimePoint sentAt;
     SlotRef link;
     bool out = false;
   };
   struct PendingRequest {
     SlotRef client;
-    Time deadline;
+    TimePoint deadline;
     Deadlines::Ticket by;
     bool answered = false;
     std::uint32_t out = 0;
@@ -90,36 +90,36 @@
 
   void startAttempt(RequestId, HostId, Until) override;
   void cancel(RequestId, AttemptNumber) override;
-  void reject(RequestId, Span comeBackAfter) override;
+  void reject(RequestId, Duration comeBackAfter) override;
   void fail(RequestId) override;
-  void addToCount(const CountName&, double units, Span keptFor) override;
-  void wakeAt(Time, TimerId) override;
+  void addToCount(const CountName&, double units, Duration keptFor) override;
+  void wakeAt(TimePoint, TimerId) override;
   void probe(HostId) override;
   void note(const std::string& line) override;
 
   PendingRequest* find(RequestId requestId) { return requests_.find(SlotRef::unpacked(requestId.value)); }
   PendingRequest* owed(RequestId);
-  void abandonAttempt(Time now, RequestId, AttemptNumber, Outcome);
-  void expire(Time now, RequestId);
-  void settle(Time now, RequestId);
+  void abandonAttempt(TimePoint now, RequestId, AttemptNumber, Outcome);
+  void expire(TimePoint now, RequestId);
+  void settle(TimePoint now, RequestId);
   std::optional<HostId> numberOf(const config::Endpoint&);
 
   const PolicySettings settings_;
-  const Span slack_, forgets_;
+  const Duration slack_, forgets_;
   const bool keepsTime_;
-  Time now_, latest_ = Time::max();
+  TimePoint now_, latest_ = TimePoint::max();
   Words words_;
   Deadlines& deadlines_;
   Ways& ways_;
   Slots<PendingRequest> requests_;
   std::size_t unanswered_ = 0;
-  std::deque<std::function<void(Time)>> soon_;  // ends that came while the module was still at it
+  std::deque<std::function<void(TimePoint)>> soon_;  // ends that came while the module was still at it
   bool settling_ = false;
   Names<HostId> hosts_;
   std::vector<std::string> addresses_;
-  std::vector<Span> startedAt_;
+  std::vector<Duration> startedAt_;
   std::vector<char> gone_;
-  std::vector<Time> goneAt_;
+  std::vector<TimePoint> goneAt_;
   std::vector<std::uint32_t> outAt_;
   Gateway gateway_;
 };
--- a/src/lab/shrink.cpp
+++ b/src/lab/shrink.cpp
@@ -38,8 +38,8 @@
     // What a fault needs to begin and to be seen stays.
     double last = 0;
     for (const emulator::Fault& f : less.faults) last = std::max(last, f.from.most);
-    const Span shorter =
-        std::max({scaled(less.length, 0.5), spanOf(last + 1), Span(std::chrono::seconds(1))});
+    const Duration shorter =
+        std::max({scaled(less.length, 0.5), durationOf(last + 1), Duration(std::chrono::seconds(1))});
     return std::exchange(less.length, std::min(less.length, shorter)) != less.length;
   });
   for (std::size_t n = 0; n < s.faults.size(); ++n)
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -75,11 +75,11 @@
 
  private:
   // Of the time until it may be killed: what is left for writing the last answers.
-  static constexpr Span kSpared = std::chrono::milliseconds(150);
+  static constexpr Duration kSpared = std::chrono::milliseconds(150);
   // A file that cannot be read may be half written: it is read again after so long, each wait twice the one
   // before, so many times as the operators say. All of it is over well before what it names counts as told.
-  static constexpr Span kFirstLook = std::chrono::milliseconds(50);
-  static constexpr Span kOneLineIn = std::chrono::seconds(10);
+  static constexpr Duration kFirstLook = std::chrono::milliseconds(50);
+  static constexpr Duration kOneLineIn = std::chrono::seconds(10);
 
   config::GatewayConfig begin() {
     config::GatewayConfig config = told_.readGatewayConfig();
@@ -118,14 +118,14 @@
   }
 
   void keepOut(int looks, std::string_view why) {
-    const Time now = loop_.now();
-    const bool tell = looks == 0 && (keptOutAt_ == Time{} || now - keptOutAt_ >= kOneLineIn);
+    const TimePoint now = loop_.now();
+    const bool tell = looks == 0 && (keptOutAt_ == TimePoint{} || now - keptOutAt_ >= kOneLineIn);
     if (tell) keptOutAt_ = now;
     log_(tell ? Level::warning : Level::debug, "orders_kept_out",
          "configuration not taken, the old ones stay in force: ", why);
     if (looks < own_.looks)
-      look_ =
-          loop_.deadlines.add(now + kFirstLook * (1 << looks), [this, looks](Time) { readAgain(looks + 1); });
+      look_ = loop_.deadlines.add(now + kFirstLook * (1 << looks),
+                                  [this, looks](TimePoint) { readAgain(looks + 1); });
   }
 
   void enter(Phase phase) {
@@ -144,7 +144,7 @@
                                    std::min(own_.stillComing + longestDeadline_, own_.mostLife) - kSpared);
         gate_.leave(answersBy_);
         log_(Level::info, "leaving", "told to end: not ready, still answering");
-        loop_.deadlines.add(loop_.now() + own_.stillComing, [this](Time) { enter(Phase::finishing); });
+        loop_.deadlines.add(loop_.now() + own_.stillComing, [this](TimePoint) { enter(Phase::finishing); });
         break;
       case Phase::finishing:
         gate_.partRested();
@@ -163,26 +163,26 @@
     // Guards against a client that never reads, rests for ever or stops in the middle of a request: it may be
     // killed soon. Whoever has its last answer gets a moment to read it and close, and who comes meanwhile is
     // taken.
-    const Time now = loop_.now();
+    const TimePoint now = loop_.now();
     if (now >= answersBy_ + kSpared / 3) return enter(Phase::gone);
     gate_.partRested(kSpared / 3);
-    quietSince_ = gate_.quiet() ? std::min(quietSince_, now) : Time::max();
+    quietSince_ = gate_.quiet() ? std::min(quietSince_, now) : TimePoint::max();
     if (gate_.quiet() && (gate_.parted() || now - quietSince_ >= 2 * kSpared) && gate_.shut())
       return enter(Phase::gone);
-    loop_.deadlines.add(loop_.now() + kSpared / 20, [this](Time) { lookWhetherDone(); });
+    loop_.deadlines.add(loop_.now() + kSpared / 20, [this](TimePoint) { lookWhetherDone(); });
   }
 
   const Told& told_;
   const config::OperatorConfig own_;
   Log& log_;
   const net::SystemClock clock_;
-  Span longestDeadline_{};
+  Duration longestDeadline_{};
   net::Loop loop_;
   net::asio::signal_set ends_{loop_.io, SIGTERM, SIGINT}, hangUps_{loop_.io, SIGHUP};
   net::Gate gate_;
   Phase phase_ = Phase::starting;
   front::Deadlines::Ticket look_{};
-  Time keptOutAt_{}, quietSince_ = Time::max(), answersBy_{};
+  TimePoint keptOutAt_{}, quietSince_ = TimePoint::max(), answersBy_{};
 };
 
 int serve(const Told& told) {
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // The operators': no attempt begins later than that after its client has left.
-constexpr Span kLeftHeeded = std::chrono::milliseconds(100);
+constexpr Duration kLeftHeeded = std::chrono::milliseconds(100);
 // Looks in that time for an end that stands behind much that was sent on ahead.
 constexpr int kLooks = 3;
 // All clients together may have sent so much on ahead that is read only for the sake of their end.
@@ -63,7 +63,7 @@
 // together leave room for that; after that, only an end that has come can be seen.
 void Client::watchEnd() {
   if (std::exchange(watchingEnd_, true)) return;
-  loop_.deadlines.add(loop_.now() + kLeftHeeded / kLooks, [&loop = loop_, mine = ref()](Time) {
+  loop_.deadlines.add(loop_.now() + kLeftHeeded / kLooks, [&loop = loop_, mine = ref()](TimePoint) {
     auto* const client = loop.find<Client>(mine);
     if (!client) return;
     client->watchingEnd_ = false;
@@ -108,7 +108,7 @@
     return refuse(405, "not a request's method\n");
   // Guards against a request that was sent on ahead by a client that has gone since.
   if (full() && hungUp()) return broken();
-  const Time now = loop_.now();
+  const TimePoint now = loop_.now();
   front::Front& front = *clients_.front_;
   const front::Ask ask = front::readAsk(message_, front.words(), front.settings(), now);
   if (!ask.fault.empty()) return refuse(400, std::string(ask.fault) + "\n");
@@ -161,7 +161,7 @@
 
 // Guards against a reset that overtakes the last answer: the rest of what the client sends is read, too. What
 // is read from here on was not taken, and is never sent on: the client sees the end and asks elsewhere.
-void Client::part(Span patience) {
+void Client::part(Duration patience) {
   if (lingering_ || !isUp()) return;
   lingering_ = true;
   partsBy_ = loop_.now() + patience;
@@ -180,7 +180,7 @@
   return lingering_ || requestId_ ? 0 : http::kMostHead + http::kMostBody;
 }
 
-Time Client::waitEnds() const {
+TimePoint Client::waitEnds() const {
   if (lingering_) return partsBy_;
   if (requestId_) return loop_.now() + clients_.longest_;  // its answer has a deadline of its own
   return since_ + (message_.begun() || !allWritten() ? clients_.longest_ : clients_.idle_);
@@ -205,7 +205,8 @@
   if (requestId) clients_.front_->clientLeft(loop_.now(), *requestId);
 }
 
-Clients::Clients(Loop& loop, const SocketAddress& at, std::size_t most, Span idle, Span longestDeadline)
+Clients::Clients(Loop& loop, const SocketAddress& at, std::size_t most, Duration idle,
+                 Duration longestDeadline)
     : loop_(loop), acceptor_(loop.strand), most_(most), idle_(idle), longest_(longestDeadline) {
   acceptor_.open(at.protocol());
   acceptor_.set_option(asio::socket_base::reuse_address(true));
@@ -251,7 +252,7 @@
         // Out of descriptors after all: it goes on when one has been given back.
         loop_.log(Level::warning, "accept_paused", "accepting pauses: ", error.message());
         paused_ = true;
-        loop_.deadlines.add(loop_.now() + longest_, [this](Time) { goOnAccepting(); });
+        loop_.deadlines.add(loop_.now() + longest_, [this](TimePoint) { goOnAccepting(); });
         yield return;
       }
     }
@@ -324,12 +325,12 @@
   });
 }
 
-void Clients::leave(Time by) {
+void Clients::leave(TimePoint by) {
   ready_ = false, leaving_ = true;
   lastBy_ = by;
 }
 
-void Clients::partRested(Span since) {
+void Clients::partRested(Duration since) {
   for (const SlotRef ref : std::vector(all_))
     if (Client* const client = loop_.find<Client>(ref);
         client && client->resting() && loop_.now() - client->since() >= since && client->untouched())
--- a/src/net/clients.hpp
+++ b/src/net/clients.hpp
@@ -23,10 +23,11 @@
   }
   void answer(int status, std::string_view fields, std::string_view body);
   bool resting() const { return !requestId_ && !message_.begun() && allWritten() && !lingering_; }
-  Time since() const { return since_; }
+  TimePoint since() const { return since_; }
   bool lingering() const { return lingering_; }
   std::size_t held() const { return buffer_.size(); }
-  void part(Span patience);  // ends in good order: nothing more is sent, what still comes is read for nobody
+  void part(
+      Duration patience);  // ends in good order: nothing more is sent, what still comes is read for nobody
 
  private:
   void bytesCame() override;
@@ -34,7 +35,7 @@
   void written() override;
   bool full() const override;
   std::size_t readsOnTo() const override;
-  Time waitEnds() const override;
+  TimePoint waitEnds() const override;
   void waitedTooLong() override;
 
   void readOn();
@@ -49,23 +50,23 @@
   bool reading_ = false, asking_ = false, lastAnswer_ = false, lingering_ = false;
   bool watchingEnd_ = false;
   std::size_t mayHold_ = 0;  // where it may send on more ahead than others
-  Time since_;               // the present wait began
-  Time partsBy_ = {};        // while it lingers
+  TimePoint since_;          // the present wait began
+  TimePoint partsBy_ = {};   // while it lingers
 };
 
 // The listener and all clients' connections, within their share of the descriptors.
 class Clients {
  public:
-  Clients(Loop&, const SocketAddress& at, std::size_t most, Span idle, Span longestDeadline);
+  Clients(Loop&, const SocketAddress& at, std::size_t most, Duration idle, Duration longestDeadline);
 
   void serve(front::Front& front);  // from here on clients are accepted
   void setReady(bool ready) { ready_ = ready; }
   // Every answer is a connection's last, unless more has come on it already; from that time on, each.
-  void leave(Time by);
-  void partRested(Span since = Span{0});  // ends what has rested for so long
-  bool shut();                            // accepts what has come; true: nothing had, and nothing is any more
-  void discard();                         // what is unread at the very end
-  std::size_t held();                     // bytes of all clients
+  void leave(TimePoint by);
+  void partRested(Duration since = Duration{0});  // ends what has rested for so long
+  bool shut();         // accepts what has come; true: nothing had, and nothing is any more
+  void discard();      // what is unread at the very end
+  std::size_t held();  // bytes of all clients
   bool parted() const { return all_.empty(); }
   bool quiet();  // no client is in the middle of a request or of an answer
 
@@ -85,8 +86,8 @@
   asio::coroutine accepting_;
   bool paused_ = false, ready_ = false, leaving_ = false;
   std::size_t most_, roomWanted_ = 1;
-  Span idle_, longest_;
-  Time lastBy_ = Time::max();
+  Duration idle_, longest_;
+  TimePoint lastBy_ = TimePoint::max();
   std::vector<SlotRef> all_;
 };
 
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -2,24 +2,24 @@
 
 #include <chrono>
 
-#include "moment.hpp"
+#include "policy_api/time.hpp"
 
 namespace merlinbridge::net {
 
 class Clock {
  public:
   virtual ~Clock() = default;
-  virtual Time now() const = 0;
+  virtual TimePoint now() const = 0;
 };
 
 // Unix time, as every machine reads it (counts and cold starts go by it), but never set back.
 class SystemClock final : public Clock {
  public:
-  Time now() const override { return Time(began_ + (std::chrono::steady_clock::now() - steady_)); }
+  TimePoint now() const override { return TimePoint(began_ + (std::chrono::steady_clock::now() - steady_)); }
 
  private:
   std::chrono::steady_clock::time_point steady_ = std::chrono::steady_clock::now();
-  Span began_ = std::chrono::system_clock::now().time_since_epoch();
+  Duration began_ = std::chrono::system_clock::now().time_since_epoch();
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -191,17 +191,17 @@
 }
 
 void Connection::watchWait() {
-  const Time at = waitEnds();
+  const TimePoint at = waitEnds();
   if (at >= lookAt_) return;
   if (look_.second) loop_.deadlines.drop(look_);
   lookAt_ = at;
-  look_ = loop_.deadlines.add(at, [&loop = loop_, ref = ref_.packed()](Time now) {
+  look_ = loop_.deadlines.add(at, [&loop = loop_, ref = ref_.packed()](TimePoint now) {
     if (Connection* const c = loop.find(SlotRef::unpacked(ref))) c->lookAtWait(now);
   });
 }
 
-void Connection::lookAtWait(Time now) {
-  lookAt_ = Time::max(), look_ = {};
+void Connection::lookAtWait(TimePoint now) {
+  lookAt_ = TimePoint::max(), look_ = {};
   if (waitEnds() <= now) return waitedTooLong();
   watchWait();
 }
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -43,7 +43,7 @@
   // False: what is not written by now must never be.
   virtual bool mayWrite() const { return true; }
   // Until when the present wait may last, and what comes if it lasts longer.
-  virtual Time waitEnds() const = 0;
+  virtual TimePoint waitEnds() const = 0;
   virtual void waitedTooLong() = 0;
 
   void send(std::initializer_list<std::string_view> parts);  // now, and what does not go now in its turn
@@ -71,7 +71,7 @@
   void readStep(Error error);
   void writeStep(Error error);
   bool pushOut();
-  void lookAtWait(Time now);
+  void lookAtWait(TimePoint now);
 
   mutable Socket socket_;
   SocketAddress peer_;
@@ -79,7 +79,7 @@
   bool up_ = false, readPaused_ = false, writing_ = false, later_ = false, peerEnded_ = false;
   std::size_t unsent_ = 0;
   asio::coroutine reader_, writer_;
-  Time lookAt_ = Time::max();
+  TimePoint lookAt_ = TimePoint::max();
   front::Deadlines::Ticket look_{};
 };
 
--- a/src/net/counter.cpp
+++ b/src/net/counter.cpp
@@ -23,24 +23,24 @@
     : Connection(loop), counter_(counter), number_(number), heard_(loop.now()) {}
 
 void CounterLink::call(const CountName& name, std::string_view message) {
-  const Time now = loop_.now();
+  const TimePoint now = loop_.now();
   if (calls_.empty()) heard_ = now;
   const std::uint64_t number = first_ + calls_.size();
   calls_.push_back({name, now, {}, false});
   calls_.back().patience =
-      loop_.deadlines.add(now + counter_.patience_, [&loop = loop_, mine = ref(), number](Time at) {
+      loop_.deadlines.add(now + counter_.patience_, [&loop = loop_, mine = ref(), number](TimePoint at) {
         if (auto* const link = loop.find<CounterLink>(mine)) link->unanswered(at, number);
       });
   sendLater(message);
 }
 
 // Not answered in time: it may have been added all the same. A connection on which nothing comes is replaced.
-void CounterLink::unanswered(Time now, std::uint64_t number) {
+void CounterLink::unanswered(TimePoint now, std::uint64_t number) {
   if (number < first_ || number - first_ >= calls_.size()) return;
   Call& call = calls_[number - first_];
   if (std::exchange(call.told, true)) return;
   const CountName name = call.name;
-  const Span took = now - call.madeAt;
+  const Duration took = now - call.madeAt;
   // Not one byte of it has been written, nor must be any more: nothing was added.
   const bool never = !isUp();
   if (never || now - heard_ >= counter_.connectTimeout_) broken();
@@ -53,9 +53,10 @@
 void CounterLink::retire() {
   retired_ = true;
   if (!isUp() || mayEnd()) return broken();
-  loop_.deadlines.add(loop_.now() + kOldFor * counter_.connectTimeout_, [&loop = loop_, mine = ref()](Time) {
-    if (auto* const link = loop.find<CounterLink>(mine)) link->broken();
-  });
+  loop_.deadlines.add(loop_.now() + kOldFor * counter_.connectTimeout_,
+                      [&loop = loop_, mine = ref()](TimePoint) {
+                        if (auto* const link = loop.find<CounterLink>(mine)) link->broken();
+                      });
 }
 
 bool CounterLink::mayEnd() const {
@@ -99,7 +100,7 @@
   const bool never = !isUp();
   const auto calls = std::exchange(calls_, {});
   loop_.bury(ref());
-  const Time now = loop_.now();
+  const TimePoint now = loop_.now();
   for (const Call& call : calls) {
     if (call.told) continue;
     loop_.deadlines.drop(call.patience);
@@ -108,12 +109,12 @@
   }
 }
 
-Time CounterLink::waitEnds() const {
+TimePoint CounterLink::waitEnds() const {
   if (!isUp()) return heard_ + counter_.connectTimeout_;
   return calls_.empty() ? heard_ + counter_.idle_ : loop_.now() + counter_.idle_;
 }
 
-Counter::Counter(Loop& loop, std::string address, Span patience, Span connectTimeout, Span idle)
+Counter::Counter(Loop& loop, std::string address, Duration patience, Duration connectTimeout, Duration idle)
     : loop_(loop),
       address_(std::move(address)),
       peer_(counterAt(address_)),
@@ -130,7 +131,7 @@
 }
 
 // The first connection that is free, else the one with the fewest calls on it.
-void Counter::add(const CountName& name, double units, Span keptFor) {
+void Counter::add(const CountName& name, double units, Duration keptFor) {
   CounterLink* least = nullptr;
   for (std::size_t n = 0; n < links_.size() && !(least && least->waiting() == 0); ++n) {
     auto* link = loop_.find<CounterLink>(links_[n]);
--- a/src/net/counter.hpp
+++ b/src/net/counter.hpp
@@ -24,16 +24,16 @@
  private:
   struct Call {
     CountName name;
-    Time madeAt;
+    TimePoint madeAt;
     front::Deadlines::Ticket patience;
     bool told;  // the module has been told how it ended
   };
 
   void bytesCame() override;
   void broken() override;
-  Time waitEnds() const override;
+  TimePoint waitEnds() const override;
   void waitedTooLong() override { broken(); }
-  void unanswered(Time now, std::uint64_t number);
+  void unanswered(TimePoint now, std::uint64_t number);
   bool mayEnd() const;
 
   Counter& counter_;
@@ -41,17 +41,17 @@
   http::Message message_{http::Message::Kind::answer};
   std::deque<Call> calls_;
   std::uint64_t first_ = 0;  // number of the first of them, counted from when the connection was made
-  Time heard_;
+  TimePoint heard_;
   bool retired_ = false;
 };
 
 // The counter service, over few connections.
 class Counter {
  public:
-  Counter(Loop&, std::string address, Span patience, Span connectTimeout, Span idle);
+  Counter(Loop&, std::string address, Duration patience, Duration connectTimeout, Duration idle);
 
   void serve(front::Front& front) { front_ = &front; }
-  void add(const CountName&, double units, Span keptFor);
+  void add(const CountName&, double units, Duration keptFor);
   // From now on calls go there; what is under way ends where it is. Throws std::invalid_argument.
   void moveTo(const std::string& address);
 
@@ -61,7 +61,7 @@
   front::Front* front_ = nullptr;
   std::string address_;
   SocketAddress peer_;
-  Span patience_, connectTimeout_, idle_;
+  Duration patience_, connectTimeout_, idle_;
   std::array<SlotRef, 2> links_{};
 };
 
--- a/src/net/gate.cpp
+++ b/src/net/gate.cpp
@@ -54,7 +54,7 @@
   counter_.moveTo(counter);
 }
 
-void Gate::leave(Time by) {
+void Gate::leave(TimePoint by) {
   front_.endBy(by);
   clients_.leave(by);
 }
@@ -66,10 +66,10 @@
   client->answer(200, fmt::format(FMT_COMPILE("Content-Type: {}\r\n"), type), body);
 }
 
-void Gate::answerRejected(SlotRef ref, Span comeBackAfter) {
+void Gate::answerRejected(SlotRef ref, Duration comeBackAfter) {
   Client* const client = loop_.find<Client>(ref);
   if (!client) return;
-  if (comeBackAfter <= Span{0}) return client->answer(429, "", "");
+  if (comeBackAfter <= Duration{0}) return client->answer(429, "", "");
   client->answer(429, fmt::format(FMT_COMPILE("Retry-After: {:.3f}\r\n"), seconds(comeBackAfter)), "");
 }
 
@@ -103,7 +103,7 @@
   return client && !client->hungUp();
 }
 
-void Gate::count(const CountName& name, double units, Span keptFor) {
+void Gate::count(const CountName& name, double units, Duration keptFor) {
   counter_.add(name, units, keptFor);
 }
 
--- a/src/net/gate.hpp
+++ b/src/net/gate.hpp
@@ -19,8 +19,8 @@
   // Where discovery and the counter are from now on. Throws std::invalid_argument, and then nothing has
   // moved.
   void moveTo(const std::string& discovery, const std::string& counter);
-  void leave(Time by);  // not ready; answers what comes, all of it by then
-  void partRested(Span since = Span{0}) { clients_.partRested(since); }
+  void leave(TimePoint by);  // not ready; answers what comes, all of it by then
+  void partRested(Duration since = Duration{0}) { clients_.partRested(since); }
   bool shut() { return clients_.shut(); }
   void discard() { clients_.discard(); }
   std::size_t unanswered() const { return front_.unanswered(); }
@@ -29,7 +29,7 @@
 
  private:
   void answerOk(SlotRef client, std::string_view body, std::string_view type) override;
-  void answerRejected(SlotRef client, Span comeBackAfter) override;
+  void answerRejected(SlotRef client, Duration comeBackAfter) override;
   void answerFailed(SlotRef client) override;
   std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
                                               Until) override;
@@ -37,7 +37,7 @@
   bool unwritten(SlotRef link) override { return hosts_.unwritten(link); }
   bool clientThere(SlotRef client) override;
   void probe(HostId host) override { hosts_.probe(host); }
-  void count(const CountName& name, double units, Span keptFor) override;
+  void count(const CountName& name, double units, Duration keptFor) override;
   void hostGone(HostId host) override { hosts_.gone(host); }
   void note(const std::string& line) override { loop_.log(Level::info, "decisions", line); }
 
--- a/src/net/hosts.cpp
+++ b/src/net/hosts.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-long millisecondsLeft(Span left) {
+long millisecondsLeft(Duration left) {
   return std::max<long>(std::chrono::ceil<std::chrono::milliseconds>(left).count(), 1);
 }
 
@@ -45,7 +45,7 @@
 
 void HostLink::probe(std::string_view message) {
   doing_ = Doing::probe;
-  writtenBy_ = Time::max();
+  writtenBy_ = TimePoint::max();
   since_ = loop_.now();
   watchWait();
   send({message});
@@ -120,7 +120,7 @@
 }
 
 void HostLink::ended(Outcome outcome, const front::Said& said) {
-  const Time now = loop_.now();
+  const TimePoint now = loop_.now();
   const auto doing = std::exchange(doing_, Doing::nothing);
   if (std::exchange(starting_, false)) return hosts_.close(ref());  // carry() says so
   const bool keeps = message_.stage() == http::Message::Stage::done && message_.keepsAlive() && isUp() &&
@@ -144,7 +144,7 @@
   resting[host_.value].push_back(ref());
 }
 
-Time HostLink::waitEnds() const {
+TimePoint HostLink::waitEnds() const {
   if (!isUp()) return std::min(since_ + hosts_.connectTimeout_, writtenBy_);
   if (doing_ == Doing::probe) return since_ + hosts_.connectTimeout_;
   // The attempt has a deadline of its own.
@@ -164,7 +164,7 @@
 constexpr int kProving = 25;
 
 // A host closes what has rested for the stated time: half of it is on the safe side, and costs nothing.
-Hosts::Hosts(Loop& loop, std::size_t most, Span idle, Span connectTimeout)
+Hosts::Hosts(Loop& loop, std::size_t most, Duration idle, Duration connectTimeout)
     : loop_(loop),
       most_(most),
       idle_(idle / 2),
--- a/src/net/hosts.hpp
+++ b/src/net/hosts.hpp
@@ -14,7 +14,7 @@
 
 // The request's field that tells a host how long its answer is waited for, as the gateway writes it.
 inline constexpr std::string_view kDeadlineField = "\r\nReq-Deadline-Ms: ";
-long millisecondsLeft(Span);  // rounded up, one at least
+long millisecondsLeft(Duration);  // rounded up, one at least
 
 // A connection to a host: one attempt or probe at a time, between them it rests.
 class HostLink final : public Connection {
@@ -27,7 +27,7 @@
   HostId host() const { return host_; }
   bool resting() const { return doing_ == Doing::nothing; }
   bool unwritten() const { return doing_ == Doing::attempt && !(isUp() && allWritten() && waiting_.empty()); }
-  Time since() const { return since_; }
+  TimePoint since() const { return since_; }
 
  private:
   enum class Doing { nothing, attempt, probe };
@@ -36,7 +36,7 @@
   void broken() override;
   void connected() override;
   bool mayWrite() const override;
-  Time waitEnds() const override;
+  TimePoint waitEnds() const override;
   void waitedTooLong() override;
 
   void ended(Outcome, const front::Said& = {});
@@ -51,14 +51,14 @@
   bool starting_ = false;
   RequestId requestId_{};
   AttemptNumber no_{};
-  Time since_, writtenBy_ = Time::max(), giveUp_{};
+  TimePoint since_, writtenBy_ = TimePoint::max(), giveUp_{};
   std::string waiting_;  // the request, until the connection is up
 };
 
 // The connections to hosts, kept for the next attempt, within their share of the descriptors.
 class Hosts {
  public:
-  Hosts(Loop&, std::size_t most, Span idle, Span connectTimeout);
+  Hosts(Loop&, std::size_t most, Duration idle, Duration connectTimeout);
 
   void serve(front::Front& front) { front_ = &front; }
   std::variant<SlotRef, Outcome> startAttempt(HostId, std::string_view message, RequestId, AttemptNumber,
@@ -77,7 +77,7 @@
   Loop& loop_;
   front::Front* front_ = nullptr;
   std::size_t most_;
-  Span idle_, connectTimeout_, proving_;
+  Duration idle_, connectTimeout_, proving_;
   std::vector<SlotRef> all_;
   std::vector<std::vector<SlotRef>> resting_;  // by host; the last to come is the first to go
 };
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -45,17 +45,18 @@
     if (Connection* const connection = find(toFlush_[n])) connection->flush();
   toFlush_.clear();
   buried_.clear();
-  if (const Time next = deadlines.next(); next != Time::max() && next + ride_ != armedFor_) arm(next + ride_);
+  if (const TimePoint next = deadlines.next(); next != TimePoint::max() && next + ride_ != armedFor_)
+    arm(next + ride_);
   turnAt_.reset();
 }
 
 // A turn of its own for a deadline costs more than all else that it does: it comes only where none other did.
-void Loop::arm(Time at) {
+void Loop::arm(TimePoint at) {
   armedFor_ = at;
-  timer_.expires_after(std::max(Span{0}, at - clock_.now()));
+  timer_.expires_after(std::max(Duration{0}, at - clock_.now()));
   timer_.async_wait([this, at](const Error& error) {
     if (error || at != armedFor_) return;
-    armedFor_ = Time::max();
+    armedFor_ = TimePoint::max();
     endTurn();
   });
 }
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -37,7 +37,7 @@
   Loop& operator=(const Loop&) = delete;
 
   // The time of this turn, read once.
-  Time now() {
+  TimePoint now() {
     if (!turnAt_) turnAt_ = clock_.now();
     return *turnAt_;
   }
@@ -54,7 +54,7 @@
     return made;
   }
   // What is due may wait for so long to ride on a turn that comes for something else.
-  void rideFor(Span ride) { ride_ = ride; }
+  void rideFor(Duration ride) { ride_ = ride; }
   // Closes a connection at once; it lives on until the turn ends.
   void bury(SlotRef);
   void flushLater(SlotRef ref) { toFlush_.push_back(ref); }
@@ -67,17 +67,17 @@
   Log& log;
 
  private:
-  void arm(Time);
+  void arm(TimePoint);
 
   const Clock& clock_;
-  Span ride_{0};
-  std::optional<Time> turnAt_;
+  Duration ride_{0};
+  std::optional<TimePoint> turnAt_;
   front::Slots<std::unique_ptr<Connection>> connections_;
   std::vector<std::unique_ptr<Connection>> buried_;
   std::vector<SlotRef> toFlush_;
   asio::basic_waitable_timer<std::chrono::steady_clock, asio::wait_traits<std::chrono::steady_clock>, Strand>
       timer_;
-  Time armedFor_ = Time::max();
+  TimePoint armedFor_ = TimePoint::max();
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/watch.cpp
+++ b/src/net/watch.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // The protocol's: while nothing changes, an empty line comes so often.
-constexpr Span kBeat = std::chrono::seconds(2);
+constexpr Duration kBeat = std::chrono::seconds(2);
 // No list is longer: some thousands of hosts, indented.
 constexpr std::size_t kMostList = 2 * 1024 * 1024;
 // Of a beat, on the mean: the longest wait after a refusal, and how long a list that was told is good for.
@@ -79,8 +79,8 @@
 }
 
 // Guards against a watch that is silent for ever, be its machine or the way to it gone.
-Time WatchLink::waitEnds() const {
-  const Time from = pieces_.begun() ? std::min(begunAt_, heard_) : heard_;
+TimePoint WatchLink::waitEnds() const {
+  const TimePoint from = pieces_.begun() ? std::min(begunAt_, heard_) : heard_;
   return from + (isUp() ? kBeat + watch_.connectTimeout_ : watch_.connectTimeout_);
 }
 
@@ -106,12 +106,12 @@
   watch_.lost(how);
 }
 
-Time ListLink::waitEnds() const {
+TimePoint ListLink::waitEnds() const {
   return since_ + kBeat + watch_.connectTimeout_;
 }
 
-Watch::Watch(Loop& loop, std::string address, std::uint64_t from, Span connectTimeout, Span drainGrace,
-             std::uint64_t seed)
+Watch::Watch(Loop& loop, std::string address, std::uint64_t from, Duration connectTimeout,
+             Duration drainGrace, std::uint64_t seed)
     : loop_(loop),
       address_(std::move(address)),
       peer_(parseAddress(address_)),
@@ -176,15 +176,16 @@
   lists_ = wasWatch && how == AskEnd::silent ? 0 : lists_ + 1;
   if (how != AskEnd::told && !std::exchange(silent_, true))
     loop_.log(Level::warning, "discovery_lost", "discovery lost: list ", generation_, " stays in force");
-  const Span longest = scaled(kBeat, kRefusedMost);
-  const Span most =
+  const Duration longest = scaled(kBeat, kRefusedMost);
+  const Duration most =
       how == AskEnd::refused
           ? longest
           : std::clamp(drainGrace_ / 2, std::min(connectTimeout_ / kLeastWait, longest), longest);
-  const Span wait = how == AskEnd::told ? scaled(kBeat, kToldFor)
-                                        : std::min(most, connectTimeout_ * (1 << std::min(failures_++, 8)));
+  const Duration wait = how == AskEnd::told
+                            ? scaled(kBeat, kToldFor)
+                            : std::min(most, connectTimeout_ * (1 << std::min(failures_++, 8)));
   const double drawn = 0.5 + double(chance_()) / double(chance_.max());
-  again_ = loop_.deadlines.add(loop_.now() + scaled(wait, drawn), [this](Time) { open(); });
+  again_ = loop_.deadlines.add(loop_.now() + scaled(wait, drawn), [this](TimePoint) { open(); });
 }
 
 // Guards against a watch that the old address ends in its own time, with what was told meanwhile missed: the
--- a/src/net/watch.hpp
+++ b/src/net/watch.hpp
@@ -25,7 +25,7 @@
   void connected() override { heard_ = loop_.now(); }
   void bytesCame() override;
   void broken() override;
-  Time waitEnds() const override;
+  TimePoint waitEnds() const override;
   void waitedTooLong() override { broken(); }
   void takeLists();
 
@@ -35,7 +35,7 @@
   bool inBody_ = false;
   std::size_t decoded_ = 0;
   config::Pieces pieces_;
-  Time heard_, begunAt_{};
+  TimePoint heard_, begunAt_{};
 };
 
 // One whole list, asked for where a watch is not to be had.
@@ -46,20 +46,20 @@
  private:
   void bytesCame() override;
   void broken() override { over(AskEnd::silent); }
-  Time waitEnds() const override;
+  TimePoint waitEnds() const override;
   void waitedTooLong() override { over(AskEnd::silent); }
   void over(AskEnd);
 
   Watch& watch_;
   http::Message message_;
-  const Time since_;
+  const TimePoint since_;
 };
 
 // Discovery: keeps a watch open from the last list that was told; while it has none, it asks for whole lists
 // and now and then for a watch again.
 class Watch {
  public:
-  Watch(Loop&, std::string address, std::uint64_t from, Span connectTimeout, Span drainGrace,
+  Watch(Loop&, std::string address, std::uint64_t from, Duration connectTimeout, Duration drainGrace,
         std::uint64_t seed);
 
   void serve(front::Front& front);
@@ -79,7 +79,7 @@
   std::string address_;
   SocketAddress peer_;
   std::uint64_t generation_;
-  Span connectTimeout_, drainGrace_;
+  Duration connectTimeout_, drainGrace_;
   SlotRef link_{};
   front::Deadlines::Ticket again_{};
   bool silent_ = false;
--- a/src/policy_api/policy_settings.hpp
+++ b/src/policy_api/policy_settings.hpp
@@ -3,8 +3,8 @@
 #include <cstdint>
 #include <vector>
 
-#include "moment.hpp"
 #include "policy_api/ids.hpp"
+#include "policy_api/time.hpp"
 
 namespace merlinbridge {
 
@@ -14,8 +14,8 @@
 struct Method {
   Repeat repeat = Repeat::nonIdempotent;
   Group group = Group::cell;  // the hosts that discard repeats of a deduplicated request
-  Span window{};              // and for how long
-  Span softDeadline{};        // an answer is wanted by then
+  Duration window{};          // and for how long
+  Duration softDeadline{};    // an answer is wanted by then
   double utility = 1;
 };
 
@@ -31,14 +31,14 @@
   std::vector<Method> methods;
   std::vector<Plan> plans;
   std::uint32_t gateways = 1;
-  bool counter = false;   // is there a counter service
-  Span counterTimeout{};  // a call to it ends unanswered after this long
-  double maxUnits = 1;    // of one request
+  bool counter = false;       // is there a counter service
+  Duration counterTimeout{};  // a call to it ends unanswered after this long
+  double maxUnits = 1;        // of one request
   bool allowCancel = false, allowHedging = false, allowRetryAfter = false;
   std::uint32_t maxAttempts = 1;
-  Span maxRetryAfter{}, connectTimeout{};
+  Duration maxRetryAfter{}, connectTimeout{};
   double startCapacity = 1, overloadMultiple = 1;  // a host starts with this share of its capacity or more,
-  Span slowStartTime{},
+  Duration slowStartTime{},
       overloadWindow{};  // is warm by then, and falls when over-driven so many times for so long
 };
 
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -19,7 +19,7 @@
       // What happens before the gateway has had a turn is all one moment to it.
       for (std::uint32_t events = below(4); events > 0; --events) happen();
       if (below(4) > 0) d_.settle();
-      d_.pass(below(30) == 0 ? Span(31s) : Span(std::chrono::milliseconds(below(20))));
+      d_.pass(below(30) == 0 ? Duration(31s) : Duration(std::chrono::milliseconds(below(20))));
       look();
     }
     for (Host& host : hosts_) host.far.close();
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -271,7 +271,7 @@
 
 TEST_CASE("a customer spread thin over many gateways keeps to its quota on the whole, a calm one is let in") {
   World w(plainSettings(40), 1);
-  const auto admitted = [&](int times, Span every, std::uint64_t customer) {
+  const auto admitted = [&](int times, Duration every, std::uint64_t customer) {
     int out = 0;
     for (int n = 0; n < times; w.runFor(every), ++n)
       out += passed(w, (n * 17 + n / 40) % 40, customer, 0, 1, 4);
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -67,8 +67,8 @@
     for (const auto& line : config.known.entries)
       if (line.serving) hosts_.push_back(line.address);
   }
-  void requestArrived(Time now, SlotRef client, const Request& a) override {
-    if (hosts_.empty()) return ways_.answerRejected(client, Span{0});
+  void requestArrived(TimePoint now, SlotRef client, const Request& a) override {
+    if (hosts_.empty()) return ways_.answerRejected(client, Duration{0});
     if (rule_ == Rule::lost && ++lost_ % 10 == 0) return;  // never answered
     const RequestId requestId{++last_};
     // The ceiling rule is broken by letting all in, the drain and cold rules by staying with what was first
@@ -77,9 +77,9 @@
                              : rule_ == Rule::cold ? hosts_.size() - 1
                                                    : last_ % hosts_.size();
     const auto sent = ways_.startAttempt(requestId, {0}, client, {static_cast<std::uint32_t>(host)},
-                                         {a.deadline, Time::max()});
+                                         {a.deadline, TimePoint::max()});
     requests_[requestId.value] = {client, a.method, 0, std::get<SlotRef>(sent)};
-    deadlines_.add(std::max(now, a.deadline - 50ms), [this, requestId](Time) {
+    deadlines_.add(std::max(now, a.deadline - 50ms), [this, requestId](TimePoint) {
       const auto at = requests_.find(requestId.value);
       if (at == requests_.end()) return;
       const Held held = at->second;
@@ -88,8 +88,8 @@
       ways_.answerFailed(held.client);
     });
   }
-  void clientLeft(Time, SlotRef) override {}
-  void attemptEnded(Time, RequestId requestId, AttemptNumber, Outcome outcome,
+  void clientLeft(TimePoint, SlotRef) override {}
+  void attemptEnded(TimePoint, RequestId requestId, AttemptNumber, Outcome outcome,
                     const front::Said& said) override {
     const auto at = requests_.find(requestId.value);
     if (at == requests_.end()) return;
@@ -103,16 +103,16 @@
     }
     if (rule_ == Rule::twice && held.no == 0) {  // whatever the method
       const auto sent =
-          ways_.startAttempt(requestId, {++held.no}, held.client, {0}, {Time::max(), Time::max()});
+          ways_.startAttempt(requestId, {++held.no}, held.client, {0}, {TimePoint::max(), TimePoint::max()});
       if (const SlotRef* const link = std::get_if<SlotRef>(&sent)) held.link = *link;
       return;
     }
     const SlotRef client = held.client;
     requests_.erase(at);
-    outcome == Outcome::rejected ? ways_.answerRejected(client, Span{0}) : ways_.answerFailed(client);
+    outcome == Outcome::rejected ? ways_.answerRejected(client, Duration{0}) : ways_.answerFailed(client);
   }
-  void counted(Time, const CountName&, CountEnd, double, Span) override {}
-  void endpointsUpdated(Time, const config::EndpointList& endpoints) override {
+  void counted(TimePoint, const CountName&, CountEnd, double, Duration) override {}
+  void endpointsUpdated(TimePoint, const config::EndpointList& endpoints) override {
     if (rule_ == Rule::drain) return;
     for (const auto& line : endpoints.entries) {
       std::erase(hosts_, line.address);
@@ -120,7 +120,7 @@
     }
   }
   const std::string& addressOf(HostId host) const override { return hosts_[host.value]; }
-  void endBy(Time) override {}
+  void endBy(TimePoint) override {}
   std::size_t unanswered() const override { return 0; }
 
  private:
@@ -141,18 +141,18 @@
 }  // namespace
 
 TEST_CASE("of two things at one instant the older happens first, and nothing happens before now") {
-  Agenda agenda(Time(5s));
+  Agenda agenda(TimePoint(5s));
   std::string order;
-  agenda.at(Time(6s), [&] { order += 'a'; });
-  agenda.at(Time(6s), [&] {
+  agenda.at(TimePoint(6s), [&] { order += 'a'; });
+  agenda.at(TimePoint(6s), [&] {
     order += 'b';
-    agenda.at(Time(1s), [&] { order += 'd'; });
+    agenda.at(TimePoint(1s), [&] { order += 'd'; });
   });
-  agenda.at(Time(6s), [&] { order += 'c'; });
-  while (agenda.step(Time(7s))) {
+  agenda.at(TimePoint(6s), [&] { order += 'c'; });
+  while (agenda.step(TimePoint(7s))) {
   }
   CHECK(order == "abcd");
-  CHECK(agenda.now() == Time(7s));
+  CHECK(agenda.now() == TimePoint(7s));
 }
 
 TEST_CASE("parts of a run draw from streams of their own") {
@@ -245,14 +245,14 @@
   for (const Case& one : cases) {
     INFO(wordOf(one.rule));
     const Scenario s = readScenario(kPlain + one.faults, "s.toml", one.changes);
-    const Tally t =
-        play(s, 1, Policy::module,
-             [&](const config::GatewayConfig& config, Time, front::Deadlines& deadlines, front::Ways& ways,
-                 const Truth&) { return std::make_unique<Breaker>(one.rule, config, deadlines, ways); });
+    const Tally t = play(
+        s, 1, Policy::module,
+        [&](const config::GatewayConfig& config, TimePoint, front::Deadlines& deadlines, front::Ways& ways,
+            const Truth&) { return std::make_unique<Breaker>(one.rule, config, deadlines, ways); });
     CHECK(t.breaches[static_cast<std::size_t>(one.rule)] > 0);
     bool named = false;
     for (const Breach& b : t.first)
-      named = named || (b.rule == one.rule && b.at > Time{} &&
+      named = named || (b.rule == one.rule && b.at > TimePoint{} &&
                         (b.attemptId.value > 0 || one.rule == Rule::cold) && !b.what.empty());
     CHECK(named);
     CHECK(play(s, 1, Policy::module).broken() == 0);  // who keeps the rules is not blamed
@@ -280,15 +280,15 @@
 TEST_CASE("an answer's time counts from when the gateway had the whole of the request") {
   const Scenario s = readScenario(kPlain, "s.toml");  // the slack is 50 ms
   Ledger ledger(s);
-  const auto answeredAfter = [&](std::uint64_t id, Time taken, Time answered) {
-    ledger.taken(taken, {id}, {{0}, 0, 0, 1, 1, Time(2s)});
+  const auto answeredAfter = [&](std::uint64_t id, TimePoint taken, TimePoint answered) {
+    ledger.taken(taken, {id}, {{0}, 0, 0, 1, 1, TimePoint(2s)});
     ledger.answered(answered, {id}, Answer::rejected);
     return ledger.count(Rule::lost);
   };
-  CHECK(answeredAfter(1, Time(1s), Time(2s) + 50ms) == 0);
-  CHECK(answeredAfter(2, Time(2s) + 80ms, Time(2s) + 80ms) == 0);  // it came late itself
-  CHECK(answeredAfter(3, Time(1s), Time(2s) + 51ms) == 1);
-  CHECK(answeredAfter(4, Time(2s) + 80ms, Time(2s) + 131ms) == 2);
+  CHECK(answeredAfter(1, TimePoint(1s), TimePoint(2s) + 50ms) == 0);
+  CHECK(answeredAfter(2, TimePoint(2s) + 80ms, TimePoint(2s) + 80ms) == 0);  // it came late itself
+  CHECK(answeredAfter(3, TimePoint(1s), TimePoint(2s) + 51ms) == 1);
+  CHECK(answeredAfter(4, TimePoint(2s) + 80ms, TimePoint(2s) + 131ms) == 2);
 }
 
 TEST_CASE("the module keeps the rules under every kind of fault, alone and together") {
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -15,7 +15,7 @@
   void answerOk(SlotRef, std::string_view body, std::string_view) override {
     answers.push_back("ok " + std::string(body));
   }
-  void answerRejected(SlotRef, Span) override { answers.emplace_back("rejected"); }
+  void answerRejected(SlotRef, Duration) override { answers.emplace_back("rejected"); }
   void answerFailed(SlotRef) override { answers.emplace_back("failed"); }
   std::variant<SlotRef, Outcome> startAttempt(RequestId requestId, AttemptNumber no, SlotRef, HostId host,
                                               Until until) override {
@@ -27,7 +27,7 @@
   bool unwritten(SlotRef link) override { return dialling.contains(link.slot); }
   bool clientThere(SlotRef) override { return there; }
   void probe(HostId) override {}
-  void count(const CountName&, double, Span) override {}
+  void count(const CountName&, double, Duration) override {}
   void hostGone(HostId host) override { gone.push_back(host.value); }
   void note(const std::string& line) override { notes.push_back(line); }
 
@@ -63,13 +63,13 @@
 struct Core {
   explicit Core(int hosts = 2) : Core(plainConfig(hosts)) {}
   explicit Core(const config::GatewayConfig& config) : front(config, now, deadlines, ways) {}
-  RequestId ask(std::uint32_t method, Span patience = 1s) {
+  RequestId ask(std::uint32_t method, Duration patience = 1s) {
     return front.requestArrived(now, {0, 1}, {{}, {++customers}, {1}, {method}, now + patience, 1, 1});
   }
-  void pass(Span span) { deadlines.run(now += span); }
+  void pass(Duration span) { deadlines.run(now += span); }
 
   std::uint64_t customers = 0;
-  Time now{1'700'000'000s};
+  TimePoint now{1'700'000'000s};
   front::Deadlines deadlines;
   Written ways;
   front::Front front;
@@ -111,7 +111,7 @@
 
 TEST_CASE("the loop's own delay comes off the time that a request has") {
   Core core;
-  core.deadlines.add(core.now, [](Time) {});
+  core.deadlines.add(core.now, [](TimePoint) {});
   core.pass(100ms);  // it came 100 ms late
   core.ask(3);
   core.pass(885ms);
@@ -120,7 +120,7 @@
 
 TEST_CASE("a stall of the loop that has not ended yet comes off it too") {
   Core core;
-  core.deadlines.add(core.now + 10ms, [](Time) {});
+  core.deadlines.add(core.now + 10ms, [](TimePoint) {});
   core.now += 510ms;  // the request may have waited as long
   core.ask(3);
   core.pass(485ms);
@@ -199,7 +199,7 @@
   config.settings.gateways = 1024;
   Written ways;
   front::Deadlines deadlines;
-  const Time now{1'700'000'000s};
+  const TimePoint now{1'700'000'000s};
   front::Front front(config, now, deadlines, ways);
   config::EndpointList all{2, true, {}};
   for (int h = 0; h < 1024; ++h) all.entries.push_back(line("new" + std::to_string(h)));
@@ -235,20 +235,20 @@
 TEST_CASE("due together, the older goes first, and what is added meanwhile waits") {
   front::Deadlines deadlines;
   std::string order;
-  const Time at{1s};
-  deadlines.add(at, [&](Time) {
+  const TimePoint at{1s};
+  deadlines.add(at, [&](TimePoint) {
     order += 'a';
-    deadlines.add(at, [&](Time) { order += 'd'; });
+    deadlines.add(at, [&](TimePoint) { order += 'd'; });
   });
-  const auto dropped = deadlines.add(at, [&](Time) { order += 'x'; });
-  deadlines.add(at, [&](Time) { order += 'b'; });
-  deadlines.add(at - 1ns, [&](Time) { order += 'c'; });
+  const auto dropped = deadlines.add(at, [&](TimePoint) { order += 'x'; });
+  deadlines.add(at, [&](TimePoint) { order += 'b'; });
+  deadlines.add(at - 1ns, [&](TimePoint) { order += 'c'; });
   deadlines.drop(dropped);
   deadlines.run(at);
   CHECK(order == "cab");
   deadlines.run(at);
   CHECK(order == "cabd");
-  CHECK(deadlines.next() == Time::max());
+  CHECK(deadlines.next() == TimePoint::max());
 }
 
 TEST_CASE("what a client says of its request is read, or its fault is named") {
@@ -277,13 +277,13 @@
   if (!was.empty()) text.replace(text.find(was), was.size(), is);
   http::Message message(http::Message::Kind::request);
   REQUIRE(message.advance(text.data(), text.size()) == http::Message::Stage::done);
-  const front::Ask ask = front::readAsk(message, words, settings, Time(1s));
+  const front::Ask ask = front::readAsk(message, words, settings, TimePoint(1s));
   CHECK(ask.fault == fault);
   if (!fault.empty()) return;
   CHECK(ask.request.method == MethodId{1});
   CHECK(ask.request.plan == PlanId{1});
   CHECK(ask.request.customer == CustomerId{0xb4d65521});
-  CHECK(ask.request.deadline == Time(1480ms));
+  CHECK(ask.request.deadline == TimePoint(1480ms));
   CHECK(ask.request.units == 2);
   CHECK(ask.request.gateways == 3);
   CHECK(ask.request.marked == (is.ends_with(": k")));
@@ -331,8 +331,8 @@
 TEST_CASE("a repeat must be on its way before the hosts forget the first, a first one need not") {
   Core core;
   const RequestId requestId = core.ask(1);
-  CHECK(core.ways.calls[0].until.written == Time::max());
-  const Time first = core.now;
+  CHECK(core.ways.calls[0].until.written == TimePoint::max());
+  const TimePoint first = core.now;
   core.pass(20ms);
   core.front.attemptEnded(core.now, requestId, {0}, Outcome::error);
   REQUIRE(core.ways.calls.size() == 2);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -35,7 +35,7 @@
     }
   }
   void broken() override {}
-  Time waitEnds() const override { return Time::max(); }
+  TimePoint waitEnds() const override { return TimePoint::max(); }
   void waitedTooLong() override {}
 };
 
@@ -686,7 +686,7 @@
   Far resting = d.client();
   Asked asked(d);
   Far fresh = d.client();
-  d.gate.leave(Time::max());
+  d.gate.leave(TimePoint::max());
   fresh.say("GET /health/ready HTTP/1.1\r\n\r\n");
   REQUIRE(d.until([&] { return fresh.ended(); }));
   CHECK_THAT(fresh.got, Catch::StartsWith("HTTP/1.1 503") && Catch::Contains("Connection: close"));
@@ -712,7 +712,7 @@
   std::vector<Far> others;
   for (int n = 0; end == 2 && n < 2; ++n) others.push_back(d.client());
   d.settle();
-  if (end == 0) d.gate.leave(Time::max()), d.gate.partRested();
+  if (end == 0) d.gate.leave(TimePoint::max()), d.gate.partRested();
   if (end == 1) d.pass(29'980ms);
   if (end == 2) REQUIRE(d.until([&] { return asked.client.ended(); }));
   asked.client.say(Doorstep::request("look"));  // before it has seen the end
@@ -904,7 +904,7 @@
   old.got.clear();
   Far silent = d.client();
   d.settle();
-  d.gate.leave(Time::max());
+  d.gate.leave(TimePoint::max());
   Far fresh = d.client();
   old.say(Doorstep::request("look"));
   fresh.say(Doorstep::request("look"));
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-constexpr Span kPatience = 10s;  // only where a test fails, or on a machine that is very busy
+constexpr Duration kPatience = 10s;  // only where a test fails, or on a machine that is very busy
 
-bool within(const std::function<bool()>& done, Span patience = kPatience) {
+bool within(const std::function<bool()>& done, Duration patience = kPatience) {
   const auto end = std::chrono::steady_clock::now() + patience;
   while (std::chrono::steady_clock::now() < end) {
     if (done()) return true;
--- a/tests/standins/reality.cpp
+++ b/tests/standins/reality.cpp
@@ -33,7 +33,7 @@
 }
 
 std::string settingsOf(const Scenario& s, std::uint32_t me) {
-  const auto us = [](Span span) {
+  const auto us = [](Duration span) {
     return std::chrono::duration_cast<std::chrono::microseconds>(span).count();
   };
   std::string methods, plans;
@@ -151,7 +151,7 @@
     return std::min(sums.size() - 1, static_cast<std::size_t>(at - sums.begin()));
   }
   void schedule() {
-    at_ += spanOf(arrivals_.exponential(1 / s_.rate));
+    at_ += durationOf(arrivals_.exponential(1 / s_.rate));
     if (at_ > s_.length) return void(over = true);
     next_.expires_at(began_ + at_);
     next_.async_wait([this](const Error& error) {
@@ -177,7 +177,7 @@
     if (std::exchange(w->done, true)) return;
     --waiting;
     if (!ok) return void(++tally.failed);
-    const Span took = WallClock::now() - w->askedAt;
+    const Duration took = WallClock::now() - w->askedAt;
     took <= s_.methods[w->method].soft ? ++tally.inTime : ++tally.late;
     tally.latency.add(took);
   }
@@ -265,8 +265,8 @@
   }
   void again(const std::shared_ptr<Wish>& w, bool may, double advice) {
     if (!may) return end(w, false);
-    Span wait = scaled(s_.wait, (0.5 + choices_.even()) * double(1 << std::min(10, w->triesMade - 1)));
-    if (advice > 0 && choices_.lucky(s_.heedsAdvice)) wait = std::max(wait, spanOf(advice));
+    Duration wait = scaled(s_.wait, (0.5 + choices_.even()) * double(1 << std::min(10, w->triesMade - 1)));
+    if (advice > 0 && choices_.lucky(s_.heedsAdvice)) wait = std::max(wait, durationOf(advice));
     if (WallClock::now() + wait >= w->deadline || w->triesLeft <= 0) return end(w, false);
     auto timer = std::make_shared<asio::steady_timer>(io_, wait);
     timer->async_wait([this, w, timer](const Error&) { ask(w); });
@@ -279,7 +279,7 @@
   Dice arrivals_, choices_;
   asio::steady_timer next_;
   WallClock::time_point began_;
-  Span at_{0};
+  Duration at_{0};
   std::uint64_t lastTry_ = 0;
   std::vector<double> customers_, methods_, plans_;
 };
@@ -298,7 +298,7 @@
     hosts.push_back(std::make_unique<Host>(io, s.cores, s.room, s.reports, [&](std::string_view kind) {
       for (const auto& m : s.methods)
         if (m.name == kind) return scaled(m.work, 0.5 + works.exponential(0.5));
-      return Span{0};
+      return Duration{0};
     }));
     list += fmt::format(
         R"({}{{"instanceId":"h{}","hostPort":"{}","zone":"z{}","machineType":"m","cell":{},"lifecycle":"in_service","weight":1,"startedAtMs":0}})",
--- a/tests/standins/standins.hpp
+++ b/tests/standins/standins.hpp
@@ -136,7 +136,7 @@
   enum class Mood { well, hangs, errs, resets };
 
   Host(asio::io_context& io, int cores, int room, bool reports,
-       std::function<Span(std::string_view kind)> work)
+       std::function<Duration(std::string_view kind)> work)
       : io_(io),
         cores_(cores),
         room_(room),
@@ -154,7 +154,7 @@
  private:
   struct Job {
     std::shared_ptr<Line> line;
-    Span work;
+    Duration work;
   };
   void heard(const std::shared_ptr<Line>& line, const http::Message& m) {
     ++asked;
@@ -196,7 +196,7 @@
   asio::io_context& io_;
   const int cores_, room_;
   const bool reports_;
-  std::function<Span(std::string_view)> work_;
+  std::function<Duration(std::string_view)> work_;
   Mood mood_ = Mood::well;
   int running_ = 0;
   double rate_ = 0;
@@ -208,7 +208,7 @@
 // Adds to named numbers, one call after another.
 class Counter {
  public:
-  Counter(asio::io_context& io, Span service)
+  Counter(asio::io_context& io, Duration service)
       : io_(io),
         service_(service),
         listener_(io, [this](const auto& line, const http::Message& m) { heard(line, m); }) {}
@@ -236,7 +236,7 @@
     });
   }
   asio::io_context& io_;
-  const Span service_;
+  const Duration service_;
   WallClock::time_point busy_{};
   bool silent_ = false;
   std::map<std::string, double> totals_;
--- a/tests/watch_bound_test.cpp
+++ b/tests/watch_bound_test.cpp
@@ -10,7 +10,7 @@
 // in docs/crossings.md.
 namespace {
 
-constexpr Span kTold = 6s;
+constexpr Duration kTold = 6s;
 constexpr const char* kRefusal = "HTTP/1.1 503 x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 const std::string kOpenHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -23,8 +23,8 @@
   Asks(Doorstep& door, FarListener& at) : d(door), place(at) {}
 
   // The next ask, once it has come whole; how long that took.
-  Span next(Span most = 20s) {
-    const Time from = d.clock.at;
+  Duration next(Duration most = 20s) {
+    const TimePoint from = d.clock.at;
     for (far.reset(); d.clock.at - from < most; d.pass(10ms)) {
       d.until([&, turns = 0]() mutable { return place.accept(far) || ++turns > 5; });
       if (far && d.until([&, turns = 0]() mutable { return far->holds("\r\n\r\n") || ++turns > 50; })) break;
@@ -116,7 +116,7 @@
     Asks asks(d, state == Left::dialling ? hung : d.discovery);
     leaveIn(state, asks);
     if (state == Left::dialling) hung.open();
-    Span took{0};
+    Duration took{0};
     std::vector<Far> hanging;
     for (int n = 0; n < refusals; ++n) took += asks.next(), asks.refuse();
     if (hangsFirst) took += asks.next(), hanging.push_back(std::move(*asks.far));
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -48,11 +48,11 @@
   } chances;
   struct Host {
     ZoneId zone{};
-    std::optional<Time> started;
+    std::optional<TimePoint> started;
     bool serving = true;
     double perSecond = 60;  // units, when warm
-    Span service = 60ms;
-    std::deque<std::pair<Time, double>> sent;
+    Duration service = 60ms;
+    std::deque<std::pair<TimePoint, double>> sent;
     bool mute = false, unreachable = false;
     int out = 0, taken = 0;
     std::optional<std::uint32_t> failsMethod, refusesPlan;
@@ -63,8 +63,8 @@
     std::uint32_t gateway = 0;
     int finals = 0, outNow = 0;
     bool counted = false, served = false, rejected = false;
-    Time cameAt{}, endedAt{};
-    std::vector<std::pair<HostId, Time>> mayHaveRun;
+    TimePoint cameAt{}, endedAt{};
+    std::vector<std::pair<HostId, TimePoint>> mayHaveRun;
     std::map<std::uint32_t, HostId> out;
     std::uint32_t attempts = 0;
   };
@@ -78,10 +78,10 @@
     }
   }
 
-  void at(Time when, std::function<void()> what) {
+  void at(TimePoint when, std::function<void()> what) {
     agenda_.emplace(std::pair(when, ++order_), std::move(what));
   }
-  void runUntil(Time end) {
+  void runUntil(TimePoint end) {
     for (int still = 0; !agenda_.empty() && agenda_.begin()->first.first <= end;) {
       const auto node = agenda_.extract(agenda_.begin());
       still = node.key().first > now ? 0 : still + 1;
@@ -91,7 +91,7 @@
     }
     now = end;
   }
-  void runFor(Span span) { runUntil(now + span); }
+  void runFor(Duration span) { runUntil(now + span); }
   bool chance(double p) { return std::uniform_real_distribution<>(0, 1)(dice_) < p; }
 
   void start(std::uint32_t g) {
@@ -111,7 +111,7 @@
       if (n.gateway) n.gateway->hostsUpdated(now, lines());
   }
   Try& ask(std::uint32_t g, std::uint64_t customer, std::uint32_t plan, std::uint32_t method, double units,
-           Span patience = 2s) {
+           Duration patience = 2s) {
     const RequestId id{++lastRequest_};
     Try& t = tries[id.value];
     t.asked = {id, {customer}, {plan}, {method}, now + patience, units, settings.gateways};
@@ -136,7 +136,7 @@
   }
 
   PolicySettings settings;
-  Time now{1000s};
+  TimePoint now{1000s};
   std::vector<Host> hosts;
   std::map<std::uint64_t, Try> tries;
   std::map<std::string, double> counts;
@@ -152,7 +152,7 @@
   };
   struct Ceiling {
     double level;
-    Time at;
+    TimePoint at;
   };
 
   void blame(const std::string& how) { broken.insert(how); }
@@ -164,7 +164,7 @@
   }
   const Method& methodOf(const Try& t) const { return settings.methods[t.asked.method.value]; }
 
-  void judgeAttempt(Try& t, HostId to, Time writtenBy) {
+  void judgeAttempt(Try& t, HostId to, TimePoint writtenBy) {
     const Method& m = methodOf(t);
     Host& host = hosts[to.value];
     if (t.finals > 0) blame("an attempt after the final answer");
@@ -210,7 +210,7 @@
   }
 
   void end(std::uint32_t g, std::uint64_t life, RequestId requestId, std::uint32_t no, HostId host,
-           Outcome outcome, Span took) {
+           Outcome outcome, Duration took) {
     Try& t = tries[requestId.value];
     if (t.out.contains(no)) --hosts[host.value].out;
     if (!nodes_[g].gateway || nodes_[g].out->life != life || !t.out.erase(no)) return;
@@ -237,7 +237,7 @@
       ++t.outNow;
       t.out[no] = host;
       Outcome outcome = Outcome::ok;
-      Span took = w.hosts[host.value].service;
+      Duration took = w.hosts[host.value].service;
       const World::Host& at = w.hosts[host.value];
       if (at.unreachable)
         outcome = Outcome::noConnection, took = 1ms;
@@ -261,9 +261,9 @@
         world.end(gw, l, requestId, no.value, host, Outcome::cancelled, 1ms);
       });
     }
-    void reject(RequestId requestId, Span) override { w.judgeFinal(w.tries[requestId.value], true); }
+    void reject(RequestId requestId, Duration) override { w.judgeFinal(w.tries[requestId.value], true); }
     void fail(RequestId requestId) override { w.judgeFinal(w.tries[requestId.value], false); }
-    void addToCount(const CountName& name, double units, Span) override {
+    void addToCount(const CountName& name, double units, Duration) override {
       ++w.countCalls;
       const bool slow = w.chance(w.chances.countSlow), gone = w.chance(w.chances.countLost);
       const auto key = std::to_string(name.customer.value) + '.' + std::to_string(name.slot.value);
@@ -276,7 +276,7 @@
                                                2ms);
            });
     }
-    void wakeAt(Time when, TimerId timer) override {
+    void wakeAt(TimePoint when, TimerId timer) override {
       w.at(when, [&world = w, gw = g, l = life, timer] {
         if (world.nodes_[gw].gateway && world.nodes_[gw].out->life == l)
           world.nodes_[gw].gateway->woken(world.now, timer);
@@ -294,7 +294,7 @@
     std::uint64_t life;
   };
 
-  std::map<std::pair<Time, std::uint64_t>, std::function<void()>> agenda_;
+  std::map<std::pair<TimePoint, std::uint64_t>, std::function<void()>> agenda_;
   std::uint64_t order_ = 0, lives_ = 0, lastRequest_ = 0;
   std::ranlux24_base dice_;
   std::deque<Node> nodes_;
@@ -418,8 +418,8 @@
 };
 
 struct HandClock final : net::Clock {
-  Time now() const override { return at; }
-  Time at{1'700'000'000s};
+  TimePoint now() const override { return at; }
+  TimePoint at{1'700'000'000s};
 };
 
 inline std::string hostLine(std::uint16_t port, const std::string& name, const std::string& state) {
@@ -478,8 +478,8 @@
     int turns = 0;
     until([&] { return ++turns > 200; });
   }
-  void pass(Span span) {
-    for (const Time end = clock.at + span; clock.at < end;) {
+  void pass(Duration span) {
+    for (const TimePoint end = clock.at + span; clock.at < end;) {
       clock.at = std::min(end, clock.at + 10ms);
       loop.deadlines.run(clock.at);
       loop.endTurn();
