--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -73,9 +73,9 @@
     write(R"({{"giveUp":{{"i":{},"id":"{:016x}"}}}})", requestId.packed());
   }
   std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef requestId, HostId host,
-                                              Until until) override {
+                                              AttemptDeadline deadline) override {
     write(R"({{"forward":{{"i":{},"id":"{:016x}","host":{},"abandonAt":{}}}}})", requestId.packed(),
-          jsonText(front_.nameOf(host)), micros(until.giveUp));
+          jsonText(front_.nameOf(host)), micros(deadline.abandonAt));
     return SlotRef{};
   }
   bool giveUp(SlotRef requestId, AttemptNumber no, SlotRef) override {
--- a/src/config/policy_settings_reader.hpp
+++ b/src/config/policy_settings_reader.hpp
@@ -3,8 +3,8 @@
 #include <string>
 #include <vector>
 
-#include "brain.hpp"
 #include "config/json_fields.hpp"
+#include "policy_api/decision_engine.hpp"
 #include "policy_api/policy_settings.hpp"
 
 namespace merlinbridge::config {
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -106,7 +106,7 @@
   void answerRejected(SlotRef client, Duration comeBackAfter) override;
   void answerFailed(SlotRef client) override;
   std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
-                                              Until) override;
+                                              AttemptDeadline) override;
   bool giveUp(SlotRef client, AttemptNumber, SlotRef link) override;
   void probe(HostId) override {}
   void count(const CountName&, double units, Duration keptFor) override;
@@ -950,7 +950,7 @@
 }
 
 std::variant<SlotRef, Outcome> Node::startAttempt(RequestId requestId, AttemptNumber attemptNumber,
-                                                  SlotRef client, HostId host, Until) {
+                                                  SlotRef client, HostId host, AttemptDeadline) {
   const Try* const t = w.tries.find(client);
   if (!t) return Outcome::notSent;
   const std::string& address = doorman->addressOf(host);
--- a/src/front/ask.hpp
+++ b/src/front/ask.hpp
@@ -2,9 +2,9 @@
 
 #include <string_view>
 
-#include "brain.hpp"
 #include "front/names.hpp"
 #include "http/message.hpp"
+#include "policy_api/decision_engine.hpp"
 
 namespace merlinbridge::front {
 
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -24,7 +24,7 @@
              Names<MachineId>(config.machines)},
       deadlines_(deadlines),
       ways_(ways),
-      gateway_(config.settings, config.seed, now, *this) {
+      engine_(config.settings, config.seed, now, *this) {
   config::EndpointList known = config.known;
   known.complete = true;
   endpointsUpdated(now, known);
@@ -45,7 +45,7 @@
   row.by = deadlines_.add(deadline, [this, requestId](TimePoint at) { expire(at, requestId); });
   ++unanswered_;
   request.requestId = requestId;
-  gateway_.requestArrived(now, request);
+  engine_.requestArrived(now, request);
   settle(now, requestId);
   return requestId;
 }
@@ -53,7 +53,7 @@
 void Front::clientLeft(TimePoint now, RequestId requestId) {
   now_ = now;
   if (!owed(requestId)) return;
-  gateway_.clientLeft(now, requestId);
+  engine_.clientLeft(now, requestId);
   settle(now, requestId);
 }
 
@@ -67,7 +67,7 @@
   --row->out, --outAt_[attempt.host.value];
   if ((outcome == Outcome::ok || said.answered) && owed(requestId) && !said.answered)
     ways_.answerOk(row->client, said.body, said.type);
-  gateway_.attemptEnded(
+  engine_.attemptEnded(
       now, {requestId, no, attempt.host, outcome, row->answered, said.took.value_or(now - attempt.sentAt),
             outcome == Outcome::ok ? said.trueUnits : 0, said.load});
   settle(now, requestId);
@@ -75,13 +75,13 @@
 
 void Front::counted(TimePoint now, const CountName& name, CountEnd end, double total, Duration took) {
   now_ = now;
-  gateway_.counted(now, name, end, total, took);
+  engine_.counted(now, name, end, total, took);
   settle(now, {});
 }
 
 void Front::probed(TimePoint now, HostId host, bool ok, const LoadReport& load) {
   now_ = now;
-  gateway_.probed(now, host, ok, load);
+  engine_.probed(now, host, ok, load);
   settle(now, {});
 }
 
@@ -115,9 +115,9 @@
     for (std::uint32_t h = 0; h < named.size(); ++h)
       if (off[h] |= !named[h]; !named[h] && !std::exchange(gone_[h], 1))
         goneAt_[h] = now, ways_.hostGone({h});
-    gateway_.allHostsUpdated(now, lines);
+    engine_.allHostsUpdated(now, lines);
   } else {
-    gateway_.hostsUpdated(now, lines);
+    engine_.hostsUpdated(now, lines);
   }
   // Guards against a connection that comes up so late that its attempt is new to a host that drains by then.
   requests_.each([&](SlotRef slot, const PendingRequest& row) {
@@ -185,7 +185,7 @@
   return row && !row->answered && ways_.clientThere(row->client);
 }
 
-void Front::startAttempt(RequestId requestId, HostId host, Until until) {
+void Front::startAttempt(RequestId requestId, HostId host, AttemptDeadline deadline) {
   PendingRequest* const row = find(requestId);
   if (!row) return;
   // Guards against an attempt for a client whose end has come and is handled only after this, as in a late
@@ -195,9 +195,9 @@
   const AttemptNumber no{static_cast<std::uint32_t>(row->attempts.size())};
   row->attempts.push_back({host, now_, {}, true});
   ++row->out, ++outAt_[host.value];
-  const TimePoint by = std::min(until.giveUp, row->deadline);
+  const TimePoint by = std::min(deadline.abandonAt, row->deadline);
   std::variant<SlotRef, Outcome> sent = Outcome::notSent;
-  if (wanted) sent = ways_.startAttempt(requestId, no, row->client, host, {by, until.written});
+  if (wanted) sent = ways_.startAttempt(requestId, no, row->client, host, {by, deadline.writeBy});
   if (const Outcome* const at = std::get_if<Outcome>(&sent)) {
     soon_.emplace_back(
         [this, requestId, no, outcome = *at](TimePoint now) { attemptEnded(now, requestId, no, outcome); });
@@ -236,7 +236,7 @@
 void Front::wakeAt(TimePoint at, TimerId timer) {
   deadlines_.add(at, [this, timer](TimePoint now) {
     now_ = now;
-    gateway_.woken(now, timer);
+    engine_.woken(now, timer);
     settle(now, {});
   });
 }
@@ -256,7 +256,7 @@
     abandonAttempt(now, requestId, {no}, Outcome::noAnswer);
   if (const PendingRequest* const row = owed(requestId)) {
     ways_.answerFailed(row->client);
-    gateway_.clientLeft(now, requestId);
+    engine_.clientLeft(now, requestId);
   }
   settle(now, requestId);
 }
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -6,11 +6,11 @@
 #include <variant>
 #include <vector>
 
-#include "brain.hpp"
 #include "config/gateway_config.hpp"
 #include "front/ask.hpp"
 #include "front/deadlines.hpp"
 #include "front/slots.hpp"
+#include "policy_api/decision_engine.hpp"
 
 namespace merlinbridge::front {
 
@@ -23,7 +23,7 @@
   virtual void answerFailed(SlotRef client) = 0;
   // Either the link that carries it, or the outcome that it had at once.
   virtual std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
-                                                      Until) = 0;
+                                                      AttemptDeadline) = 0;
   // True: it has ended by that. Else its end is still to come.
   virtual bool giveUp(SlotRef client, AttemptNumber, SlotRef link) = 0;
   // Not all of it is written yet: given up now, it never reaches a host.
@@ -50,7 +50,7 @@
 
 // The core of the daemon, without I/O: the requests in numbered slots, the hosts' names and addresses, and
 // all deadlines. It carries the module's decisions to the adapters and hands back what came of them.
-class Front final : private Port {
+class Front final : private DecisionSink {
  public:
   Front(const config::GatewayConfig&, TimePoint now, Deadlines&, Ways&, Timekeeper = Timekeeper::core);
 
@@ -88,7 +88,7 @@
     std::vector<Attempt> attempts;
   };
 
-  void startAttempt(RequestId, HostId, Until) override;
+  void startAttempt(RequestId, HostId, AttemptDeadline) override;
   void cancel(RequestId, AttemptNumber) override;
   void reject(RequestId, Duration comeBackAfter) override;
   void fail(RequestId) override;
@@ -121,7 +121,7 @@
   std::vector<char> gone_;
   std::vector<TimePoint> goneAt_;
   std::vector<std::uint32_t> outAt_;
-  Gateway gateway_;
+  DecisionEngine engine_;
 };
 
 }  // namespace merlinbridge::front
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -42,7 +42,7 @@
   virtual void written() {}
   // False: what is not written by now must never be.
   virtual bool mayWrite() const { return true; }
-  // Until when the present wait may last, and what comes if it lasts longer.
+  // AttemptDeadline when the present wait may last, and what comes if it lasts longer.
   virtual TimePoint waitEnds() const = 0;
   virtual void waitedTooLong() = 0;
 
--- a/src/net/gate.cpp
+++ b/src/net/gate.cpp
@@ -78,7 +78,7 @@
 }
 
 std::variant<SlotRef, Outcome> Gate::startAttempt(RequestId requestId, AttemptNumber no, SlotRef ref,
-                                                  HostId host, Until until) {
+                                                  HostId host, AttemptDeadline deadline) {
   Client* const client = loop_.find<Client>(ref);
   if (!client) return Outcome::notSent;
   const http::Message& asked = client->asked();
@@ -86,7 +86,7 @@
   message_.clear();
   fmt::format_to(std::back_inserter(message_), FMT_COMPILE("{} {} HTTP/1.1\r\nHost: {}{}{}\r\n"),
                  asked.method(), asked.target(), front_.addressOf(host), kDeadlineField,
-                 millisecondsLeft(until.giveUp - loop_.now()));
+                 millisecondsLeft(deadline.abandonAt - loop_.now()));
   for (std::size_t n = 0; n < asked.fields(); ++n) {
     const auto [name, value] = asked.field(n);
     if (passesOn(name) && !http::holdsWord(hop, name))
@@ -95,7 +95,7 @@
   if (!asked.body().empty() || asked.method() != "GET")
     fmt::format_to(std::back_inserter(message_), FMT_COMPILE("Content-Length: {}\r\n"), asked.body().size());
   message_.append("\r\n").append(asked.body());
-  return hosts_.startAttempt(host, message_, requestId, no, until);
+  return hosts_.startAttempt(host, message_, requestId, no, deadline);
 }
 
 bool Gate::clientThere(SlotRef ref) {
--- a/src/net/gate.hpp
+++ b/src/net/gate.hpp
@@ -32,7 +32,7 @@
   void answerRejected(SlotRef client, Duration comeBackAfter) override;
   void answerFailed(SlotRef client) override;
   std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
-                                              Until) override;
+                                              AttemptDeadline) override;
   bool giveUp(SlotRef, AttemptNumber, SlotRef link) override { return hosts_.giveUp(link), true; }
   bool unwritten(SlotRef link) override { return hosts_.unwritten(link); }
   bool clientThere(SlotRef client) override;
--- a/src/net/hosts.cpp
+++ b/src/net/hosts.cpp
@@ -26,9 +26,9 @@
     : Connection(loop), hosts_(hosts), host_(host), since_(loop.now()) {}
 
 std::optional<Outcome> HostLink::carry(std::string_view message, RequestId requestId, AttemptNumber no,
-                                       Until until) {
+                                       AttemptDeadline deadline) {
   doing_ = Doing::attempt, requestId_ = requestId, no_ = no;
-  writtenBy_ = until.written, giveUp_ = until.giveUp;
+  writtenBy_ = deadline.writeBy, giveUp_ = deadline.abandonAt;
   if (!isUp()) {
     waiting_ = message;
     watchWait();
@@ -172,11 +172,11 @@
       proving_(connectTimeout / kProving) {}
 
 std::variant<SlotRef, Outcome> Hosts::startAttempt(HostId host, std::string_view message, RequestId requestId,
-                                                   AttemptNumber no, Until until) {
+                                                   AttemptNumber no, AttemptDeadline deadline) {
   HostLink* const link = linkTo(host);
   if (!link) return Outcome::notSent;
   const SlotRef ref = link->ref();
-  if (const auto ended = link->carry(message, requestId, no, until)) return *ended;
+  if (const auto ended = link->carry(message, requestId, no, deadline)) return *ended;
   return ref;
 }
 
--- a/src/net/hosts.hpp
+++ b/src/net/hosts.hpp
@@ -22,7 +22,7 @@
   HostLink(Loop&, Hosts&, HostId);
 
   // What it is to carry, or the outcome that this had at once.
-  std::optional<Outcome> carry(std::string_view message, RequestId, AttemptNumber, Until);
+  std::optional<Outcome> carry(std::string_view message, RequestId, AttemptNumber, AttemptDeadline);
   void probe(std::string_view message);
   HostId host() const { return host_; }
   bool resting() const { return doing_ == Doing::nothing; }
@@ -62,7 +62,7 @@
 
   void serve(front::Front& front) { front_ = &front; }
   std::variant<SlotRef, Outcome> startAttempt(HostId, std::string_view message, RequestId, AttemptNumber,
-                                              Until);
+                                              AttemptDeadline);
   void probe(HostId);
   void giveUp(SlotRef);
   bool unwritten(SlotRef);
--- a/src/brain.cpp
+++ b/src/policy/decision_engine.cpp
@@ -1,7 +1,8 @@
-// Every decision of a gateway. Whoever hosts it (src/front, for sockets and for the bench) makes one Gateway
-// per process, calls one member per input, in order and with the time, and carries out what comes through
-// Port. The interface is src/brain.hpp; the words in it are in src/terms.hpp, src/ids.hpp and src/moment.hpp.
-#include "brain.hpp"
+// Every decision of a gateway. Whoever hosts it (src/front, for sockets and for the bench) makes one
+// DecisionEngine per process, calls one member per input, in order and with the time, and carries out what
+// comes through DecisionSink. The interface is src/policy_api/decision_engine.hpp; the words in it are in
+// src/terms.hpp, src/ids.hpp and src/moment.hpp.
+#include "policy_api/decision_engine.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -119,9 +120,9 @@
 
 }  // namespace
 
-struct Gateway::Mind {
+struct DecisionEngine::Impl {
   const PolicySettings settings;
-  Port& port;
+  DecisionSink& port;
   std::ranlux24_base chance;
   const TimePoint born;
   TimePoint now = born;
@@ -159,7 +160,7 @@
   double further = kFurtherStore;          // attempts for overdue ones that may be made now
   std::deque<std::pair<std::uint64_t, std::size_t>> inOrder;  // attempts as they went out
 
-  Mind(PolicySettings t, std::uint64_t seed, TimePoint at, Port& p)
+  Impl(PolicySettings t, std::uint64_t seed, TimePoint at, DecisionSink& p)
       : settings(std::move(t)), port(p), chance(static_cast<std::uint32_t>(seed)), born(at) {}
 
   // Staff are told when it begins and ends, at most once a slot.
@@ -746,63 +747,64 @@
   }
 };
 
-Gateway::Gateway(PolicySettings settings, std::uint64_t seed, TimePoint now, Port& port)
-    : mind_(std::make_unique<Mind>(std::move(settings), seed, now, port)) {}
-Gateway::~Gateway() = default;
+DecisionEngine::DecisionEngine(PolicySettings settings, std::uint64_t seed, TimePoint now, DecisionSink& port)
+    : impl_(std::make_unique<Impl>(std::move(settings), seed, now, port)) {}
+DecisionEngine::~DecisionEngine() = default;
 
-void Gateway::hostsUpdated(TimePoint now, const std::vector<HostUpdate>& lines) {
-  mind_->now = now;
-  for (const HostUpdate& line : lines) mind_->learn(line);
+void DecisionEngine::hostsUpdated(TimePoint now, const std::vector<HostUpdate>& lines) {
+  impl_->now = now;
+  for (const HostUpdate& line : lines) impl_->learn(line);
 }
 
-void Gateway::allHostsUpdated(TimePoint now, const std::vector<HostUpdate>& lines) {
-  std::vector<char> named(mind_->serving.size(), 0);
+void DecisionEngine::allHostsUpdated(TimePoint now, const std::vector<HostUpdate>& lines) {
+  std::vector<char> named(impl_->serving.size(), 0);
   for (const HostUpdate& line : lines)
     if (line.host.value < named.size()) named[line.host.value] = 1;
   for (std::size_t h = 0; h < named.size(); ++h)
-    if (!named[h]) mind_->servingHosts -= std::exchange(mind_->serving[h], 0);
+    if (!named[h]) impl_->servingHosts -= std::exchange(impl_->serving[h], 0);
   hostsUpdated(now, lines);
 }
 
-void Gateway::requestArrived(TimePoint now, const Request& request) {
-  mind_->now = now;
-  mind_->arrive(request);
+void DecisionEngine::requestArrived(TimePoint now, const Request& request) {
+  impl_->now = now;
+  impl_->arrive(request);
 }
 
-void Gateway::attemptEnded(TimePoint now, const AttemptResult& end) {
-  mind_->now = now;
-  const auto at = mind_->requests.find(end.requestId.value);
-  if (at == mind_->requests.end() || end.no.value >= at->second.attempts.size()) return;
+void DecisionEngine::attemptEnded(TimePoint now, const AttemptResult& end) {
+  impl_->now = now;
+  const auto at = impl_->requests.find(end.requestId.value);
+  if (at == impl_->requests.end() || end.no.value >= at->second.attempts.size()) return;
   if (const auto next = std::exchange(at->second.attempts[end.no.value].next, nullptr)) next(end);
 }
 
-void Gateway::answerStarted(TimePoint, RequestId, AttemptNumber) {}
+void DecisionEngine::answerStarted(TimePoint, RequestId, AttemptNumber) {}
 
-void Gateway::clientLeft(TimePoint now, RequestId requestId) {
-  mind_->now = now;
-  const auto at = mind_->requests.find(requestId.value);
-  if (at != mind_->requests.end()) at->second.done = true;
+void DecisionEngine::clientLeft(TimePoint now, RequestId requestId) {
+  impl_->now = now;
+  const auto at = impl_->requests.find(requestId.value);
+  if (at != impl_->requests.end()) at->second.done = true;
 }
 
-void Gateway::counted(TimePoint now, const CountName& name, CountEnd end, double total, Duration took) {
-  mind_->now = now;
-  mind_->pace(end, took);
-  const auto at = mind_->asked.find(name);
-  if (at == mind_->asked.end()) return;
+void DecisionEngine::counted(TimePoint now, const CountName& name, CountEnd end, double total,
+                             Duration took) {
+  impl_->now = now;
+  impl_->pace(end, took);
+  const auto at = impl_->asked.find(name);
+  if (at == impl_->asked.end()) return;
   const auto next = std::move(at->second.front());
   at->second.pop_front();
-  if (at->second.empty()) mind_->asked.erase(at);
+  if (at->second.empty()) impl_->asked.erase(at);
   next(end, total);
 }
 
-void Gateway::probed(TimePoint, HostId, bool, const LoadReport&) {}
+void DecisionEngine::probed(TimePoint, HostId, bool, const LoadReport&) {}
 
-void Gateway::woken(TimePoint now, TimerId timer) {
-  mind_->now = now;
-  const auto at = mind_->timers.find(timer.value);
-  if (at == mind_->timers.end()) return;
+void DecisionEngine::woken(TimePoint now, TimerId timer) {
+  impl_->now = now;
+  const auto at = impl_->timers.find(timer.value);
+  if (at == impl_->timers.end()) return;
   const auto what = std::move(at->second);
-  mind_->timers.erase(at);
+  impl_->timers.erase(at);
   what();
 }
 
--- a/src/brain.hpp
+++ b/src/policy_api/decision_engine.hpp
@@ -11,15 +11,15 @@
 
 // How long an attempt may take: it is given up then, and by then its last byte must be on its way, or it
 // never is sent (a repeat whose host would no longer know the first).
-struct Until {
-  TimePoint giveUp, written;
+struct AttemptDeadline {
+  TimePoint abandonAt, writeBy;
 };
 
 // The way out of the decisions: whoever hosts a gateway carries these out.
-class Port {
+class DecisionSink {
  public:
-  virtual ~Port() = default;
-  virtual void startAttempt(RequestId, HostId, Until) = 0;
+  virtual ~DecisionSink() = default;
+  virtual void startAttempt(RequestId, HostId, AttemptDeadline) = 0;
   virtual void cancel(RequestId, AttemptNumber) = 0;
   virtual void reject(RequestId, Duration comeBackAfter) = 0;  // final; 0 gives no advice
   virtual void fail(RequestId) = 0;                            // final
@@ -71,12 +71,12 @@
 
 // One gateway's decisions. Each call is one input; what is decided leaves through the port before it
 // returns. Times never go back. Nothing is shared with other gateways.
-class Gateway {
+class DecisionEngine {
  public:
-  Gateway(PolicySettings, std::uint64_t seed, TimePoint now, Port&);
-  ~Gateway();
-  Gateway(const Gateway&) = delete;
-  Gateway& operator=(const Gateway&) = delete;
+  DecisionEngine(PolicySettings, std::uint64_t seed, TimePoint now, DecisionSink&);
+  ~DecisionEngine();
+  DecisionEngine(const DecisionEngine&) = delete;
+  DecisionEngine& operator=(const DecisionEngine&) = delete;
 
   void hostsUpdated(TimePoint now, const std::vector<HostUpdate>&);     // the lines that changed
   void allHostsUpdated(TimePoint now, const std::vector<HostUpdate>&);  // all lines: what is missing has gone
@@ -90,8 +90,8 @@
   void woken(TimePoint now, TimerId);
 
  private:
-  struct Mind;
-  std::unique_ptr<Mind> mind_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace merlinbridge
--- a/tests/front_test.cpp
+++ b/tests/front_test.cpp
@@ -18,8 +18,8 @@
   void answerRejected(SlotRef, Duration) override { answers.emplace_back("rejected"); }
   void answerFailed(SlotRef) override { answers.emplace_back("failed"); }
   std::variant<SlotRef, Outcome> startAttempt(RequestId requestId, AttemptNumber no, SlotRef, HostId host,
-                                              Until until) override {
-    calls.push_back({requestId, no, host, until});
+                                              AttemptDeadline deadline) override {
+    calls.push_back({requestId, no, host, deadline});
     if (atOnce) return *atOnce;
     return SlotRef{static_cast<std::uint32_t>(calls.size()), 1};
   }
@@ -35,7 +35,7 @@
     RequestId requestId;
     AttemptNumber no;
     HostId host;
-    Until until;
+    AttemptDeadline deadline;
   };
   std::set<std::uint32_t> dialling;
   bool there = true;
@@ -331,12 +331,12 @@
 TEST_CASE("a repeat must be on its way before the hosts forget the first, a first one need not") {
   Core core;
   const RequestId requestId = core.ask(1);
-  CHECK(core.ways.calls[0].until.written == TimePoint::max());
+  CHECK(core.ways.calls[0].deadline.writeBy == TimePoint::max());
   const TimePoint first = core.now;
   core.pass(20ms);
   core.front.attemptEnded(core.now, requestId, {0}, Outcome::error);
   REQUIRE(core.ways.calls.size() == 2);
-  CHECK(core.ways.calls[1].until.written == first + 2s);
+  CHECK(core.ways.calls[1].deadline.writeBy == first + 2s);
 }
 
 TEST_CASE("what is given up at its time and was never written may be asked for again") {
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -17,8 +17,8 @@
 #include <string>
 #include <vector>
 
-#include "brain.hpp"
 #include "net/gate.hpp"
+#include "policy_api/decision_engine.hpp"
 
 // A small world round some gateways, and a slow, plain model of the five rules that judges all they do.
 namespace merlinbridge::testing {
@@ -97,7 +97,7 @@
   void start(std::uint32_t g) {
     Node& n = nodes_[g];
     n.out = std::make_unique<Way>(*this, g, ++lives_);
-    n.gateway = std::make_unique<Gateway>(settings, dice_(), now, *n.out);
+    n.gateway = std::make_unique<DecisionEngine>(settings, dice_(), now, *n.out);
     n.gateway->allHostsUpdated(now, lines());
   }
   void kill(std::uint32_t g) {
@@ -148,7 +148,7 @@
   struct Way;
   struct Node {
     std::unique_ptr<Way> out;
-    std::unique_ptr<Gateway> gateway;
+    std::unique_ptr<DecisionEngine> gateway;
   };
   struct Ceiling {
     double level;
@@ -228,11 +228,11 @@
                                           hosts[host.value].load});
   }
 
-  struct Way final : Port {
+  struct Way final : DecisionSink {
     Way(World& world, std::uint32_t number, std::uint64_t lifeNo) : w(world), g(number), life(lifeNo) {}
-    void startAttempt(RequestId requestId, HostId host, Until until) override {
+    void startAttempt(RequestId requestId, HostId host, AttemptDeadline deadline) override {
       Try& t = w.tries[requestId.value];
-      w.judgeAttempt(t, host, until.written);
+      w.judgeAttempt(t, host, deadline.writeBy);
       const std::uint32_t no = t.attempts++;
       ++t.outNow;
       t.out[no] = host;
@@ -248,8 +248,8 @@
       else if (at.failsMethod == t.asked.method.value || w.chance(w.chances.error))
         outcome = Outcome::error;
       ++w.hosts[host.value].out, ++w.hosts[host.value].taken;
-      if (w.hosts[host.value].mute || w.chance(w.chances.mute) || w.now + took > until.giveUp)
-        outcome = Outcome::noAnswer, took = until.giveUp - w.now;
+      if (w.hosts[host.value].mute || w.chance(w.chances.mute) || w.now + took > deadline.abandonAt)
+        outcome = Outcome::noAnswer, took = deadline.abandonAt - w.now;
       w.at(w.now + took, [requestId, no, host, outcome, took, &world = w, gw = g, l = life] {
         world.end(gw, l, requestId, no, host, outcome, took);
       });
@@ -371,7 +371,7 @@
 
 class FarListener {
  public:
-  // Port 0: any that is free.
+  // DecisionSink 0: any that is free.
   explicit FarListener(std::uint16_t wanted = 0) : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     const int yes = 1;
     ::setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
