--- a/src/benchlink/link.cpp
+++ b/src/benchlink/link.cpp
@@ -13,7 +13,7 @@
 
 #include "config/json_fields.hpp"
 #include "config/policy_settings_reader.hpp"
-#include "front/front.hpp"
+#include "gateway_core/gateway_core.hpp"
 
 namespace merlinbridge::benchlink {
 namespace {
@@ -21,7 +21,7 @@
 using config::ConfigError;
 using config::element;
 using config::Fields;
-using front::SlotRef;
+using core::SlotRef;
 
 using Output = fmt::memory_buffer;
 
@@ -46,13 +46,13 @@
 
 // One gateway on the wire: an adapter round the core, as the sockets are. The bench ends attempts at their
 // time and tells of it; a request's word on the wire stands for its client.
-class Instance final : private front::Ways {
+class Instance final : private core::Transport {
  public:
   Instance(std::int64_t number, const Fields& init, TimePoint now, Output& out)
       : number_(number),
         out_(out),
         loadNames_(config::loadFieldNames(init.part("profileData"))),
-        front_(configOf(init), now, deadlines_, *this, front::Timekeeper::adapter) {}
+        core_(configOf(init), now, deadlines_, *this, core::Timekeeper::adapter) {}
 
   void fault(std::string_view text) { write(R"({{"fault":{{"i":{},"bodyText":{}}}}})", jsonText(text)); }
 
@@ -75,21 +75,21 @@
   std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef requestId, HostId host,
                                               AttemptDeadline deadline) override {
     write(R"({{"forward":{{"i":{},"id":"{:016x}","host":{},"abandonAt":{}}}}})", requestId.packed(),
-          jsonText(front_.nameOf(host)), micros(deadline.abandonAt));
+          jsonText(core_.nameOf(host)), micros(deadline.abandonAt));
     return SlotRef{};
   }
-  bool giveUp(SlotRef requestId, AttemptNumber no, SlotRef) override {
+  bool closeAttempt(SlotRef requestId, AttemptNumber no, SlotRef) override {
     write(R"({{"abandon":{{"i":{},"id":"{:016x}","sendNo":{}}}}})", requestId.packed(), no.value);
     return false;
   }
   void probe(HostId host) override {
-    write(R"({{"touch":{{"i":{},"host":{}}}}})", jsonText(front_.nameOf(host)));
+    write(R"({{"touch":{{"i":{},"host":{}}}}})", jsonText(core_.nameOf(host)));
   }
   void count(const CountName& name, double units, Duration keptFor) override {
     write(R"({{"postAmount":{{"i":{},"n":{},"forgetAfter":{},"counter":"{}"}}}})", units, micros(keptFor),
           word(name));
   }
-  void hostGone(HostId) override {}
+  void hostUnavailable(HostId) override {}
   void note(const std::string& line) override {
     write(R"({{"writeLog":{{"i":{},"bodyText":{}}}}})", jsonText(line));
   }
@@ -108,13 +108,13 @@
     if (message == "cancelledByClient") {
       const auto at = requests_.find(readRequestId(f));
       if (at == requests_.end()) return;
-      front_.clientLeft(now, at->second);
+      core_.clientLeft(now, at->second);
       return forget(at);
     }
     if (message == "headReceived") return;  // a stream that breaks is told to have answered its client
     if (message == "pingResult")
-      return front_.probed(now, front_.hostNamed(f.need<std::string_view>("host")),
-                           f.need<std::string_view>("code") == "served", readLoad(f));
+      return core_.probed(now, core_.hostNamed(f.need<std::string_view>("host")),
+                          f.need<std::string_view>("code") == "served", readLoad(f));
     if (message == "peersKnown") return takeHosts(f, now);
     if (message == "mail") return;  // the design learns nothing from peers
     throw ConfigError("unknown message '" + std::string(message) + "'");
@@ -142,19 +142,19 @@
 
   void takeDemand(const Fields& f, TimePoint now) {
     const std::uint64_t word = readRequestId(f);
-    const RequestId requestId = front_.requestArrived(now, SlotRef::unpacked(word),
-                                                      {{},
-                                                       {f.get("apiKey", std::uint64_t{0})},
-                                                       {f.get("tariff", 0u)},
-                                                       {f.get("class", 0u)},
-                                                       TimePoint(f.duration("dropDead")),
-                                                       f.get("costUnits", 1.0),
-                                                       f.get("doors", 0u)});
-    if (front_.holds(requestId)) requests_.emplace(word, requestId);
+    const RequestId requestId = core_.requestArrived(now, SlotRef::unpacked(word),
+                                                     {{},
+                                                      {f.get("apiKey", std::uint64_t{0})},
+                                                      {f.get("tariff", 0u)},
+                                                      {f.get("class", 0u)},
+                                                      TimePoint(f.duration("dropDead")),
+                                                      f.get("costUnits", 1.0),
+                                                      f.get("doors", 0u)});
+    if (core_.holds(requestId)) requests_.emplace(word, requestId);
   }
 
   void forget(std::unordered_map<std::uint64_t, RequestId>::iterator at) {
-    if (!front_.holds(at->second)) requests_.erase(at);
+    if (!core_.holds(at->second)) requests_.erase(at);
   }
 
   void takeFired(TimePoint now) {
@@ -193,13 +193,13 @@
   void takeResult(const Fields& f, TimePoint now) {
     const auto at = requests_.find(readRequestId(f));
     if (at == requests_.end()) return;
-    front_.attemptEnded(now, at->second, {f.need<std::uint32_t>("sendNo")}, outcomeOf(f),
-                        {{},
-                         {},
-                         f.get("finalUnits", 0.0),
-                         readLoad(f),
-                         f.duration("elapsed", Duration{0}),
-                         f.get("finished", false)});
+    core_.attemptEnded(now, at->second, {f.need<std::uint32_t>("sendNo")}, outcomeOf(f),
+                       {{},
+                        {},
+                        f.get("finalUnits", 0.0),
+                        readLoad(f),
+                        f.duration("elapsed", Duration{0}),
+                        f.get("finished", false)});
     forget(at);
   }
 
@@ -214,8 +214,8 @@
     const CountEnd end = code == "served"                                   ? CountEnd::ok
                          : code == "turned_away" || code == "no_connection" ? CountEnd::notAdded
                                                                             : CountEnd::unknown;
-    front_.counted(now, count, end, end == CountEnd::ok ? f.get("level", 0.0) : 0,
-                   f.duration("elapsed", Duration{0}));
+    core_.counted(now, count, end, end == CountEnd::ok ? f.get("level", 0.0) : 0,
+                  f.duration("elapsed", Duration{0}));
   }
 
   void takeHosts(const Fields& f, TimePoint now) {
@@ -233,16 +233,16 @@
              std::to_string(line.get("hw", 0u)), line.get("bay", std::int64_t{-1}), state == "in_service",
              state == "terminated", line.get("weight", 1.0), line.duration("bootTime", Duration{0})});
       }
-    front_.endpointsUpdated(now, endpoints);
+    core_.endpointsUpdated(now, endpoints);
   }
 
   std::int64_t number_;
   Output& out_;
   std::vector<std::string> loadNames_;
-  front::Deadlines deadlines_;
+  core::DeadlineQueue deadlines_;
   TimePoint wokenAt_ = TimePoint::max();                   // the bench wakes it then, or before
   std::unordered_map<std::uint64_t, RequestId> requests_;  // by their words on the wire
-  front::Front front_;
+  core::GatewayCore core_;
 };
 
 // All instances of one process, and the batch that is being read.
--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -42,12 +42,12 @@
 }  // namespace
 
 GatewayConfig readSettings(const Fields& profile) {
-  const Fields ways = profile.partOrNone("limits");
+  const Fields transport = profile.partOrNone("limits");
   GatewayConfig config{};
   config.settings = readPolicySettings(profile);
   config.methods = namesOf(profile, "requestClasses"), config.plans = namesOf(profile, "tariffs");
   config.zones = namesOf(profile, "failureDomains"), config.machines = namesOf(profile, "machineTypes");
-  config.idle = ways.duration("connIdle", std::chrono::seconds(30));
+  config.idle = transport.duration("connIdle", std::chrono::seconds(30));
   config.step = profile.duration("step", Duration{0});
   config.answerSlack = profile.part("rules").duration("answerSlack", Duration{0});
   config.drainGrace = profile.part("rules").duration("drainGrace", config.settings.connectTimeout);
--- a/src/config/toml_table.hpp
+++ b/src/config/toml_table.hpp
@@ -90,8 +90,8 @@
                          return Range{*least, *most};
                        });
   }
-  template <class Value, class Words>
-  Value oneOf(std::string_view key, std::optional<Value> otherwise, const Words& words) {
+  template <class Value, class NameTables>
+  Value oneOf(std::string_view key, std::optional<Value> otherwise, const NameTables& words) {
     std::string all;
     for (const auto& [word, value] : words) all += (all.empty() ? "" : ", ") + std::string(word);
     return read<Value>(key, otherwise, "one of " + all,
--- a/src/emulator/doorman.cpp
+++ b/src/emulator/doorman.cpp
@@ -10,19 +10,20 @@
 namespace merlinbridge::emulator {
 namespace {
 
-using front::SlotRef;
+using core::SlotRef;
 
 // The daemon's own core, with the module inside.
 class Own final : public Doorman {
  public:
-  Own(const config::GatewayConfig& config, TimePoint now, front::Deadlines& deadlines, front::Ways& ways)
-      : front_(config, now, deadlines, ways) {}
+  Own(const config::GatewayConfig& config, TimePoint now, core::DeadlineQueue& deadlines,
+      core::Transport& transport)
+      : core_(config, now, deadlines, transport) {}
 
   void requestArrived(TimePoint now, SlotRef client, const Request& request) override {
-    const RequestId requestId = front_.requestArrived(now, client, request);
-    if (front_.holds(requestId)) requests_[client.packed()] = requestId;
+    const RequestId requestId = core_.requestArrived(now, client, request);
+    if (core_.holds(requestId)) requests_[client.packed()] = requestId;
     if (requests_.size() > sweepAt_) {
-      std::erase_if(requests_, [this](const auto& at) { return !front_.holds(at.second); });
+      std::erase_if(requests_, [this](const auto& at) { return !core_.holds(at.second); });
       sweepAt_ = std::max<std::size_t>(64, 2 * requests_.size());
     }
   }
@@ -31,24 +32,24 @@
     if (at == requests_.end()) return;
     const RequestId requestId = at->second;
     requests_.erase(at);
-    front_.clientLeft(now, requestId);
+    core_.clientLeft(now, requestId);
   }
   void attemptEnded(TimePoint now, RequestId requestId, AttemptNumber no, Outcome outcome,
-                    const front::Said& said) override {
-    front_.attemptEnded(now, requestId, no, outcome, said);
+                    const core::UpstreamResponse& response) override {
+    core_.attemptEnded(now, requestId, no, outcome, response);
   }
   void counted(TimePoint now, const CountName& name, CountEnd end, double total, Duration took) override {
-    front_.counted(now, name, end, total, took);
+    core_.counted(now, name, end, total, took);
   }
   void endpointsUpdated(TimePoint now, const config::EndpointList& endpoints) override {
-    front_.endpointsUpdated(now, endpoints);
+    core_.endpointsUpdated(now, endpoints);
   }
-  const std::string& addressOf(HostId host) const override { return front_.addressOf(host); }
-  void endBy(TimePoint by) override { front_.endBy(by); }
-  std::size_t unanswered() const override { return front_.unanswered(); }
+  const std::string& addressOf(HostId host) const override { return core_.addressOf(host); }
+  void endBy(TimePoint by) override { core_.endBy(by); }
+  std::size_t unanswered() const override { return core_.unanswered(); }
 
  private:
-  front::Front front_;
+  core::GatewayCore core_;
   std::unordered_map<std::uint64_t, RequestId>
       requests_;  // by client, looked up and never walked in its order
   std::size_t sweepAt_ = 64;
@@ -57,11 +58,12 @@
 // What the policies beside the module share: one attempt for each request, and no second.
 class Simple : public Doorman {
  public:
-  Simple(const config::GatewayConfig& config, TimePoint now, front::Deadlines& deadlines, front::Ways& ways)
+  Simple(const config::GatewayConfig& config, TimePoint now, core::DeadlineQueue& deadlines,
+         core::Transport& transport)
       : settings_(config.settings),
         slack_(config.answerSlack),
         deadlines_(deadlines),
-        ways_(ways),
+        transport_(transport),
         dice_(config.seed, "policy") {
     config::EndpointList known = config.known;
     known.complete = true;
@@ -70,29 +72,30 @@
 
   void requestArrived(TimePoint now, SlotRef client, const Request& request) override {
     const auto host = admits(now, request) ? choose(now) : std::nullopt;
-    if (!host) return ways_.answerRejected(client, settings_.connectTimeout);
+    if (!host) return transport_.answerRejected(client, settings_.connectTimeout);
     const RequestId requestId{++last_};
     const TimePoint by = std::min(request.deadline, latest_) - slack_;
-    const auto sent = ways_.startAttempt(requestId, {0}, client, *host, {by, TimePoint::max()});
-    if (std::holds_alternative<Outcome>(sent)) return ways_.answerRejected(client, Duration{0});
+    const auto sent = transport_.startAttempt(requestId, {0}, client, *host, {by, TimePoint::max()});
+    if (std::holds_alternative<Outcome>(sent)) return transport_.answerRejected(client, Duration{0});
     requests_[requestId.value] = {client, std::get<SlotRef>(sent),
                                   settings_.methods[request.method.value].repeat == Repeat::idempotent};
     byClient_[client.packed()] = requestId.value;
-    deadlines_.add(std::max(now, by), [this, requestId](TimePoint) { giveUp(requestId, true); });
+    deadlines_.add(std::max(now, by), [this, requestId](TimePoint) { closeAttempt(requestId, true); });
   }
   void clientLeft(TimePoint, SlotRef client) override {
-    if (const auto at = byClient_.find(client.packed()); at != byClient_.end()) giveUp({at->second}, false);
+    if (const auto at = byClient_.find(client.packed()); at != byClient_.end())
+      closeAttempt({at->second}, false);
   }
   void attemptEnded(TimePoint, RequestId requestId, AttemptNumber, Outcome outcome,
-                    const front::Said& said) override {
+                    const core::UpstreamResponse& response) override {
     const auto at = requests_.find(requestId.value);
     if (at == requests_.end()) return;
     const Held held = at->second;
     drop(requestId);
-    if (outcome == Outcome::ok) return ways_.answerOk(held.client, said.body, said.type);
+    if (outcome == Outcome::ok) return transport_.answerOk(held.client, response.body, response.type);
     if (held.idempotent || outcome == Outcome::rejected || outcome == Outcome::noConnection)
-      return ways_.answerRejected(held.client, Duration{0});
-    ways_.answerFailed(held.client);
+      return transport_.answerRejected(held.client, Duration{0});
+    transport_.answerFailed(held.client);
   }
   void counted(TimePoint, const CountName&, CountEnd, double, Duration) override {}
   void endpointsUpdated(TimePoint, const config::EndpointList& endpoints) override {
@@ -126,17 +129,17 @@
     byClient_.erase(requests_.at(requestId.value).client.packed());
     requests_.erase(requestId.value);
   }
-  void giveUp(RequestId requestId, bool answer) {
+  void closeAttempt(RequestId requestId, bool answer) {
     const auto at = requests_.find(requestId.value);
     if (at == requests_.end()) return;
     const Held held = at->second;
     drop(requestId);
-    ways_.giveUp(held.client, {0}, held.link);
-    if (answer) ways_.answerFailed(held.client);
+    transport_.closeAttempt(held.client, {0}, held.link);
+    if (answer) transport_.answerFailed(held.client);
   }
 
-  front::Deadlines& deadlines_;
-  front::Ways& ways_;
+  core::DeadlineQueue& deadlines_;
+  core::Transport& transport_;
 
  protected:
   Dice dice_;
@@ -178,9 +181,9 @@
 // Sees every quota and every host as they are.
 class Seeing final : public Simple {
  public:
-  Seeing(const config::GatewayConfig& config, TimePoint now, front::Deadlines& deadlines, front::Ways& ways,
-         Truth truth)
-      : Simple(config, now, deadlines, ways), truth_(std::move(truth)) {}
+  Seeing(const config::GatewayConfig& config, TimePoint now, core::DeadlineQueue& deadlines,
+         core::Transport& transport, Truth truth)
+      : Simple(config, now, deadlines, transport), truth_(std::move(truth)) {}
 
  private:
   bool admits(TimePoint, const Request& a) override {
@@ -217,16 +220,17 @@
 }
 
 std::unique_ptr<Doorman> doormanOf(Policy policy, const config::GatewayConfig& config, TimePoint now,
-                                   front::Deadlines& deadlines, front::Ways& ways, const Truth& truth) {
+                                   core::DeadlineQueue& deadlines, core::Transport& transport,
+                                   const Truth& truth) {
   switch (policy) {
     case Policy::module:
-      return std::make_unique<Own>(config, now, deadlines, ways);
+      return std::make_unique<Own>(config, now, deadlines, transport);
     case Policy::all:
-      return std::make_unique<Simple>(config, now, deadlines, ways);
+      return std::make_unique<Simple>(config, now, deadlines, transport);
     case Policy::even:
-      return std::make_unique<Even>(config, now, deadlines, ways);
+      return std::make_unique<Even>(config, now, deadlines, transport);
     case Policy::truth:
-      return std::make_unique<Seeing>(config, now, deadlines, ways, truth);
+      return std::make_unique<Seeing>(config, now, deadlines, transport, truth);
   }
   return nullptr;
 }
--- a/src/emulator/doorman.hpp
+++ b/src/emulator/doorman.hpp
@@ -4,7 +4,7 @@
 #include <memory>
 #include <optional>
 
-#include "front/front.hpp"
+#include "gateway_core/gateway_core.hpp"
 
 namespace merlinbridge::emulator {
 
@@ -13,9 +13,9 @@
 class Doorman {
  public:
   virtual ~Doorman() = default;
-  virtual void requestArrived(TimePoint, front::SlotRef client, const Request&) = 0;
-  virtual void clientLeft(TimePoint, front::SlotRef client) = 0;
-  virtual void attemptEnded(TimePoint, RequestId, AttemptNumber, Outcome, const front::Said&) = 0;
+  virtual void requestArrived(TimePoint, core::SlotRef client, const Request&) = 0;
+  virtual void clientLeft(TimePoint, core::SlotRef client) = 0;
+  virtual void attemptEnded(TimePoint, RequestId, AttemptNumber, Outcome, const core::UpstreamResponse&) = 0;
   virtual void counted(TimePoint, const CountName&, CountEnd, double total, Duration took) = 0;
   virtual void endpointsUpdated(TimePoint, const config::EndpointList&) = 0;
   virtual const std::string& addressOf(HostId) const = 0;
@@ -33,7 +33,7 @@
 std::string_view wordOf(Policy);
 std::optional<Policy> policyNamed(std::string_view word);
 
-std::unique_ptr<Doorman> doormanOf(Policy, const config::GatewayConfig&, TimePoint now, front::Deadlines&,
-                                   front::Ways&, const Truth&);
+std::unique_ptr<Doorman> doormanOf(Policy, const config::GatewayConfig&, TimePoint now, core::DeadlineQueue&,
+                                   core::Transport&, const Truth&);
 
 }  // namespace merlinbridge::emulator
--- a/src/emulator/tally.hpp
+++ b/src/emulator/tally.hpp
@@ -71,8 +71,8 @@
 
 // Plays a scenario to its end. One seed gives one run, to the last byte. `doorman` takes the place of the
 // policy's own where it is given: for tests of the ledger.
-using DoormanMaker = std::function<std::unique_ptr<Doorman>(const config::GatewayConfig&, TimePoint now,
-                                                            front::Deadlines&, front::Ways&, const Truth&)>;
+using DoormanMaker = std::function<std::unique_ptr<Doorman>(
+    const config::GatewayConfig&, TimePoint now, core::DeadlineQueue&, core::Transport&, const Truth&)>;
 Tally play(const Scenario&, std::uint64_t seed, Policy, const DoormanMaker& doorman = {});
 
 }  // namespace merlinbridge::emulator
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -19,7 +19,7 @@
 namespace merlinbridge::emulator {
 namespace {
 
-using front::SlotRef;
+using core::SlotRef;
 
 constexpr TimePoint kBegin{std::chrono::seconds(1'700'000'000)};
 // The protocol's: so long after it is told to end a gateway is still sent new requests, and what of its time
@@ -97,7 +97,7 @@
 };
 
 // One gateway: the doorman inside and, round it, what the sockets would be.
-struct Node final : front::Ways {
+struct Node final : core::Transport {
   enum class State { down, ready, leaving };
 
   Node(World& world, std::uint32_t number, std::uint32_t z) : w(world), no(number), zone(z) {}
@@ -107,10 +107,10 @@
   void answerFailed(SlotRef client) override;
   std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
                                               AttemptDeadline) override;
-  bool giveUp(SlotRef client, AttemptNumber, SlotRef link) override;
+  bool closeAttempt(SlotRef client, AttemptNumber, SlotRef link) override;
   void probe(HostId) override {}
   void count(const CountName&, double units, Duration keptFor) override;
-  void hostGone(HostId host) override;
+  void hostUnavailable(HostId host) override;
   void note(const std::string&) override {}
 
   World& w;
@@ -118,11 +118,11 @@
   State state = State::down;
   std::uint64_t life = 0;
   bool listed = true;  // the clients' front sends to it
-  front::Deadlines deadlines;
+  core::DeadlineQueue deadlines;
   std::unique_ptr<Doorman> doorman;
   TimePoint armed = TimePoint::max();
-  front::Slots<Attempt> attempts;
-  front::Slots<Call> calls;
+  core::SlotTable<Attempt> attempts;
+  core::SlotTable<Call> calls;
   std::map<std::uint32_t, std::deque<TimePoint>> resting;  // connections by machine, and since when
   std::uint64_t told = 0;                                  // generation
   bool feeding = false;
@@ -576,15 +576,15 @@
     if (!a) return;
     const std::uint32_t machine = a->machine;
     if (!atOnce && (cut(node.zone, machines[machine].zone) || silent(machine))) return;
-    front::Said said{};
+    core::UpstreamResponse response{};
     const Machine& m = machines[machine];
     if (sc.reports && outcome == Outcome::ok) {
-      said.load.held = m.running + double(m.queue.size());
-      said.load.queued = double(m.queue.size());
-      said.load.perSecond = m.doneLately;
+      response.load.held = m.running + double(m.queue.size());
+      response.load.queued = double(m.queue.size());
+      response.load.perSecond = m.doneLately;
     }
     const std::uint64_t machineLife = m.life;
-    agenda.after(atOnce ? Duration{0} : delay(), [this, g, life, ref, outcome, said, machineLife] {
+    agenda.after(atOnce ? Duration{0} : delay(), [this, g, life, ref, outcome, response, machineLife] {
       Node& at = nodes[g];
       if (at.life != life) return;
       Attempt* const attempt = at.attempts.find(ref);
@@ -602,7 +602,7 @@
         else if (!over.fresh || over.connected)
           --host.connections;
       }
-      at.doorman->attemptEnded(agenda.now(), over.requestId, over.no, outcome, said);
+      at.doorman->attemptEnded(agenda.now(), over.requestId, over.no, outcome, response);
       arm(at);
     });
   }
@@ -909,15 +909,15 @@
   Dice network{seed, "network"}, arrivals{seed, "arrivals"}, choices{seed, "choices"}, works{seed, "works"},
       lists{seed, "lists"}, lives{seed, "lives"};
   std::vector<double> weights, methodWeights, planWeights;
-  front::Slots<Wish> wishes;
-  front::Slots<Try> tries;
+  core::SlotTable<Wish> wishes;
+  core::SlotTable<Try> tries;
   std::unordered_map<std::uint64_t, SlotRef> tryOf;  // by id, while attempts of it are out; looked up only
   std::size_t tryOfSweep = 1024;
   std::uint64_t lastTry = 0;
   config::GatewayConfig config;
   std::deque<Node> nodes;
   std::vector<Machine> machines;
-  front::Slots<Job> jobs;
+  core::SlotTable<Job> jobs;
   std::uint64_t generation = 1;
   std::vector<std::pair<std::uint64_t, std::uint32_t>> changes;
   CounterState counters[2];
@@ -981,7 +981,7 @@
   return ref;
 }
 
-bool Node::giveUp(SlotRef, AttemptNumber, SlotRef link) {
+bool Node::closeAttempt(SlotRef, AttemptNumber, SlotRef link) {
   const Attempt* const a = attempts.find(link);
   if (!a) return true;
   const Attempt given = *a;
@@ -1002,7 +1002,7 @@
                  [&world = w, g = no, l = life, ref] { world.counted(g, l, ref, CountEnd::unknown, 0); });
 }
 
-void Node::hostGone(HostId host) {
+void Node::hostUnavailable(HostId host) {
   if (!doorman) return;
   const std::string& address = doorman->addressOf(host);
   std::uint32_t m = 0;
--- a/src/front/deadlines.hpp
+++ b/src/gateway_core/deadline_queue.hpp
@@ -8,10 +8,10 @@
 
 #include "policy_api/time.hpp"
 
-namespace merlinbridge::front {
+namespace merlinbridge::core {
 
 // All that is to happen at a time, in one ordered structure: of two that are due together, the older first.
-class Deadlines {
+class DeadlineQueue {
  public:
   using Ticket = std::pair<TimePoint, std::uint64_t>;
   using What = std::function<void(TimePoint now)>;
@@ -44,4 +44,4 @@
   Duration late_{0};
 };
 
-}  // namespace merlinbridge::front
+}  // namespace merlinbridge::core
--- a/src/front/front.cpp
+++ b/src/gateway_core/gateway_core.cpp
@@ -1,9 +1,9 @@
-#include "front/front.hpp"
+#include "gateway_core/gateway_core.hpp"
 
 #include <algorithm>
 #include <stdexcept>
 
-namespace merlinbridge::front {
+namespace merlinbridge::core {
 namespace {
 
 // Hosts that may have a number at once.
@@ -13,17 +13,17 @@
 
 }  // namespace
 
-Front::Front(const config::GatewayConfig& config, TimePoint now, Deadlines& deadlines, Ways& ways,
-             Timekeeper timekeeper)
+GatewayCore::GatewayCore(const config::GatewayConfig& config, TimePoint now, DeadlineQueue& deadlines,
+                         Transport& transport, Timekeeper timekeeper)
     : settings_(config.settings),
       slack_(config.answerSlack),
       forgets_(config.longestDeadline),
       keepsTime_(timekeeper == Timekeeper::core),
       now_(now),
-      words_{Names<MethodId>(config.methods), Names<PlanId>(config.plans), Names<ZoneId>(config.zones),
-             Names<MachineId>(config.machines)},
+      names_{NameTable<MethodId>(config.methods), NameTable<PlanId>(config.plans),
+             NameTable<ZoneId>(config.zones), NameTable<MachineId>(config.machines)},
       deadlines_(deadlines),
-      ways_(ways),
+      transport_(transport),
       engine_(config.settings, config.seed, now, *this) {
   config::EndpointList known = config.known;
   known.complete = true;
@@ -32,7 +32,7 @@
 
 // ---- from the adapters to the module ----
 
-RequestId Front::requestArrived(TimePoint now, SlotRef client, Request request) {
+RequestId GatewayCore::requestArrived(TimePoint now, SlotRef client, Request request) {
   now_ = now;
   // Answered while the client still waits: the slack that the rules allow, and the loop's own delay, before.
   if (keepsTime_) request.deadline = std::max(now, request.deadline - slack_ - deadlines_.late(now));
@@ -50,42 +50,42 @@
   return requestId;
 }
 
-void Front::clientLeft(TimePoint now, RequestId requestId) {
+void GatewayCore::clientLeft(TimePoint now, RequestId requestId) {
   now_ = now;
   if (!owed(requestId)) return;
   engine_.clientLeft(now, requestId);
   settle(now, requestId);
 }
 
-void Front::attemptEnded(TimePoint now, RequestId requestId, AttemptNumber no, Outcome outcome,
-                         const Said& said) {
+void GatewayCore::attemptEnded(TimePoint now, RequestId requestId, AttemptNumber no, Outcome outcome,
+                               const UpstreamResponse& response) {
   now_ = now;
   PendingRequest* const row = find(requestId);
   if (!row || no.value >= row->attempts.size() || !row->attempts[no.value].out) return;
   Attempt& attempt = row->attempts[no.value];
   attempt.out = false;
   --row->out, --outAt_[attempt.host.value];
-  if ((outcome == Outcome::ok || said.answered) && owed(requestId) && !said.answered)
-    ways_.answerOk(row->client, said.body, said.type);
+  if ((outcome == Outcome::ok || response.answered) && owed(requestId) && !response.answered)
+    transport_.answerOk(row->client, response.body, response.type);
   engine_.attemptEnded(
-      now, {requestId, no, attempt.host, outcome, row->answered, said.took.value_or(now - attempt.sentAt),
-            outcome == Outcome::ok ? said.trueUnits : 0, said.load});
+      now, {requestId, no, attempt.host, outcome, row->answered, response.took.value_or(now - attempt.sentAt),
+            outcome == Outcome::ok ? response.trueUnits : 0, response.load});
   settle(now, requestId);
 }
 
-void Front::counted(TimePoint now, const CountName& name, CountEnd end, double total, Duration took) {
+void GatewayCore::counted(TimePoint now, const CountName& name, CountEnd end, double total, Duration took) {
   now_ = now;
   engine_.counted(now, name, end, total, took);
   settle(now, {});
 }
 
-void Front::probed(TimePoint now, HostId host, bool ok, const LoadReport& load) {
+void GatewayCore::probed(TimePoint now, HostId host, bool ok, const LoadReport& load) {
   now_ = now;
   engine_.probed(now, host, ok, load);
   settle(now, {});
 }
 
-void Front::endpointsUpdated(TimePoint now, const config::EndpointList& endpoints) {
+void GatewayCore::endpointsUpdated(TimePoint now, const config::EndpointList& endpoints) {
   now_ = now;
   std::vector<HostUpdate> lines;
   for (const config::Endpoint& line : endpoints.entries) {
@@ -95,14 +95,14 @@
     // Guards against connections to an earlier life of a host, which nobody has told of its end.
     const bool restarted = std::exchange(startedAt_[host->value], line.started) != line.started;
     if (!line.serving || restarted || (!line.address.empty() && !address.empty() && line.address != address))
-      ways_.hostGone(*host);
+      transport_.hostUnavailable(*host);
     if (!line.address.empty()) address = line.address;
     if (gone_[host->value] != line.gone) goneAt_[host->value] = now;
     gone_[host->value] = line.gone;
     lines.push_back({*host,
-                     words_.zones.idOf(line.zone),
+                     names_.zones.idOf(line.zone),
                      {line.cell},
-                     words_.machines.idOf(line.machine),
+                     names_.machines.idOf(line.machine),
                      line.serving,
                      line.weight,
                      line.started.count() ? std::optional(TimePoint(line.started)) : std::nullopt});
@@ -114,7 +114,7 @@
     for (const HostUpdate& line : lines) named[line.host.value] = 1;
     for (std::uint32_t h = 0; h < named.size(); ++h)
       if (off[h] |= !named[h]; !named[h] && !std::exchange(gone_[h], 1))
-        goneAt_[h] = now, ways_.hostGone({h});
+        goneAt_[h] = now, transport_.hostUnavailable({h});
     engine_.allHostsUpdated(now, lines);
   } else {
     engine_.hostsUpdated(now, lines);
@@ -122,7 +122,7 @@
   // Guards against a connection that comes up so late that its attempt is new to a host that drains by then.
   requests_.each([&](SlotRef slot, const PendingRequest& row) {
     for (std::uint32_t no = 0; no < row.attempts.size(); ++no)
-      if (const Attempt& c = row.attempts[no]; c.out && off[c.host.value] && ways_.unwritten(c.link))
+      if (const Attempt& c = row.attempts[no]; c.out && off[c.host.value] && transport_.unwritten(c.link))
         soon_.emplace_back([this, requestId = RequestId{slot.packed()}, no](TimePoint at) {
           abandonAttempt(at, requestId, {no}, Outcome::notSent);
         });
@@ -132,7 +132,7 @@
 
 // Guards against requests whose time is longer than the gateway's own, as with hosts that hang: the end would
 // find them without an answer.
-void Front::endBy(TimePoint latest) {
+void GatewayCore::endBy(TimePoint latest) {
   latest_ = latest;
   requests_.each([this](SlotRef slot, PendingRequest& row) {
     if (row.answered || row.deadline <= latest_) return;
@@ -143,12 +143,12 @@
   });
 }
 
-HostId Front::hostNamed(std::string_view name) const {
+HostId GatewayCore::hostNamed(std::string_view name) const {
   if (const auto known = hosts_.find(name)) return *known;
   throw std::out_of_range("no host named " + std::string(name));
 }
 
-std::optional<HostId> Front::numberOf(const config::Endpoint& line) {
+std::optional<HostId> GatewayCore::numberOf(const config::Endpoint& line) {
   if (const auto known = hosts_.find(line.name)) return known;
   if (line.gone) return std::nullopt;  // never heard of, and no more
   // Guards against work for every request that grows with all the hosts that there ever were.
@@ -156,7 +156,7 @@
     if (!gone_[h] || outAt_[h] > 0) continue;
     if (now_ - goneAt_[h] <= kForgotten * forgets_ && hosts_.size() < kMostHosts) continue;
     hosts_.rename({h}, line.name);
-    ways_.hostGone({h});  // what came to rest there after its end leads to another machine
+    transport_.hostUnavailable({h});  // what came to rest there after its end leads to another machine
     addresses_[h].clear(), startedAt_[h] = line.started, gone_[h] = 0;
     return HostId{h};
   }
@@ -165,14 +165,14 @@
     goneAt_.emplace_back(), outAt_.push_back(0);
     return hosts_.idOf(line.name);
   }
-  ways_.note("more hosts than can be numbered: " + line.name + " is passed over");
+  transport_.note("more hosts than can be numbered: " + line.name + " is passed over");
   return std::nullopt;
 }
 
 // ---- from the module to the adapters ----
 
 // The request, if its client still waits; from here on it has its answer.
-Front::PendingRequest* Front::owed(RequestId requestId) {
+GatewayCore::PendingRequest* GatewayCore::owed(RequestId requestId) {
   PendingRequest* const row = find(requestId);
   if (!row || row->answered) return nullptr;
   row->answered = true;
@@ -180,12 +180,12 @@
   return row;
 }
 
-bool Front::wants(RequestId requestId) {
+bool GatewayCore::wants(RequestId requestId) {
   const PendingRequest* const row = find(requestId);
-  return row && !row->answered && ways_.clientThere(row->client);
+  return row && !row->answered && transport_.clientThere(row->client);
 }
 
-void Front::startAttempt(RequestId requestId, HostId host, AttemptDeadline deadline) {
+void GatewayCore::startAttempt(RequestId requestId, HostId host, AttemptDeadline deadline) {
   PendingRequest* const row = find(requestId);
   if (!row) return;
   // Guards against an attempt for a client whose end has come and is handled only after this, as in a late
@@ -197,7 +197,7 @@
   ++row->out, ++outAt_[host.value];
   const TimePoint by = std::min(deadline.abandonAt, row->deadline);
   std::variant<SlotRef, Outcome> sent = Outcome::notSent;
-  if (wanted) sent = ways_.startAttempt(requestId, no, row->client, host, {by, deadline.writeBy});
+  if (wanted) sent = transport_.startAttempt(requestId, no, row->client, host, {by, deadline.writeBy});
   if (const Outcome* const at = std::get_if<Outcome>(&sent)) {
     soon_.emplace_back(
         [this, requestId, no, outcome = *at](TimePoint now) { attemptEnded(now, requestId, no, outcome); });
@@ -209,31 +209,33 @@
         by, [this, requestId, no](TimePoint now) { abandonAttempt(now, requestId, no, Outcome::noAnswer); });
 }
 
-void Front::cancel(RequestId requestId, AttemptNumber no) {
+void GatewayCore::cancel(RequestId requestId, AttemptNumber no) {
   soon_.emplace_back(
       [this, requestId, no](TimePoint now) { abandonAttempt(now, requestId, no, Outcome::cancelled); });
 }
 
-void Front::abandonAttempt(TimePoint now, RequestId requestId, AttemptNumber no, Outcome outcome) {
+void GatewayCore::abandonAttempt(TimePoint now, RequestId requestId, AttemptNumber no, Outcome outcome) {
   const PendingRequest* const row = find(requestId);
   if (!row || no.value >= row->attempts.size() || !row->attempts[no.value].out) return;
-  if (ways_.unwritten(row->attempts[no.value].link)) outcome = Outcome::notSent;
-  if (ways_.giveUp(row->client, no, row->attempts[no.value].link)) attemptEnded(now, requestId, no, outcome);
+  if (transport_.unwritten(row->attempts[no.value].link)) outcome = Outcome::notSent;
+  if (transport_.closeAttempt(row->client, no, row->attempts[no.value].link))
+    attemptEnded(now, requestId, no, outcome);
 }
 
-void Front::reject(RequestId requestId, Duration comeBackAfter) {
-  if (const PendingRequest* const row = owed(requestId)) ways_.answerRejected(row->client, comeBackAfter);
+void GatewayCore::reject(RequestId requestId, Duration comeBackAfter) {
+  if (const PendingRequest* const row = owed(requestId))
+    transport_.answerRejected(row->client, comeBackAfter);
 }
 
-void Front::fail(RequestId requestId) {
-  if (const PendingRequest* const row = owed(requestId)) ways_.answerFailed(row->client);
+void GatewayCore::fail(RequestId requestId) {
+  if (const PendingRequest* const row = owed(requestId)) transport_.answerFailed(row->client);
 }
 
-void Front::addToCount(const CountName& name, double units, Duration keptFor) {
-  ways_.count(name, units, keptFor);
+void GatewayCore::addToCount(const CountName& name, double units, Duration keptFor) {
+  transport_.count(name, units, keptFor);
 }
 
-void Front::wakeAt(TimePoint at, TimerId timer) {
+void GatewayCore::wakeAt(TimePoint at, TimerId timer) {
   deadlines_.add(at, [this, timer](TimePoint now) {
     now_ = now;
     engine_.woken(now, timer);
@@ -241,28 +243,28 @@
   });
 }
 
-void Front::probe(HostId host) {
-  ways_.probe(host);
+void GatewayCore::probe(HostId host) {
+  transport_.probe(host);
 }
 
-void Front::note(const std::string& line) {
-  ways_.note(line);
+void GatewayCore::note(const std::string& line) {
+  transport_.note(line);
 }
 
 // The request's time is up: what is out is given up, and the module answers; a request that it holds all the
 // same is failed here, so that none is lost.
-void Front::expire(TimePoint now, RequestId requestId) {
+void GatewayCore::expire(TimePoint now, RequestId requestId) {
   for (std::uint32_t no = 0; keepsTime_ && find(requestId) && no < find(requestId)->attempts.size(); ++no)
     abandonAttempt(now, requestId, {no}, Outcome::noAnswer);
   if (const PendingRequest* const row = owed(requestId)) {
-    ways_.answerFailed(row->client);
+    transport_.answerFailed(row->client);
     engine_.clientLeft(now, requestId);
   }
   settle(now, requestId);
 }
 
 // After every call of the module: the ends that came meanwhile, in order, and the row if it is done with.
-void Front::settle(TimePoint now, RequestId requestId) {
+void GatewayCore::settle(TimePoint now, RequestId requestId) {
   if (!settling_) {
     settling_ = true;
     while (!soon_.empty()) {
@@ -275,7 +277,7 @@
   // Guards against an attempt that goes on its way once its client has left, or has its answer.
   for (std::uint32_t no = 0;
        find(requestId) && find(requestId)->answered && no < find(requestId)->attempts.size(); ++no)
-    if (const Attempt& c = find(requestId)->attempts[no]; c.out && ways_.unwritten(c.link))
+    if (const Attempt& c = find(requestId)->attempts[no]; c.out && transport_.unwritten(c.link))
       abandonAttempt(now, requestId, {no}, Outcome::notSent);
   const PendingRequest* const row = find(requestId);
   if (!row || !row->answered || row->out > 0) return;
@@ -283,4 +285,4 @@
   requests_.drop(SlotRef::unpacked(requestId.value));
 }
 
-}  // namespace merlinbridge::front
+}  // namespace merlinbridge::core
--- a/src/front/front.hpp
+++ b/src/gateway_core/gateway_core.hpp
@@ -7,17 +7,17 @@
 #include <vector>
 
 #include "config/gateway_config.hpp"
-#include "front/ask.hpp"
-#include "front/deadlines.hpp"
-#include "front/slots.hpp"
+#include "gateway_core/deadline_queue.hpp"
+#include "gateway_core/request_parser.hpp"
+#include "gateway_core/slot_table.hpp"
 #include "policy_api/decision_engine.hpp"
 
-namespace merlinbridge::front {
+namespace merlinbridge::core {
 
 // What the core has the adapters do.
-class Ways {
+class Transport {
  public:
-  virtual ~Ways() = default;
+  virtual ~Transport() = default;
   virtual void answerOk(SlotRef client, std::string_view body, std::string_view type) = 0;
   virtual void answerRejected(SlotRef client, Duration comeBackAfter) = 0;
   virtual void answerFailed(SlotRef client) = 0;
@@ -25,19 +25,19 @@
   virtual std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
                                                       AttemptDeadline) = 0;
   // True: it has ended by that. Else its end is still to come.
-  virtual bool giveUp(SlotRef client, AttemptNumber, SlotRef link) = 0;
+  virtual bool closeAttempt(SlotRef client, AttemptNumber, SlotRef link) = 0;
   // Not all of it is written yet: given up now, it never reaches a host.
   virtual bool unwritten(SlotRef) { return false; }
   // False: its connection has ended, be that end read yet or not.
   virtual bool clientThere(SlotRef) { return true; }
   virtual void probe(HostId) = 0;
   virtual void count(const CountName&, double units, Duration keptFor) = 0;
-  virtual void hostGone(HostId) = 0;  // it wants nothing new: what rests towards it may go
+  virtual void hostUnavailable(HostId) = 0;  // it wants nothing new: what rests towards it may go
   virtual void note(const std::string& line) = 0;
 };
 
 // What a host's answer says besides its outcome.
-struct Said {
+struct UpstreamResponse {
   std::string_view body, type;
   double trueUnits = 0;
   LoadReport load{};
@@ -50,11 +50,12 @@
 
 // The core of the daemon, without I/O: the requests in numbered slots, the hosts' names and addresses, and
 // all deadlines. It carries the module's decisions to the adapters and hands back what came of them.
-class Front final : private DecisionSink {
+class GatewayCore final : private DecisionSink {
  public:
-  Front(const config::GatewayConfig&, TimePoint now, Deadlines&, Ways&, Timekeeper = Timekeeper::core);
+  GatewayCore(const config::GatewayConfig&, TimePoint now, DeadlineQueue&, Transport&,
+              Timekeeper = Timekeeper::core);
 
-  const Words& words() const { return words_; }
+  const NameTables& words() const { return names_; }
   const PolicySettings& settings() const { return settings_; }
   const std::string& addressOf(HostId host) const { return addresses_[host.value]; }
   const std::string& nameOf(HostId host) const { return hosts_.word(host); }
@@ -65,7 +66,7 @@
 
   RequestId requestArrived(TimePoint now, SlotRef client, Request);
   void clientLeft(TimePoint now, RequestId);
-  void attemptEnded(TimePoint now, RequestId, AttemptNumber, Outcome, const Said& = {});
+  void attemptEnded(TimePoint now, RequestId, AttemptNumber, Outcome, const UpstreamResponse& = {});
   void counted(TimePoint now, const CountName&, CountEnd, double total, Duration took);
   void probed(TimePoint now, HostId, bool ok, const LoadReport&);
   void endpointsUpdated(TimePoint now, const config::EndpointList&);
@@ -82,7 +83,7 @@
   struct PendingRequest {
     SlotRef client;
     TimePoint deadline;
-    Deadlines::Ticket by;
+    DeadlineQueue::Ticket by;
     bool answered = false;
     std::uint32_t out = 0;
     std::vector<Attempt> attempts;
@@ -108,14 +109,14 @@
   const Duration slack_, forgets_;
   const bool keepsTime_;
   TimePoint now_, latest_ = TimePoint::max();
-  Words words_;
-  Deadlines& deadlines_;
-  Ways& ways_;
-  Slots<PendingRequest> requests_;
+  NameTables names_;
+  DeadlineQueue& deadlines_;
+  Transport& transport_;
+  SlotTable<PendingRequest> requests_;
   std::size_t unanswered_ = 0;
   std::deque<std::function<void(TimePoint)>> soon_;  // ends that came while the module was still at it
   bool settling_ = false;
-  Names<HostId> hosts_;
+  NameTable<HostId> hosts_;
   std::vector<std::string> addresses_;
   std::vector<Duration> startedAt_;
   std::vector<char> gone_;
@@ -124,4 +125,4 @@
   DecisionEngine engine_;
 };
 
-}  // namespace merlinbridge::front
+}  // namespace merlinbridge::core
--- a/src/front/names.hpp
+++ b/src/gateway_core/name_table.hpp
@@ -7,17 +7,17 @@
 #include <string_view>
 #include <vector>
 
-namespace merlinbridge::front {
+namespace merlinbridge::core {
 
-// Names to dense ids, in the order in which they were first heard.
+// NameTable to dense ids, in the order in which they were first heard.
 template <class Key>
-class Names {
+class NameTable {
  public:
-  Names() = default;
-  explicit Names(const std::vector<std::string>& names) {
+  NameTable() = default;
+  explicit NameTable(const std::vector<std::string>& names) {
     for (const std::string& name : names) {  // each has its place, even one without a name
-      ids_.emplace(name, static_cast<std::uint32_t>(words_.size()));
-      words_.push_back(name);
+      ids_.emplace(name, static_cast<std::uint32_t>(names_.size()));
+      names_.push_back(name);
     }
   }
   std::optional<Key> find(std::string_view name) const {
@@ -26,21 +26,21 @@
   }
   Key idOf(std::string_view name) {
     if (const auto known = find(name)) return *known;
-    words_.emplace_back(name);
-    return {ids_.emplace(name, static_cast<std::uint32_t>(words_.size() - 1)).first->second};
+    names_.emplace_back(name);
+    return {ids_.emplace(name, static_cast<std::uint32_t>(names_.size() - 1)).first->second};
   }
   // Another name takes over the number of one that is no more.
   void rename(Key id, std::string_view name) {
-    ids_.erase(words_[id.value]);
-    words_[id.value] = name;
+    ids_.erase(names_[id.value]);
+    names_[id.value] = name;
     ids_.emplace(name, id.value);
   }
-  const std::string& word(Key id) const { return words_.at(id.value); }
-  std::size_t size() const { return words_.size(); }
+  const std::string& word(Key id) const { return names_.at(id.value); }
+  std::size_t size() const { return names_.size(); }
 
  private:
   std::map<std::string, std::uint32_t, std::less<>> ids_;
-  std::vector<std::string> words_;
+  std::vector<std::string> names_;
 };
 
-}  // namespace merlinbridge::front
+}  // namespace merlinbridge::core
--- a/src/front/ask.cpp
+++ b/src/gateway_core/request_parser.cpp
@@ -1,10 +1,10 @@
-#include "front/ask.hpp"
+#include "gateway_core/request_parser.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 
-namespace merlinbridge::front {
+namespace merlinbridge::core {
 namespace {
 
 // What a count can hold exactly; whatever claims more is no request.
@@ -31,8 +31,8 @@
 
 }  // namespace
 
-Ask readAsk(const http::Message& message, const Words& words, const PolicySettings& settings,
-            TimePoint came) {
+ParsedRequest parseRequest(const http::Message& message, const NameTables& words,
+                           const PolicySettings& settings, TimePoint came) {
   std::string_view id, kind, plan, account, patience, quota, mark;
   for (std::size_t n = 0; n < message.fields(); ++n) {
     const auto [name, value] = message.field(n);
@@ -44,7 +44,7 @@
     if (http::same(name, "Quota-Info")) quota = value;
     if (http::same(name, "Idempotency-Key")) mark = value;
   }
-  Ask ask{};
+  ParsedRequest ask{};
   Request& a = ask.request;
   const auto blame = [&ask](std::string_view why) { return ask.fault = why, ask; };
   if (id.empty()) return blame("Req-Id is missing");
@@ -71,4 +71,4 @@
   return ask;
 }
 
-}  // namespace merlinbridge::front
+}  // namespace merlinbridge::core
--- a/src/front/slots.hpp
+++ b/src/gateway_core/slot_table.hpp
@@ -6,22 +6,22 @@
 #include <utility>
 #include <vector>
 
-namespace merlinbridge::front {
+namespace merlinbridge::core {
 
-// A numbered slot, and which of its tenants is meant: what comes late for an earlier one finds nothing.
+// A numbered slot, and which of its generations is meant: what comes late for an earlier one finds nothing.
 struct SlotRef {
-  std::uint32_t slot = 0, tenant = 0;  // tenants count from 1
-  std::uint64_t packed() const { return std::uint64_t{tenant} << 32 | slot; }
+  std::uint32_t slot = 0, generation = 0;  // generations count from 1
+  std::uint64_t packed() const { return std::uint64_t{generation} << 32 | slot; }
   static SlotRef unpacked(std::uint64_t from) {
     return {static_cast<std::uint32_t>(from), static_cast<std::uint32_t>(from >> 32)};
   }
-  explicit operator bool() const { return tenant != 0; }
+  explicit operator bool() const { return generation != 0; }
   bool operator==(const SlotRef&) const = default;
 };
 
 // A table of numbered slots. Rows stay where they are while others come and go.
 template <class T>
-class Slots {
+class SlotTable {
  public:
   template <class... Args>
   SlotRef add(Args&&... args) {
@@ -36,12 +36,12 @@
     Row& row = rows_[slot];
     row.held.emplace(std::forward<Args>(args)...);
     ++held_;
-    return {slot, ++row.tenant};
+    return {slot, ++row.generation};
   }
   T* find(SlotRef ref) {
     if (ref.slot >= rows_.size()) return nullptr;
     Row& row = rows_[ref.slot];
-    return row.held && row.tenant == ref.tenant ? &*row.held : nullptr;
+    return row.held && row.generation == ref.generation ? &*row.held : nullptr;
   }
   void drop(SlotRef ref) {
     if (!find(ref)) return;
@@ -54,12 +54,12 @@
   template <class What>
   void each(What what) {
     for (std::uint32_t slot = 0; slot < rows_.size(); ++slot)
-      if (Row& row = rows_[slot]; row.held) what(SlotRef{slot, row.tenant}, *row.held);
+      if (Row& row = rows_[slot]; row.held) what(SlotRef{slot, row.generation}, *row.held);
   }
 
  private:
   struct Row {
-    std::uint32_t tenant = 0;
+    std::uint32_t generation = 0;
     std::optional<T> held;
   };
   std::deque<Row> rows_;
@@ -67,4 +67,4 @@
   std::size_t held_ = 0;
 };
 
-}  // namespace merlinbridge::front
+}  // namespace merlinbridge::core
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -181,7 +181,7 @@
   net::asio::signal_set ends_{loop_.io, SIGTERM, SIGINT}, hangUps_{loop_.io, SIGHUP};
   net::Gate gate_;
   Phase phase_ = Phase::starting;
-  front::Deadlines::Ticket look_{};
+  core::DeadlineQueue::Ticket look_{};
   TimePoint keptOutAt_{}, quietSince_ = TimePoint::max(), answersBy_{};
 };
 
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -109,11 +109,11 @@
   // Guards against a request that was sent on ahead by a client that has gone since.
   if (full() && hungUp()) return broken();
   const TimePoint now = loop_.now();
-  front::Front& front = *clients_.front_;
-  const front::Ask ask = front::readAsk(message_, front.words(), front.settings(), now);
+  core::GatewayCore& core = *clients_.core_;
+  const core::ParsedRequest ask = core::parseRequest(message_, core.words(), core.settings(), now);
   if (!ask.fault.empty()) return refuse(400, std::string(ask.fault) + "\n");
   asking_ = true;
-  const RequestId requestId = front.requestArrived(now, ref(), ask.request);
+  const RequestId requestId = core.requestArrived(now, ref(), ask.request);
   if (std::exchange(asking_, false)) requestId_ = requestId;
 }
 
@@ -202,7 +202,7 @@
   const auto requestId = std::exchange(requestId_, std::nullopt);
   clients_.closed(ref());
   loop_.bury(ref());
-  if (requestId) clients_.front_->clientLeft(loop_.now(), *requestId);
+  if (requestId) clients_.core_->clientLeft(loop_.now(), *requestId);
 }
 
 Clients::Clients(Loop& loop, const SocketAddress& at, std::size_t most, Duration idle,
@@ -215,8 +215,8 @@
   acceptor_.non_blocking(true);
 }
 
-void Clients::serve(front::Front& front) {
-  front_ = &front;
+void Clients::serve(core::GatewayCore& core) {
+  core_ = &core;
   acceptStep({});
 }
 
--- a/src/net/clients.hpp
+++ b/src/net/clients.hpp
@@ -3,7 +3,7 @@
 #include <boost/asio/basic_socket_acceptor.hpp>
 #include <optional>
 
-#include "front/front.hpp"
+#include "gateway_core/gateway_core.hpp"
 #include "http/message.hpp"
 #include "net/connection.hpp"
 
@@ -59,7 +59,7 @@
  public:
   Clients(Loop&, const SocketAddress& at, std::size_t most, Duration idle, Duration longestDeadline);
 
-  void serve(front::Front& front);  // from here on clients are accepted
+  void serve(core::GatewayCore& core);  // from here on clients are accepted
   void setReady(bool ready) { ready_ = ready; }
   // Every answer is a connection's last, unless more has come on it already; from that time on, each.
   void leave(TimePoint by);
@@ -81,7 +81,7 @@
   void makeRoom();
 
   Loop& loop_;
-  front::Front* front_ = nullptr;
+  core::GatewayCore* core_ = nullptr;
   asio::basic_socket_acceptor<asio::ip::tcp, Strand> acceptor_;
   asio::coroutine accepting_;
   bool paused_ = false, ready_ = false, leaving_ = false;
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -80,7 +80,7 @@
   std::size_t unsent_ = 0;
   asio::coroutine reader_, writer_;
   TimePoint lookAt_ = TimePoint::max();
-  front::Deadlines::Ticket look_{};
+  core::DeadlineQueue::Ticket look_{};
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/counter.cpp
+++ b/src/net/counter.cpp
@@ -44,7 +44,7 @@
   // Not one byte of it has been written, nor must be any more: nothing was added.
   const bool never = !isUp();
   if (never || now - heard_ >= counter_.connectTimeout_) broken();
-  counter_.front_->counted(now, name, never ? CountEnd::notAdded : CountEnd::unknown, 0, took);
+  counter_.core_->counted(now, name, never ? CountEnd::notAdded : CountEnd::unknown, 0, took);
   if (mayEnd()) broken();
 }
 
@@ -88,7 +88,7 @@
     message_.clear();
     if (!call.told) {
       loop_.deadlines.drop(call.patience);
-      counter_.front_->counted(heard_, call.name, end, end == CountEnd::ok ? total : 0, heard_ - call.madeAt);
+      counter_.core_->counted(heard_, call.name, end, end == CountEnd::ok ? total : 0, heard_ - call.madeAt);
     }
     if (last || mayEnd()) return broken();
   }
@@ -104,8 +104,8 @@
   for (const Call& call : calls) {
     if (call.told) continue;
     loop_.deadlines.drop(call.patience);
-    counter_.front_->counted(now, call.name, never ? CountEnd::notAdded : CountEnd::unknown, 0,
-                             now - call.madeAt);
+    counter_.core_->counted(now, call.name, never ? CountEnd::notAdded : CountEnd::unknown, 0,
+                            now - call.madeAt);
   }
 }
 
--- a/src/net/counter.hpp
+++ b/src/net/counter.hpp
@@ -4,7 +4,7 @@
 #include <deque>
 #include <string>
 
-#include "front/front.hpp"
+#include "gateway_core/gateway_core.hpp"
 #include "http/message.hpp"
 #include "net/connection.hpp"
 
@@ -25,7 +25,7 @@
   struct Call {
     CountName name;
     TimePoint madeAt;
-    front::Deadlines::Ticket patience;
+    core::DeadlineQueue::Ticket patience;
     bool told;  // the module has been told how it ended
   };
 
@@ -50,7 +50,7 @@
  public:
   Counter(Loop&, std::string address, Duration patience, Duration connectTimeout, Duration idle);
 
-  void serve(front::Front& front) { front_ = &front; }
+  void serve(core::GatewayCore& core) { core_ = &core; }
   void add(const CountName&, double units, Duration keptFor);
   // From now on calls go there; what is under way ends where it is. Throws std::invalid_argument.
   void moveTo(const std::string& address);
@@ -58,7 +58,7 @@
  private:
   friend class CounterLink;
   Loop& loop_;
-  front::Front* front_ = nullptr;
+  core::GatewayCore* core_ = nullptr;
   std::string address_;
   SocketAddress peer_;
   Duration patience_, connectTimeout_, idle_;
--- a/src/net/gate.cpp
+++ b/src/net/gate.cpp
@@ -38,13 +38,13 @@
                config.idle),
       watch_(loop, config.discovery, config.known.generation, config.settings.connectTimeout,
              config.drainGrace, config.seed),
-      front_(config, loop.now(), loop.deadlines, *this) {}
+      core_(config, loop.now(), loop.deadlines, *this) {}
 
 void Gate::serve() {
-  hosts_.serve(front_);
-  counter_.serve(front_);
-  watch_.serve(front_);
-  clients_.serve(front_);
+  hosts_.serve(core_);
+  counter_.serve(core_);
+  watch_.serve(core_);
+  clients_.serve(core_);
   clients_.setReady(true);
 }
 
@@ -55,7 +55,7 @@
 }
 
 void Gate::leave(TimePoint by) {
-  front_.endBy(by);
+  core_.endBy(by);
   clients_.leave(by);
 }
 
@@ -85,7 +85,7 @@
   const std::string_view hop = asked.get("Connection");
   message_.clear();
   fmt::format_to(std::back_inserter(message_), FMT_COMPILE("{} {} HTTP/1.1\r\nHost: {}{}{}\r\n"),
-                 asked.method(), asked.target(), front_.addressOf(host), kDeadlineField,
+                 asked.method(), asked.target(), core_.addressOf(host), kDeadlineField,
                  millisecondsLeft(deadline.abandonAt - loop_.now()));
   for (std::size_t n = 0; n < asked.fields(); ++n) {
     const auto [name, value] = asked.field(n);
--- a/src/net/gate.hpp
+++ b/src/net/gate.hpp
@@ -2,7 +2,7 @@
 
 #include <string>
 
-#include "front/front.hpp"
+#include "gateway_core/gateway_core.hpp"
 #include "net/clients.hpp"
 #include "net/counter.hpp"
 #include "net/hosts.hpp"
@@ -11,7 +11,7 @@
 namespace merlinbridge::net {
 
 // The sockets round the core: carries what it decides to clients, hosts and the counter.
-class Gate final : private front::Ways {
+class Gate final : private core::Transport {
  public:
   Gate(Loop&, const config::GatewayConfig&);
 
@@ -23,7 +23,7 @@
   void partRested(Duration since = Duration{0}) { clients_.partRested(since); }
   bool shut() { return clients_.shut(); }
   void discard() { clients_.discard(); }
-  std::size_t unanswered() const { return front_.unanswered(); }
+  std::size_t unanswered() const { return core_.unanswered(); }
   bool quiet() { return unanswered() == 0 && clients_.quiet(); }  // all that was taken has its answer
   bool parted() { return clients_.parted(); }                     // and every client has seen it
 
@@ -33,12 +33,12 @@
   void answerFailed(SlotRef client) override;
   std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
                                               AttemptDeadline) override;
-  bool giveUp(SlotRef, AttemptNumber, SlotRef link) override { return hosts_.giveUp(link), true; }
+  bool closeAttempt(SlotRef, AttemptNumber, SlotRef link) override { return hosts_.closeAttempt(link), true; }
   bool unwritten(SlotRef link) override { return hosts_.unwritten(link); }
   bool clientThere(SlotRef client) override;
   void probe(HostId host) override { hosts_.probe(host); }
   void count(const CountName& name, double units, Duration keptFor) override;
-  void hostGone(HostId host) override { hosts_.gone(host); }
+  void hostUnavailable(HostId host) override { hosts_.gone(host); }
   void note(const std::string& line) override { loop_.log(Level::info, "decisions", line); }
 
   Loop& loop_;
@@ -47,7 +47,7 @@
   Counter counter_;
   Watch watch_;
   std::string message_;  // the attempt that is being written
-  front::Front front_;
+  core::GatewayCore core_;
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/hosts.cpp
+++ b/src/net/hosts.cpp
@@ -56,7 +56,7 @@
   const auto stage = message_.advance(buffer_.data(), came());
   // An answer that cannot be read is no answer that this was kept from: it may have run.
   if (stage == http::Message::Stage::bad) return ended(Outcome::error);
-  if (stage == http::Message::Stage::done) ended(outcomeOf(), readSaid());
+  if (stage == http::Message::Stage::done) ended(outcomeOf(), readResponse());
 }
 
 // Guards against a host that is told of time that has passed while the connection came up: the client no
@@ -72,14 +72,14 @@
   send({message});
   // It broke before the last byte was written: it never ran.
   if (!std::exchange(starting_, false))
-    return hosts_.front_->attemptEnded(loop_.now(), requestId_, no_, Outcome::noConnection);
+    return hosts_.core_->attemptEnded(loop_.now(), requestId_, no_, Outcome::noConnection);
   if (!allWritten()) watchWait();
 }
 
 // Guards against an attempt whose connection comes up after its window, or once its client has gone.
 bool HostLink::mayWrite() const {
   return loop_.now() < writtenBy_ &&
-         (doing_ != Doing::attempt || starting_ || hosts_.front_->wants(requestId_));
+         (doing_ != Doing::attempt || starting_ || hosts_.core_->wants(requestId_));
 }
 
 // By the protocol's table.
@@ -90,23 +90,23 @@
   return Outcome::error;
 }
 
-front::Said HostLink::readSaid() const {
-  front::Said said{message_.body(), {}, 0, {}};
+core::UpstreamResponse HostLink::readResponse() const {
+  core::UpstreamResponse response{message_.body(), {}, 0, {}};
   for (std::size_t n = 0; n < message_.fields(); ++n) {
     auto [name, value] = message_.field(n);
-    if (http::same(name, "Content-Type")) said.type = value;
-    if (http::same(name, "Billed-Units")) said.trueUnits = numberOf(value);
+    if (http::same(name, "Content-Type")) response.type = value;
+    if (http::same(name, "Billed-Units")) response.trueUnits = numberOf(value);
     if (!http::same(name, "Srv-Load")) continue;
     while (!value.empty()) {
       const auto comma = std::min(value.find(','), value.size());
       const auto word = value.substr(0, comma);
       const auto equals = word.find('=');
       if (equals != std::string_view::npos)
-        config::readLoadFigure(said.load, word.substr(0, equals), numberOf(word.substr(equals + 1)));
+        config::readLoadFigure(response.load, word.substr(0, equals), numberOf(word.substr(equals + 1)));
       value.remove_prefix(std::min(value.size(), comma + 1));
     }
   }
-  return said;
+  return response;
 }
 
 // Guards against an answer without a length that a reset cuts short: only the end of the stream ends it.
@@ -114,12 +114,12 @@
   message_.movedTo(buffer_.data());  // room was made for what did not come
   const bool answered = peerEnded() && message_.begun() && message_.ended() == http::Message::Stage::done;
   if (doing_ == Doing::nothing) return hosts_.close(ref());
-  if (answered) return ended(outcomeOf(), readSaid());
+  if (answered) return ended(outcomeOf(), readResponse());
   if (unwritten() && !mayWrite()) return ended(Outcome::notSent);
   ended(isUp() && allWritten() ? Outcome::lost : Outcome::noConnection);
 }
 
-void HostLink::ended(Outcome outcome, const front::Said& said) {
+void HostLink::ended(Outcome outcome, const core::UpstreamResponse& response) {
   const TimePoint now = loop_.now();
   const auto doing = std::exchange(doing_, Doing::nothing);
   if (std::exchange(starting_, false)) return hosts_.close(ref());  // carry() says so
@@ -130,8 +130,8 @@
   if (!keeps) hosts_.close(ref());
   if (keeps && outcome != Outcome::ok) leaveAndRest();
   const SlotRef mine = ref();
-  if (doing == Doing::attempt) hosts_.front_->attemptEnded(now, requestId_, no_, outcome, said);
-  if (doing == Doing::probe) hosts_.front_->probed(now, host_, outcome == Outcome::ok, said.load);
+  if (doing == Doing::attempt) hosts_.core_->attemptEnded(now, requestId_, no_, outcome, response);
+  if (doing == Doing::probe) hosts_.core_->probed(now, host_, outcome == Outcome::ok, response.load);
   if (keeps && outcome == Outcome::ok && loop_.find(mine)) leaveAndRest();
 }
 
@@ -182,7 +182,7 @@
 
 void Hosts::probe(HostId host) {
   if (HostLink* const link = linkTo(host))
-    link->probe(fmt::format("GET /health/live HTTP/1.1\r\nHost: {}\r\n\r\n", front_->addressOf(host)));
+    link->probe(fmt::format("GET /health/live HTTP/1.1\r\nHost: {}\r\n\r\n", core_->addressOf(host)));
 }
 
 // Guards against a second answer that comes some milliseconds after the first, which would be taken for the
@@ -200,7 +200,7 @@
   }
   if (all_.size() >= most_ && !closeOldest()) return nullptr;
   try {
-    const SocketAddress at = parseAddress(front_->addressOf(host));
+    const SocketAddress at = parseAddress(core_->addressOf(host));
     HostLink& link = loop_.open<HostLink>(*this, host);
     all_.push_back(link.ref());
     link.connect(at);
@@ -228,7 +228,7 @@
   loop_.bury(ref);
 }
 
-void Hosts::giveUp(SlotRef ref) {
+void Hosts::closeAttempt(SlotRef ref) {
   close(ref);
 }
 
--- a/src/net/hosts.hpp
+++ b/src/net/hosts.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <variant>
 
-#include "front/front.hpp"
+#include "gateway_core/gateway_core.hpp"
 #include "http/message.hpp"
 #include "net/connection.hpp"
 
@@ -39,9 +39,9 @@
   TimePoint waitEnds() const override;
   void waitedTooLong() override;
 
-  void ended(Outcome, const front::Said& = {});
+  void ended(Outcome, const core::UpstreamResponse& = {});
   Outcome outcomeOf() const;
-  front::Said readSaid() const;
+  core::UpstreamResponse readResponse() const;
   void leaveAndRest();
 
   Hosts& hosts_;
@@ -60,11 +60,11 @@
  public:
   Hosts(Loop&, std::size_t most, Duration idle, Duration connectTimeout);
 
-  void serve(front::Front& front) { front_ = &front; }
+  void serve(core::GatewayCore& core) { core_ = &core; }
   std::variant<SlotRef, Outcome> startAttempt(HostId, std::string_view message, RequestId, AttemptNumber,
                                               AttemptDeadline);
   void probe(HostId);
-  void giveUp(SlotRef);
+  void closeAttempt(SlotRef);
   bool unwritten(SlotRef);
   void gone(HostId);
 
@@ -75,7 +75,7 @@
   void close(SlotRef);
 
   Loop& loop_;
-  front::Front* front_ = nullptr;
+  core::GatewayCore* core_ = nullptr;
   std::size_t most_;
   Duration idle_, connectTimeout_, proving_;
   std::vector<SlotRef> all_;
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "front/deadlines.hpp"
-#include "front/slots.hpp"
+#include "gateway_core/deadline_queue.hpp"
+#include "gateway_core/slot_table.hpp"
 #include "log.hpp"
 #include "net/clock.hpp"
 
@@ -21,7 +21,7 @@
 using Strand = asio::strand<asio::io_context::executor_type>;
 using Socket = asio::basic_stream_socket<asio::ip::tcp, Strand>;
 using SocketAddress = asio::ip::tcp::endpoint;
-using front::SlotRef;
+using core::SlotRef;
 
 class Connection;
 
@@ -63,7 +63,7 @@
 
   asio::io_context io{BOOST_ASIO_CONCURRENCY_HINT_UNSAFE};  // one thread: no locks
   Strand strand;
-  front::Deadlines deadlines;
+  core::DeadlineQueue deadlines;
   Log& log;
 
  private:
@@ -72,7 +72,7 @@
   const Clock& clock_;
   Duration ride_{0};
   std::optional<TimePoint> turnAt_;
-  front::Slots<std::unique_ptr<Connection>> connections_;
+  core::SlotTable<std::unique_ptr<Connection>> connections_;
   std::vector<std::unique_ptr<Connection>> buried_;
   std::vector<SlotRef> toFlush_;
   asio::basic_waitable_timer<std::chrono::steady_clock, asio::wait_traits<std::chrono::steady_clock>, Strand>
--- a/src/net/watch.cpp
+++ b/src/net/watch.cpp
@@ -120,8 +120,8 @@
       drainGrace_(drainGrace),
       chance_(static_cast<std::uint32_t>(seed)) {}
 
-void Watch::serve(front::Front& front) {
-  front_ = &front;
+void Watch::serve(core::GatewayCore& core) {
+  core_ = &core;
   open();
 }
 
@@ -152,7 +152,7 @@
     const config::EndpointList endpoints = config::readEndpointList(config::Fields("discovery", root));
     generation_ = endpoints.generation;
     heard();
-    front_->endpointsUpdated(loop_.now(), endpoints);
+    core_->endpointsUpdated(loop_.now(), endpoints);
     return true;
   } catch (const config::ConfigError& e) {
     loop_.log(Level::debug, "list_unreadable", "discovery sent what cannot be read: ", e.what());
--- a/src/net/watch.hpp
+++ b/src/net/watch.hpp
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "config/json_stream_splitter.hpp"
-#include "front/front.hpp"
+#include "gateway_core/gateway_core.hpp"
 #include "http/message.hpp"
 #include "net/connection.hpp"
 
@@ -62,7 +62,7 @@
   Watch(Loop&, std::string address, std::uint64_t from, Duration connectTimeout, Duration drainGrace,
         std::uint64_t seed);
 
-  void serve(front::Front& front);
+  void serve(core::GatewayCore& core);
   // From now on the list comes from here, on from the last generation. Throws std::invalid_argument.
   void moveTo(const std::string& address);
 
@@ -75,13 +75,13 @@
   bool take(std::string line);
 
   Loop& loop_;
-  front::Front* front_ = nullptr;
+  core::GatewayCore* core_ = nullptr;
   std::string address_;
   SocketAddress peer_;
   std::uint64_t generation_;
   Duration connectTimeout_, drainGrace_;
   SlotRef link_{};
-  front::Deadlines::Ticket again_{};
+  core::DeadlineQueue::Ticket again_{};
   bool silent_ = false;
   int failures_ = 0, lists_ = 0;  // in a row; lists asked for since a watch was
   std::ranlux24_base chance_;
--- a/src/policy/decision_engine.cpp
+++ b/src/policy/decision_engine.cpp
@@ -1,4 +1,4 @@
-// Every decision of a gateway. Whoever hosts it (src/front, for sockets and for the bench) makes one
+// Every decision of a gateway. Whoever hosts it (src/gateway_core, for sockets and for the bench) makes one
 // DecisionEngine per process, calls one member per input, in order and with the time, and carries out what
 // comes through DecisionSink. The interface is src/policy_api/decision_engine.hpp; the words in it are in
 // src/terms.hpp, src/ids.hpp and src/moment.hpp.
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -7,7 +7,7 @@
 using namespace merlinbridge;
 using namespace merlinbridge::emulator;
 using namespace std::chrono_literals;
-using front::SlotRef;
+using core::SlotRef;
 
 namespace {
 
@@ -62,13 +62,14 @@
 // A doorman that breaks one rule on purpose and is otherwise plain.
 class Breaker final : public Doorman {
  public:
-  Breaker(Rule rule, const config::GatewayConfig& config, front::Deadlines& deadlines, front::Ways& ways)
-      : rule_(rule), deadlines_(deadlines), ways_(ways) {
+  Breaker(Rule rule, const config::GatewayConfig& config, core::DeadlineQueue& deadlines,
+          core::Transport& transport)
+      : rule_(rule), deadlines_(deadlines), transport_(transport) {
     for (const auto& line : config.known.entries)
       if (line.serving) hosts_.push_back(line.address);
   }
   void requestArrived(TimePoint now, SlotRef client, const Request& a) override {
-    if (hosts_.empty()) return ways_.answerRejected(client, Duration{0});
+    if (hosts_.empty()) return transport_.answerRejected(client, Duration{0});
     if (rule_ == Rule::lost && ++lost_ % 10 == 0) return;  // never answered
     const RequestId requestId{++last_};
     // The ceiling rule is broken by letting all in, the drain and cold rules by staying with what was first
@@ -76,40 +77,41 @@
     const std::size_t host = rule_ == Rule::drain  ? 0
                              : rule_ == Rule::cold ? hosts_.size() - 1
                                                    : last_ % hosts_.size();
-    const auto sent = ways_.startAttempt(requestId, {0}, client, {static_cast<std::uint32_t>(host)},
-                                         {a.deadline, TimePoint::max()});
+    const auto sent = transport_.startAttempt(requestId, {0}, client, {static_cast<std::uint32_t>(host)},
+                                              {a.deadline, TimePoint::max()});
     requests_[requestId.value] = {client, a.method, 0, std::get<SlotRef>(sent)};
     deadlines_.add(std::max(now, a.deadline - 50ms), [this, requestId](TimePoint) {
       const auto at = requests_.find(requestId.value);
       if (at == requests_.end()) return;
       const Held held = at->second;
       requests_.erase(at);
-      ways_.giveUp(held.client, {held.no}, held.link);
-      ways_.answerFailed(held.client);
+      transport_.closeAttempt(held.client, {held.no}, held.link);
+      transport_.answerFailed(held.client);
     });
   }
   void clientLeft(TimePoint, SlotRef) override {}
   void attemptEnded(TimePoint, RequestId requestId, AttemptNumber, Outcome outcome,
-                    const front::Said& said) override {
+                    const core::UpstreamResponse& response) override {
     const auto at = requests_.find(requestId.value);
     if (at == requests_.end()) return;
     Held& held = at->second;
     if (outcome == Outcome::ok) {
       const SlotRef client = held.client;
       requests_.erase(at);
-      ways_.answerOk(client, said.body, said.type);
-      if (rule_ == Rule::lost && last_ % 7 == 0) ways_.answerFailed(client);  // and once more
+      transport_.answerOk(client, response.body, response.type);
+      if (rule_ == Rule::lost && last_ % 7 == 0) transport_.answerFailed(client);  // and once more
       return;
     }
     if (rule_ == Rule::twice && held.no == 0) {  // whatever the method
-      const auto sent =
-          ways_.startAttempt(requestId, {++held.no}, held.client, {0}, {TimePoint::max(), TimePoint::max()});
+      const auto sent = transport_.startAttempt(requestId, {++held.no}, held.client, {0},
+                                                {TimePoint::max(), TimePoint::max()});
       if (const SlotRef* const link = std::get_if<SlotRef>(&sent)) held.link = *link;
       return;
     }
     const SlotRef client = held.client;
     requests_.erase(at);
-    outcome == Outcome::rejected ? ways_.answerRejected(client, Duration{0}) : ways_.answerFailed(client);
+    outcome == Outcome::rejected ? transport_.answerRejected(client, Duration{0})
+                                 : transport_.answerFailed(client);
   }
   void counted(TimePoint, const CountName&, CountEnd, double, Duration) override {}
   void endpointsUpdated(TimePoint, const config::EndpointList& endpoints) override {
@@ -131,8 +133,8 @@
     SlotRef link;
   };
   const Rule rule_;
-  front::Deadlines& deadlines_;
-  front::Ways& ways_;
+  core::DeadlineQueue& deadlines_;
+  core::Transport& transport_;
   std::vector<std::string> hosts_;
   std::map<std::uint64_t, Held> requests_;
   std::uint64_t last_ = 0, lost_ = 0;
@@ -245,10 +247,11 @@
   for (const Case& one : cases) {
     INFO(wordOf(one.rule));
     const Scenario s = readScenario(kPlain + one.faults, "s.toml", one.changes);
-    const Tally t = play(
-        s, 1, Policy::module,
-        [&](const config::GatewayConfig& config, TimePoint, front::Deadlines& deadlines, front::Ways& ways,
-            const Truth&) { return std::make_unique<Breaker>(one.rule, config, deadlines, ways); });
+    const Tally t = play(s, 1, Policy::module,
+                         [&](const config::GatewayConfig& config, TimePoint, core::DeadlineQueue& deadlines,
+                             core::Transport& transport, const Truth&) {
+                           return std::make_unique<Breaker>(one.rule, config, deadlines, transport);
+                         });
     CHECK(t.breaches[static_cast<std::size_t>(one.rule)] > 0);
     bool named = false;
     for (const Breach& b : t.first)
--- a/tests/front_test.cpp
+++ b/tests/gateway_core_test.cpp
@@ -1,4 +1,4 @@
-#include "front/front.hpp"
+#include "gateway_core/gateway_core.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -6,12 +6,12 @@
 
 using namespace merlinbridge;
 using namespace merlinbridge::testing;
-using front::SlotRef;
+using core::SlotRef;
 
 namespace {
 
 // Writes down what the core has done, and answers attempts with links numbered from 1.
-struct Written final : front::Ways {
+struct Written final : core::Transport {
   void answerOk(SlotRef, std::string_view body, std::string_view) override {
     answers.push_back("ok " + std::string(body));
   }
@@ -23,12 +23,14 @@
     if (atOnce) return *atOnce;
     return SlotRef{static_cast<std::uint32_t>(calls.size()), 1};
   }
-  bool giveUp(SlotRef, AttemptNumber, SlotRef link) override { return givenUp.push_back(link.slot), true; }
+  bool closeAttempt(SlotRef, AttemptNumber, SlotRef link) override {
+    return givenUp.push_back(link.slot), true;
+  }
   bool unwritten(SlotRef link) override { return dialling.contains(link.slot); }
   bool clientThere(SlotRef) override { return there; }
   void probe(HostId) override {}
   void count(const CountName&, double, Duration) override {}
-  void hostGone(HostId host) override { gone.push_back(host.value); }
+  void hostUnavailable(HostId host) override { gone.push_back(host.value); }
   void note(const std::string& line) override { notes.push_back(line); }
 
   struct Call {
@@ -62,17 +64,17 @@
 
 struct Core {
   explicit Core(int hosts = 2) : Core(plainConfig(hosts)) {}
-  explicit Core(const config::GatewayConfig& config) : front(config, now, deadlines, ways) {}
+  explicit Core(const config::GatewayConfig& config) : core(config, now, deadlines, transport) {}
   RequestId ask(std::uint32_t method, Duration patience = 1s) {
-    return front.requestArrived(now, {0, 1}, {{}, {++customers}, {1}, {method}, now + patience, 1, 1});
+    return core.requestArrived(now, {0, 1}, {{}, {++customers}, {1}, {method}, now + patience, 1, 1});
   }
   void pass(Duration span) { deadlines.run(now += span); }
 
   std::uint64_t customers = 0;
   TimePoint now{1'700'000'000s};
-  front::Deadlines deadlines;
-  Written ways;
-  front::Front front;
+  core::DeadlineQueue deadlines;
+  Written transport;
+  core::GatewayCore core;
 };
 
 }  // namespace
@@ -80,33 +82,33 @@
 TEST_CASE("a host's answer goes to the client once, whatever comes after it") {
   Core core;
   const RequestId requestId = core.ask(0);
-  core.front.attemptEnded(core.now, requestId, {0}, Outcome::ok, {"body", {}, 0, {}});
-  core.front.attemptEnded(core.now, requestId, {0}, Outcome::ok, {"again", {}, 0, {}});
-  core.front.clientLeft(core.now, requestId);
+  core.core.attemptEnded(core.now, requestId, {0}, Outcome::ok, {"body", {}, 0, {}});
+  core.core.attemptEnded(core.now, requestId, {0}, Outcome::ok, {"again", {}, 0, {}});
+  core.core.clientLeft(core.now, requestId);
   core.pass(2s);
-  CHECK(core.ways.answers == std::vector<std::string>{"ok body"});
-  CHECK(core.front.unanswered() == 0);
+  CHECK(core.transport.answers == std::vector<std::string>{"ok body"});
+  CHECK(core.core.unanswered() == 0);
 }
 
-TEST_CASE("what comes late for an earlier tenant of a slot is not taken for the later one's") {
+TEST_CASE("what comes late for an earlier generation of a slot is not taken for the later one's") {
   Core core;
   const RequestId first = core.ask(0);
-  core.front.attemptEnded(core.now, first, {0}, Outcome::ok, {"one", {}, 0, {}});
+  core.core.attemptEnded(core.now, first, {0}, Outcome::ok, {"one", {}, 0, {}});
   const RequestId second = core.ask(0);
   CHECK((first.value & 0xffffffff) == (second.value & 0xffffffff));
-  core.front.attemptEnded(core.now, first, {0}, Outcome::ok, {"late", {}, 0, {}});
-  CHECK(core.ways.answers.size() == 1);
-  CHECK(core.front.unanswered() == 1);
+  core.core.attemptEnded(core.now, first, {0}, Outcome::ok, {"late", {}, 0, {}});
+  CHECK(core.transport.answers.size() == 1);
+  CHECK(core.core.unanswered() == 1);
 }
 
 TEST_CASE("a request is answered before its client gives up, and what is out for it is given up") {
   Core core;
   core.ask(3);
   core.pass(983ms);
-  CHECK(core.ways.answers.empty());
+  CHECK(core.transport.answers.empty());
   core.pass(1ms);  // the slack before the deadline
-  CHECK(core.ways.answers == std::vector<std::string>{"failed"});
-  CHECK(core.ways.givenUp == std::vector<std::uint32_t>{1});
+  CHECK(core.transport.answers == std::vector<std::string>{"failed"});
+  CHECK(core.transport.givenUp == std::vector<std::uint32_t>{1});
 }
 
 TEST_CASE("the loop's own delay comes off the time that a request has") {
@@ -115,7 +117,7 @@
   core.pass(100ms);  // it came 100 ms late
   core.ask(3);
   core.pass(885ms);
-  CHECK(core.ways.answers == std::vector<std::string>{"failed"});
+  CHECK(core.transport.answers == std::vector<std::string>{"failed"});
 }
 
 TEST_CASE("a stall of the loop that has not ended yet comes off it too") {
@@ -124,116 +126,117 @@
   core.now += 510ms;  // the request may have waited as long
   core.ask(3);
   core.pass(485ms);
-  CHECK(core.ways.answers == std::vector<std::string>{"failed"});
+  CHECK(core.transport.answers == std::vector<std::string>{"failed"});
 }
 
 TEST_CASE("a host that has started again loses the connections that rest towards it") {
   Core core;
   config::Endpoint back = line("h1");
   back.started = 1'700'000'000s;
-  core.front.endpointsUpdated(core.now, {2, false, {line("h0"), back}});
-  CHECK(core.ways.gone == std::vector<std::uint32_t>{1});
+  core.core.endpointsUpdated(core.now, {2, false, {line("h0"), back}});
+  CHECK(core.transport.gone == std::vector<std::uint32_t>{1});
 }
 
 TEST_CASE("an attempt that ends at once is told after the module has had its say") {
   Core core;
-  core.ways.atOnce = Outcome::noConnection;
+  core.transport.atOnce = Outcome::noConnection;
   core.ask(3);  // non-idempotent, but none of its attempts ran
-  CHECK(core.ways.calls.size() == 2);
-  CHECK(core.ways.answers == std::vector<std::string>{"rejected"});
-  CHECK(core.front.unanswered() == 0);
+  CHECK(core.transport.calls.size() == 2);
+  CHECK(core.transport.answers == std::vector<std::string>{"rejected"});
+  CHECK(core.core.unanswered() == 0);
 }
 
 TEST_CASE("a client that has left gets no answer, and nothing more is sent for it") {
   Core core;
   const RequestId requestId = core.ask(0);
-  core.front.clientLeft(core.now, requestId);
-  core.front.attemptEnded(core.now, requestId, {0}, Outcome::noConnection);
+  core.core.clientLeft(core.now, requestId);
+  core.core.attemptEnded(core.now, requestId, {0}, Outcome::noConnection);
   core.pass(2s);
-  CHECK(core.ways.calls.size() == 1);
-  CHECK(core.ways.answers.empty());
+  CHECK(core.transport.calls.size() == 1);
+  CHECK(core.transport.answers.empty());
 }
 
 TEST_CASE("hosts that are gone, or missing from a whole list, are asked no more") {
   Core core(3);
-  core.front.endpointsUpdated(core.now, {2, false, {line("h0", false)}});
-  core.front.endpointsUpdated(core.now, {3, true, {line("h2")}});
-  CHECK(core.ways.gone == std::vector<std::uint32_t>{0, 1});
+  core.core.endpointsUpdated(core.now, {2, false, {line("h0", false)}});
+  core.core.endpointsUpdated(core.now, {3, true, {line("h2")}});
+  CHECK(core.transport.gone == std::vector<std::uint32_t>{0, 1});
   for (int n = 0; n < 6; ++n) core.ask(0);
-  CHECK(
-      std::all_of(core.ways.calls.begin(), core.ways.calls.end(), [](auto& c) { return c.host.value == 2; }));
+  CHECK(std::all_of(core.transport.calls.begin(), core.transport.calls.end(),
+                    [](auto& c) { return c.host.value == 2; }));
 }
 
 TEST_CASE("hosts' numbers stay bounded while hosts come and go") {
   Core core(1);
   for (int n = 0; n < 9000; ++n) {
-    core.front.endpointsUpdated(core.now, {2, false, {line("n" + std::to_string(n))}});
-    core.front.endpointsUpdated(core.now, {3, false, {line("n" + std::to_string(n), false)}});
+    core.core.endpointsUpdated(core.now, {2, false, {line("n" + std::to_string(n))}});
+    core.core.endpointsUpdated(core.now, {3, false, {line("n" + std::to_string(n), false)}});
   }
-  core.front.endpointsUpdated(core.now, {4, true, {line("last")}});
+  core.core.endpointsUpdated(core.now, {4, true, {line("last")}});
   core.ask(0);
-  REQUIRE(core.ways.calls.size() == 1);
-  CHECK(core.ways.calls[0].host.value < 4096);
-  CHECK(core.ways.notes.empty());
+  REQUIRE(core.transport.calls.size() == 1);
+  CHECK(core.transport.calls[0].host.value < 4096);
+  CHECK(core.transport.notes.empty());
 }
 
 TEST_CASE("the number of a host long gone goes to a new one, and nothing of the old is left to it") {
   Core core;
   for (int n = 0; n < 300; ++n) {
-    core.front.endpointsUpdated(core.now, {2, false, {line("n" + std::to_string(n))}});
-    core.ways.gone.clear();
-    core.front.endpointsUpdated(core.now, {3, false, {line("n" + std::to_string(n), false)}});
+    core.core.endpointsUpdated(core.now, {2, false, {line("n" + std::to_string(n))}});
+    core.transport.gone.clear();
+    core.core.endpointsUpdated(core.now, {3, false, {line("n" + std::to_string(n), false)}});
     core.now += 1s;
   }
-  core.ways.gone.clear();
-  core.front.endpointsUpdated(core.now, {4, true, {line("last")}});
+  core.transport.gone.clear();
+  core.core.endpointsUpdated(core.now, {4, true, {line("last")}});
   core.ask(0);
-  REQUIRE(core.ways.calls.size() == 1);
-  const std::uint32_t number = core.ways.calls[0].host.value;
+  REQUIRE(core.transport.calls.size() == 1);
+  const std::uint32_t number = core.transport.calls[0].host.value;
   CHECK(number < 10);
-  CHECK(std::count(core.ways.gone.begin(), core.ways.gone.end(), number) == 1);  // what rests there may go
+  CHECK(std::count(core.transport.gone.begin(), core.transport.gone.end(), number) ==
+        1);  // what rests there may go
 }
 
 TEST_CASE("a thousand hosts and gateways are borne, and so is the replacement of all of them") {
   config::GatewayConfig config = plainConfig(1024);
   config.settings.gateways = 1024;
-  Written ways;
-  front::Deadlines deadlines;
+  Written transport;
+  core::DeadlineQueue deadlines;
   const TimePoint now{1'700'000'000s};
-  front::Front front(config, now, deadlines, ways);
+  core::GatewayCore core(config, now, deadlines, transport);
   config::EndpointList all{2, true, {}};
   for (int h = 0; h < 1024; ++h) all.entries.push_back(line("new" + std::to_string(h)));
-  front.endpointsUpdated(now, all);
+  core.endpointsUpdated(now, all);
   for (std::uint64_t n = 0; n < 200; ++n) {
-    const RequestId requestId = front.requestArrived(now, {0, 1}, {{}, {n + 1}, {1}, {0}, now + 1s, 1, 1024});
-    front.attemptEnded(now, requestId, {0}, Outcome::ok, {"body", {}, 0, {}});
+    const RequestId requestId = core.requestArrived(now, {0, 1}, {{}, {n + 1}, {1}, {0}, now + 1s, 1, 1024});
+    core.attemptEnded(now, requestId, {0}, Outcome::ok, {"body", {}, 0, {}});
   }
-  CHECK(ways.calls.size() == 200);
+  CHECK(transport.calls.size() == 200);
   std::vector<std::uint32_t> asked;
-  for (const auto& call : ways.calls) {
-    CHECK(front.nameOf(call.host).starts_with("new"));
+  for (const auto& call : transport.calls) {
+    CHECK(core.nameOf(call.host).starts_with("new"));
     asked.push_back(call.host.value);
   }
   std::sort(asked.begin(), asked.end());
   CHECK(std::unique(asked.begin(), asked.end()) - asked.begin() > 150);  // spread, not heaped
-  CHECK(ways.notes.empty());
+  CHECK(transport.notes.empty());
 }
 
 TEST_CASE("told when it ends, the core answers by then, also what was taken before") {
   Core core;
   core.ask(3, 10s);
-  core.front.endBy(core.now + 1s);
+  core.core.endBy(core.now + 1s);
   core.ask(3, 10s);
   core.ask(3, 500ms);
   core.pass(700ms);
-  CHECK(core.ways.answers.size() == 1);
+  CHECK(core.transport.answers.size() == 1);
   core.pass(300ms);
-  CHECK(core.ways.answers == std::vector<std::string>{"failed", "failed", "failed"});
-  CHECK(core.front.unanswered() == 0);
+  CHECK(core.transport.answers == std::vector<std::string>{"failed", "failed", "failed"});
+  CHECK(core.core.unanswered() == 0);
 }
 
 TEST_CASE("due together, the older goes first, and what is added meanwhile waits") {
-  front::Deadlines deadlines;
+  core::DeadlineQueue deadlines;
   std::string order;
   const TimePoint at{1s};
   deadlines.add(at, [&](TimePoint) {
@@ -254,8 +257,8 @@
 TEST_CASE("what a client says of its request is read, or its fault is named") {
   const PolicySettings settings = plainSettings();
   const auto config = plainConfig(1);
-  const front::Words words{
-      front::Names<MethodId>(config.methods), front::Names<PlanId>(config.plans), {}, {}};
+  const core::NameTables words{
+      core::NameTable<MethodId>(config.methods), core::NameTable<PlanId>(config.plans), {}, {}};
   const std::string good =
       "GET /look HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: book\r\nPlan: open\r\nAccount: 00000000b4d65521\r\n"
       "Req-Deadline-Ms: 480\r\nQuota-Info: units=2, spread=3,first=1\r\n\r\n";
@@ -277,7 +280,7 @@
   if (!was.empty()) text.replace(text.find(was), was.size(), is);
   http::Message message(http::Message::Kind::request);
   REQUIRE(message.advance(text.data(), text.size()) == http::Message::Stage::done);
-  const front::Ask ask = front::readAsk(message, words, settings, TimePoint(1s));
+  const core::ParsedRequest ask = core::parseRequest(message, words, settings, TimePoint(1s));
   CHECK(ask.fault == fault);
   if (!fault.empty()) return;
   CHECK(ask.request.method == MethodId{1});
@@ -294,57 +297,58 @@
   const Outcome first = GENERATE(Outcome::error, Outcome::lost, Outcome::noConnection, Outcome::rejected);
   Core core(4);
   const RequestId requestId =
-      core.front.requestArrived(core.now, {0, 1}, {{}, {1}, {1}, {1}, core.now + 1s, 1, 1, marked});
+      core.core.requestArrived(core.now, {0, 1}, {{}, {1}, {1}, {1}, core.now + 1s, 1, 1, marked});
   core.pass(20ms);
-  core.front.attemptEnded(core.now, requestId, {0}, first);
+  core.core.attemptEnded(core.now, requestId, {0}, first);
   const bool ran = first == Outcome::error || first == Outcome::lost;
-  CHECK(core.ways.calls.size() == (ran && !marked ? 1 : 2));
-  if (ran && !marked) CHECK(core.ways.answers == std::vector<std::string>{"failed"});  // no rejection, either
+  CHECK(core.transport.calls.size() == (ran && !marked ? 1 : 2));
+  if (ran && !marked)
+    CHECK(core.transport.answers == std::vector<std::string>{"failed"});  // no rejection, either
 }
 
 TEST_CASE("a client leaves: what is not written yet is given up, what is on its way is left") {
   const bool dialling = GENERATE(true, false);
   Core core;
   const RequestId requestId = core.ask(0);
-  if (dialling) core.ways.dialling.insert(1);
-  core.front.clientLeft(core.now, requestId);
-  CHECK(core.ways.givenUp == (dialling ? std::vector<std::uint32_t>{1} : std::vector<std::uint32_t>{}));
-  CHECK(core.front.holds(requestId) != dialling);
-  CHECK(core.ways.calls.size() == 1);
+  if (dialling) core.transport.dialling.insert(1);
+  core.core.clientLeft(core.now, requestId);
+  CHECK(core.transport.givenUp == (dialling ? std::vector<std::uint32_t>{1} : std::vector<std::uint32_t>{}));
+  CHECK(core.core.holds(requestId) != dialling);
+  CHECK(core.transport.calls.size() == 1);
 }
 
 TEST_CASE("a host is told to drain: what still dials to it goes elsewhere, be the list whole or not") {
   const bool dialling = GENERATE(true, false), whole = GENERATE(true, false);
   Core core;
   core.ask(3);  // not to be repeated
-  const std::uint32_t at = core.ways.calls[0].host.value;
-  if (dialling) core.ways.dialling.insert(1);
+  const std::uint32_t at = core.transport.calls[0].host.value;
+  if (dialling) core.transport.dialling.insert(1);
   config::EndpointList endpoints{2, whole, {}};
   for (std::uint32_t h = 0; h < 2; ++h)
     if (h != at) endpoints.entries.push_back(line("h" + std::to_string(h)));
   if (!whole) endpoints.entries.push_back(line("h" + std::to_string(at), false));
-  core.front.endpointsUpdated(core.now, endpoints);
-  REQUIRE(core.ways.calls.size() == (dialling ? 2 : 1));
-  if (dialling) CHECK(core.ways.calls[1].host.value != at);
+  core.core.endpointsUpdated(core.now, endpoints);
+  REQUIRE(core.transport.calls.size() == (dialling ? 2 : 1));
+  if (dialling) CHECK(core.transport.calls[1].host.value != at);
 }
 
 TEST_CASE("a repeat must be on its way before the hosts forget the first, a first one need not") {
   Core core;
   const RequestId requestId = core.ask(1);
-  CHECK(core.ways.calls[0].deadline.writeBy == TimePoint::max());
+  CHECK(core.transport.calls[0].deadline.writeBy == TimePoint::max());
   const TimePoint first = core.now;
   core.pass(20ms);
-  core.front.attemptEnded(core.now, requestId, {0}, Outcome::error);
-  REQUIRE(core.ways.calls.size() == 2);
-  CHECK(core.ways.calls[1].deadline.writeBy == first + 2s);
+  core.core.attemptEnded(core.now, requestId, {0}, Outcome::error);
+  REQUIRE(core.transport.calls.size() == 2);
+  CHECK(core.transport.calls[1].deadline.writeBy == first + 2s);
 }
 
 TEST_CASE("what is given up at its time and was never written may be asked for again") {
   Core core;
   core.ask(3);
-  core.ways.dialling.insert(1);
+  core.transport.dialling.insert(1);
   core.pass(1s);
-  CHECK(core.ways.answers == std::vector<std::string>{"rejected"});
+  CHECK(core.transport.answers == std::vector<std::string>{"rejected"});
 }
 
 TEST_CASE("no attempt begins for a client that is there no more: no first one, no retry, no hedge") {
@@ -357,18 +361,18 @@
   for (int n = 0; n < 5; ++n) {  // what is usual for a host
     const RequestId requestId = core.ask(0);
     core.pass(10ms);
-    core.front.attemptEnded(core.now, requestId, {0}, Outcome::ok);
+    core.core.attemptEnded(core.now, requestId, {0}, Outcome::ok);
   }
-  const std::size_t before = core.ways.calls.size();
-  if (kind == Kind::first) core.ways.there = stays;
+  const std::size_t before = core.transport.calls.size();
+  if (kind == Kind::first) core.transport.there = stays;
   const RequestId requestId = core.ask(0);
-  core.ways.there = stays;
-  if (kind == Kind::retry) core.front.attemptEnded(core.now, requestId, {0}, Outcome::rejected);
+  core.transport.there = stays;
+  if (kind == Kind::retry) core.core.attemptEnded(core.now, requestId, {0}, Outcome::rejected);
   for (int n = 0; kind == Kind::hedge && n < 30; ++n) core.pass(10ms);
-  const std::size_t begun = core.ways.calls.size() - before;
+  const std::size_t begun = core.transport.calls.size() - before;
   const std::size_t whileThere = kind == Kind::first ? 0 : 1;
   CHECK(begun >= whileThere);
   CHECK((begun > whileThere) == stays);
-  if (!stays && kind == Kind::retry) CHECK_FALSE(core.front.holds(requestId));
-  CHECK(core.front.unanswered() == (stays ? 1u : 0u));
+  if (!stays && kind == Kind::retry) CHECK_FALSE(core.core.holds(requestId));
+  CHECK(core.core.unanswered() == (stays ? 1u : 0u));
 }
--- a/tests/gone_clients_test.cpp
+++ b/tests/gone_clients_test.cpp
@@ -77,9 +77,9 @@
   Far client = d.client();
   std::string ahead;
   while (ahead.size() < 400'000) ahead += Doorstep::request("look");
-  std::size_t said = 0;
+  std::size_t response = 0;
   REQUIRE(d.until([&] {
-    said += client.trySay(std::string_view(ahead).substr(said));
+    response += client.trySay(std::string_view(ahead).substr(response));
     return farm.requests() == 1;
   }));
   // What it could hand over to its own system is still under way when it closes; its end stands behind that.
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -82,7 +82,7 @@
     REQUIRE(::prlimit(pid_, RLIMIT_NOFILE, &limit, nullptr) == 0);
   }
   // Another start of it, to its end: what it said, and its exit status.
-  std::pair<std::string, int> said(const std::vector<std::string>& words) const {
+  std::pair<std::string, int> response(const std::vector<std::string>& words) const {
     const std::string out = folder_ + "/said";
     posix_spawn_file_actions_t files;
     posix_spawn_file_actions_init(&files);
@@ -342,7 +342,7 @@
   Program p;
   const std::string config = p.file("orders.json", p.config());
   const auto checked = [&](const std::string& own) {
-    return p.said({"check", "--orders", config, "--own", p.file("own.toml", own)});
+    return p.response({"check", "--orders", config, "--own", p.file("own.toml", own)});
   };
   auto [text, status] = checked("[log]\nform = \"json\"\n[end]\nstill_coming = \"1s\"\n");
   CHECK(status == 0);
@@ -355,19 +355,19 @@
         std::string::npos);
   CHECK(checked("[end]\nstill_coming = \"9s\"\nmost_life = \"1s\"\n").second == 2);
   CHECK(checked("[end\n").second == 2);
-  CHECK(p.said({"check", "--orders", p.file("orders.json", "{")}).second == 2);
-  CHECK(p.said({"check"}).second == 2);
-  CHECK(p.said({"serve"}).second == 2);
-  CHECK(p.said({"dance"}).second == 2);
-  CHECK(p.said({"--help"}).second == 0);
-  CHECK(p.said({"version"}).first.starts_with("merlinbridge "));
+  CHECK(p.response({"check", "--orders", p.file("orders.json", "{")}).second == 2);
+  CHECK(p.response({"check"}).second == 2);
+  CHECK(p.response({"serve"}).second == 2);
+  CHECK(p.response({"dance"}).second == 2);
+  CHECK(p.response({"--help"}).second == 0);
+  CHECK(p.response({"version"}).first.starts_with("merlinbridge "));
 }
 
 TEST_CASE("an address that is taken ends the start with 1, and lines come as JSON where that is asked for") {
   Program p;
   p.start(p.config(), p.file("own.toml", "[log]\nform = \"json\"\n"));
   REQUIRE(p.logHolds(R"({"level":"info","event":"ready","text":"ready"})"));
-  CHECK(p.said({"serve", "--orders", p.file("orders.json", p.config())}).second == 1);
+  CHECK(p.response({"serve", "--orders", p.file("orders.json", p.config())}).second == 1);
   p.signal(SIGTERM);
   CHECK(p.exitStatus() == 0);
   CHECK(p.log().find(R"("event":"ended")") != std::string::npos);
--- a/tests/standins/reality.cpp
+++ b/tests/standins/reality.cpp
@@ -245,8 +245,8 @@
     way->timer.cancel();
     const int status = way->message.status();
     double advice = 0;
-    const auto said = way->message.get("Retry-After");
-    std::from_chars(said.data(), said.data() + said.size(), advice);
+    const auto response = way->message.get("Retry-After");
+    std::from_chars(response.data(), response.data() + response.size(), advice);
     if (way->message.keepsAlive()) rest_[g].push_back(way);
     if (status == 200) return end(w, true);
     const bool pushed = status == 429 || status == 503;
