--- a/src/main.cpp
+++ b/src/main.cpp
@@ -10,7 +10,7 @@
 #include "config/gateway_config.hpp"
 #include "config/operator_config.hpp"
 #include "config/toml_table.hpp"
-#include "net/gate.hpp"
+#include "net/server.hpp"
 
 namespace merlinbridge {
 namespace {
@@ -59,7 +59,7 @@
   // The signals are caught before the file is read, and heard once it is served: guards against one that
   // comes in between, whose default would end the process.
   Daemon(const Told& told, const config::OperatorConfig& own, Log& log)
-      : told_(told), own_(own), log_(log), loop_(log, clock_), gate_(loop_, begin()) {
+      : told_(told), own_(own), log_(log), loop_(log, clock_), server_(loop_, begin()) {
     ends_.async_wait([this](const net::Error& error, int) {
       if (!error) enter(Phase::leaving);
       loop_.endTurn();
@@ -83,7 +83,7 @@
 
   config::GatewayConfig begin() {
     config::GatewayConfig config = told_.readGatewayConfig();
-    loop_.rideFor(config.step);
+    loop_.coalesceTimersWithin(config.step);
     longestDeadline_ = config.longestDeadline;
     log_(Level::info, "started", config.name, " starts at ", config.listen, " with ",
          config.known.entries.size(), " hosts known");
@@ -107,7 +107,7 @@
     look_ = {};
     try {
       const config::GatewayConfig config = told_.readGatewayConfig();
-      gate_.moveTo(config.discovery, config.counter);
+      server_.moveTo(config.discovery, config.counter);
       log_(Level::info, "orders_taken", "configuration read again: discovery at ", config.discovery,
            ", counter at ", config.counter.empty() ? "none" : config.counter);
     } catch (const std::runtime_error& e) {
@@ -135,24 +135,24 @@
       case Phase::starting:
         break;
       case Phase::serving:
-        gate_.serve();
+        server_.serve();
         log_(Level::info, "ready", "ready");
         break;
       case Phase::leaving:
         answersBy_ =
             loop_.now() + std::max(own_.stillComing,
                                    std::min(own_.stillComing + longestDeadline_, own_.mostLife) - kSpared);
-        gate_.leave(answersBy_);
+        server_.leave(answersBy_);
         log_(Level::info, "leaving", "told to end: not ready, still answering");
         loop_.deadlines.add(loop_.now() + own_.stillComing, [this](TimePoint) { enter(Phase::finishing); });
         break;
       case Phase::finishing:
-        gate_.partRested();
-        log_(Level::info, "finishing", "ends what rests, requests still to answer: ", gate_.unanswered());
+        server_.closeIdle();
+        log_(Level::info, "finishing", "ends what rests, requests still to answer: ", server_.unanswered());
         lookWhetherDone();
         break;
       case Phase::gone:
-        gate_.discard();
+        server_.discard();
         log_(Level::info, "ended", "ends");
         loop_.io.stop();
         break;
@@ -165,9 +165,9 @@
     // taken.
     const TimePoint now = loop_.now();
     if (now >= answersBy_ + kSpared / 3) return enter(Phase::gone);
-    gate_.partRested(kSpared / 3);
-    quietSince_ = gate_.quiet() ? std::min(quietSince_, now) : TimePoint::max();
-    if (gate_.quiet() && (gate_.parted() || now - quietSince_ >= 2 * kSpared) && gate_.shut())
+    server_.closeIdle(kSpared / 3);
+    quietSince_ = server_.quiet() ? std::min(quietSince_, now) : TimePoint::max();
+    if (server_.quiet() && (server_.allClosed() || now - quietSince_ >= 2 * kSpared) && server_.shut())
       return enter(Phase::gone);
     loop_.deadlines.add(loop_.now() + kSpared / 20, [this](TimePoint) { lookWhetherDone(); });
   }
@@ -177,9 +177,9 @@
   Log& log_;
   const net::SystemClock clock_;
   Duration longestDeadline_{};
-  net::Loop loop_;
+  net::EventLoop loop_;
   net::asio::signal_set ends_{loop_.io, SIGTERM, SIGINT}, hangUps_{loop_.io, SIGHUP};
-  net::Gate gate_;
+  net::Server server_;
   Phase phase_ = Phase::starting;
   core::DeadlineQueue::Ticket look_{};
   TimePoint keptOutAt_{}, quietSince_ = TimePoint::max(), answersBy_{};
--- a/src/net/clients.cpp
+++ b/src/net/client_listener.cpp
@@ -1,4 +1,4 @@
-#include "net/clients.hpp"
+#include "net/client_listener.hpp"
 
 #include <fmt/compile.h>
 
@@ -47,10 +47,10 @@
 
 }  // namespace
 
-Client::Client(Loop& loop, Socket socket, Clients& clients)
+ClientConnection::ClientConnection(EventLoop& loop, Socket socket, ClientListener& clients)
     : Connection(loop, std::move(socket)), clients_(clients), since_(loop.now()) {}
 
-void Client::bytesCame() {
+void ClientConnection::bytesCame() {
   if (lingering_) return buffer_.drop(buffer_.size());
   if (!requestId_ && !message_.begun()) since_ = loop_.now();
   if (!requestId_) readOn();
@@ -61,10 +61,10 @@
 // Guards against a client that sends much on ahead and goes: its end stands behind what is not read, and may
 // even wait at its own end for room here. While its request waits, more of it is read, as long as all clients
 // together leave room for that; after that, only an end that has come can be seen.
-void Client::watchEnd() {
+void ClientConnection::watchEnd() {
   if (std::exchange(watchingEnd_, true)) return;
   loop_.deadlines.add(loop_.now() + kLeftHeeded / kLooks, [&loop = loop_, mine = ref()](TimePoint) {
-    auto* const client = loop.find<Client>(mine);
+    auto* const client = loop.find<ClientConnection>(mine);
     if (!client) return;
     client->watchingEnd_ = false;
     if (!client->full()) return;
@@ -78,7 +78,7 @@
 }
 
 // Reads requests as long as there are whole ones and none waits for its answer.
-void Client::readOn() {
+void ClientConnection::readOn() {
   if (std::exchange(reading_, true)) return;
   while (isUp() && !requestId_ && !lingering_ && allWritten() && !buffer_.empty()) {
     const auto stage = message_.advance(buffer_.data(), came());
@@ -97,7 +97,7 @@
   reading_ = false;
 }
 
-void Client::take() {
+void ClientConnection::take() {
   const std::string_view path = message_.target().substr(0, message_.target().find('?'));
   const bool named = !message_.get("Req-Id").empty();
   if (!named && path == "/health/ready")
@@ -117,11 +117,11 @@
   if (std::exchange(asking_, false)) requestId_ = requestId;
 }
 
-void Client::refuse(int status, std::string_view why) {
+void ClientConnection::refuse(int status, std::string_view why) {
   answer(status, "Content-Type: text/plain\r\n", why);
 }
 
-void Client::answer(int status, std::string_view fields, std::string_view body) {
+void ClientConnection::answer(int status, std::string_view fields, std::string_view body) {
   if (!isUp()) return;
   asking_ = false;
   requestId_.reset();
@@ -143,8 +143,8 @@
   if (!allWritten()) watchWait();
 }
 
-void Client::written() {
-  if (lastAnswer_ && !requestId_ && !message_.begun()) return part(clients_.longest_);
+void ClientConnection::written() {
+  if (lastAnswer_ && !requestId_ && !message_.begun()) return halfClose(clients_.maxDeadline_);
   goOnReading();
   if (!reading_ && !buffer_.empty()) readOnSoon();
   if (resting()) clients_.rested();
@@ -152,62 +152,62 @@
 
 // Guards against a request, sent on ahead, that would reach the module while it is still at the answer
 // before.
-void Client::readOnSoon() {
+void ClientConnection::readOnSoon() {
   asio::post(loop_.strand, [&loop = loop_, mine = ref()] {
-    if (auto* const client = loop.find<Client>(mine)) client->readOn();
+    if (auto* const client = loop.find<ClientConnection>(mine)) client->readOn();
     loop.endTurn();
   });
 }
 
 // Guards against a reset that overtakes the last answer: the rest of what the client sends is read, too. What
 // is read from here on was not taken, and is never sent on: the client sees the end and asks elsewhere.
-void Client::part(Duration patience) {
+void ClientConnection::halfClose(Duration patience) {
   if (lingering_ || !isUp()) return;
   lingering_ = true;
-  partsBy_ = loop_.now() + patience;
+  lingerUntil_ = loop_.now() + patience;
   buffer_.drop(buffer_.size());
-  endSending();
+  shutdownSend();
   watchWait();
   goOnReading();
 }
 
-bool Client::full() const {
+bool ClientConnection::full() const {
   return (requestId_ || reading_) && buffer_.size() > std::max(message_.size() + http::kMostHead, mayHold_);
 }
 
 // The end of a client right behind what it sent is its leaving, also where that would be read too late.
-std::size_t Client::readsOnTo() const {
+std::size_t ClientConnection::readsOnTo() const {
   return lingering_ || requestId_ ? 0 : http::kMostHead + http::kMostBody;
 }
 
-TimePoint Client::waitEnds() const {
-  if (lingering_) return partsBy_;
-  if (requestId_) return loop_.now() + clients_.longest_;  // its answer has a deadline of its own
-  return since_ + (message_.begun() || !allWritten() ? clients_.longest_ : clients_.idle_);
+TimePoint ClientConnection::waitEnds() const {
+  if (lingering_) return lingerUntil_;
+  if (requestId_) return loop_.now() + clients_.maxDeadline_;  // its answer has a deadline of its own
+  return since_ + (message_.begun() || !allWritten() ? clients_.maxDeadline_ : clients_.idle_);
 }
 
 // Guards against a reset for a client whose next request crosses the end of its rest.
-void Client::waitedTooLong() {
+void ClientConnection::waitedTooLong() {
   if (lingering_ || !allWritten()) return broken();
   if (message_.begun()) {
     lastAnswer_ = true;
     return refuse(408, "the rest of the request did not come\n");
   }
-  if (untouched()) return part(clients_.longest_);
+  if (untouched()) return halfClose(clients_.maxDeadline_);
   since_ = loop_.now();  // it is about to be read
   watchWait();
 }
 
-void Client::broken() {
+void ClientConnection::broken() {
   const auto requestId = std::exchange(requestId_, std::nullopt);
   clients_.closed(ref());
-  loop_.bury(ref());
+  loop_.closeDeferred(ref());
   if (requestId) clients_.core_->clientLeft(loop_.now(), *requestId);
 }
 
-Clients::Clients(Loop& loop, const SocketAddress& at, std::size_t most, Duration idle,
-                 Duration longestDeadline)
-    : loop_(loop), acceptor_(loop.strand), most_(most), idle_(idle), longest_(longestDeadline) {
+ClientListener::ClientListener(EventLoop& loop, const SocketAddress& at, std::size_t most, Duration idle,
+                               Duration longestDeadline)
+    : loop_(loop), acceptor_(loop.strand), most_(most), idle_(idle), maxDeadline_(longestDeadline) {
   acceptor_.open(at.protocol());
   acceptor_.set_option(asio::socket_base::reuse_address(true));
   acceptor_.bind(at);
@@ -215,12 +215,12 @@
   acceptor_.non_blocking(true);
 }
 
-void Clients::serve(core::GatewayCore& core) {
+void ClientListener::serve(core::GatewayCore& core) {
   core_ = &core;
   acceptStep({});
 }
 
-void Clients::acceptStep(Error error) {
+void ClientListener::acceptStep(Error error) {
   if (!acceptor_.is_open()) return;
   const auto resume = [this](const Error& e) {
     acceptStep(e);
@@ -252,35 +252,35 @@
         // Out of descriptors after all: it goes on when one has been given back.
         loop_.log(Level::warning, "accept_paused", "accepting pauses: ", error.message());
         paused_ = true;
-        loop_.deadlines.add(loop_.now() + longest_, [this](TimePoint) { goOnAccepting(); });
+        loop_.deadlines.add(loop_.now() + maxDeadline_, [this](TimePoint) { goOnAccepting(); });
         yield return;
       }
     }
   }
 }
 
-void Clients::welcome(Socket socket) {
-  Client& client = loop_.open<Client>(std::move(socket), *this);
+void ClientListener::welcome(Socket socket) {
+  ClientConnection& client = loop_.open<ClientConnection>(std::move(socket), *this);
   all_.push_back(client.ref());
   client.start();
 }
 
-void Clients::goOnAccepting() {
+void ClientListener::goOnAccepting() {
   if (std::exchange(paused_, false)) acceptStep({});
 }
 
-void Clients::closed(SlotRef ref) {
+void ClientListener::closed(SlotRef ref) {
   std::erase(all_, ref);
   if (paused_) goOnAcceptingSoon();
 }
 
 // Guards against a client that waits at the door for ever: all places were taken by requests when it came,
 // and now rest.
-void Clients::rested() {
+void ClientListener::rested() {
   if (paused_ && all_.size() >= most_) goOnAcceptingSoon();
 }
 
-void Clients::goOnAcceptingSoon() {
+void ClientListener::goOnAcceptingSoon() {
   asio::post(loop_.strand, [this] {
     goOnAccepting();
     loop_.endTurn();
@@ -291,54 +291,54 @@
 // that it was not enough. Guards against a crowd of idle clients that lets in one newcomer in a round trip,
 // or in a patience where they do not close, while the others' time runs out at the door. What has come and is
 // not yet read is a request that was taken.
-void Clients::makeRoom() {
-  std::vector<Client*> resting;
+void ClientListener::makeRoom() {
+  std::vector<ClientConnection*> resting;
   std::size_t closing = 0;
   for (const SlotRef ref : all_) {
-    Client* const client = loop_.find<Client>(ref);
+    ClientConnection* const client = loop_.find<ClientConnection>(ref);
     if (client && client->lingering()) ++closing;
     if (client && client->resting()) resting.push_back(client);
   }
   if (closing >= roomWanted_) return;
   std::sort(resting.begin(), resting.end(),
-            [](const Client* a, const Client* b) { return a->since() < b->since(); });
-  for (Client* const client : resting) {
+            [](const ClientConnection* a, const ClientConnection* b) { return a->since() < b->since(); });
+  for (ClientConnection* const client : resting) {
     if (closing >= roomWanted_) break;
     if (!client->untouched()) continue;
-    client->part(longest_ / kRoomPatience);
+    client->halfClose(maxDeadline_ / kRoomPatience);
     ++closing;
   }
   roomWanted_ = std::min(2 * roomWanted_, std::max<std::size_t>(1, most_ / kRoomShare));
 }
 
-std::size_t Clients::held() {
+std::size_t ClientListener::held() {
   std::size_t bytes = 0;
   for (const SlotRef ref : all_)
-    if (const Client* const client = loop_.find<Client>(ref)) bytes += client->held();
+    if (const ClientConnection* const client = loop_.find<ClientConnection>(ref)) bytes += client->held();
   return bytes;
 }
 
-bool Clients::quiet() {
+bool ClientListener::quiet() {
   return std::all_of(all_.begin(), all_.end(), [this](SlotRef ref) {
-    const Client* const client = loop_.find<Client>(ref);
+    const ClientConnection* const client = loop_.find<ClientConnection>(ref);
     return !client || client->resting() || client->lingering();
   });
 }
 
-void Clients::leave(TimePoint by) {
+void ClientListener::leave(TimePoint by) {
   ready_ = false, leaving_ = true;
   lastBy_ = by;
 }
 
-void Clients::partRested(Duration since) {
+void ClientListener::closeIdle(Duration since) {
   for (const SlotRef ref : std::vector(all_))
-    if (Client* const client = loop_.find<Client>(ref);
+    if (ClientConnection* const client = loop_.find<ClientConnection>(ref);
         client && client->resting() && loop_.now() - client->since() >= since && client->untouched())
-      client->part(longest_);
+      client->halfClose(maxDeadline_);
 }
 
 // Guards against requests on connections that the system has accepted and this has not: they are taken, too.
-bool Clients::shut() {
+bool ClientListener::shut() {
   Error error;
   bool came = false;
   while (acceptor_.is_open() && all_.size() < most_) {
@@ -352,9 +352,9 @@
   return !came;
 }
 
-void Clients::discard() {
+void ClientListener::discard() {
   for (const SlotRef ref : all_)
-    if (Client* const client = loop_.find<Client>(ref)) client->discard();
+    if (ClientConnection* const client = loop_.find<ClientConnection>(ref)) client->discard();
 }
 
 }  // namespace merlinbridge::net
--- a/src/net/clients.hpp
+++ b/src/net/client_listener.hpp
@@ -9,12 +9,12 @@
 
 namespace merlinbridge::net {
 
-class Clients;
+class ClientListener;
 
 // A client's connection: one request at a time, whose message stays in the buffer until it has its answer.
-class Client final : public Connection {
+class ClientConnection final : public Connection {
  public:
-  Client(Loop&, Socket, Clients&);
+  ClientConnection(EventLoop&, Socket, ClientListener&);
 
   // Guards against views into a buffer that has moved since, as what the client sends on ahead makes it do.
   const http::Message& asked() {
@@ -26,7 +26,7 @@
   TimePoint since() const { return since_; }
   bool lingering() const { return lingering_; }
   std::size_t held() const { return buffer_.size(); }
-  void part(
+  void halfClose(
       Duration patience);  // ends in good order: nothing more is sent, what still comes is read for nobody
 
  private:
@@ -44,34 +44,35 @@
   void refuse(int status, std::string_view why);
   void watchEnd();
 
-  Clients& clients_;
+  ClientListener& clients_;
   http::Message message_{http::Message::Kind::request};
   std::optional<RequestId> requestId_;
   bool reading_ = false, asking_ = false, lastAnswer_ = false, lingering_ = false;
   bool watchingEnd_ = false;
-  std::size_t mayHold_ = 0;  // where it may send on more ahead than others
-  TimePoint since_;          // the present wait began
-  TimePoint partsBy_ = {};   // while it lingers
+  std::size_t mayHold_ = 0;     // where it may send on more ahead than others
+  TimePoint since_;             // the present wait began
+  TimePoint lingerUntil_ = {};  // while it lingers
 };
 
 // The listener and all clients' connections, within their share of the descriptors.
-class Clients {
+class ClientListener {
  public:
-  Clients(Loop&, const SocketAddress& at, std::size_t most, Duration idle, Duration longestDeadline);
+  ClientListener(EventLoop&, const SocketAddress& at, std::size_t most, Duration idle,
+                 Duration longestDeadline);
 
   void serve(core::GatewayCore& core);  // from here on clients are accepted
   void setReady(bool ready) { ready_ = ready; }
   // Every answer is a connection's last, unless more has come on it already; from that time on, each.
   void leave(TimePoint by);
-  void partRested(Duration since = Duration{0});  // ends what has rested for so long
+  void closeIdle(Duration since = Duration{0});  // ends what has rested for so long
   bool shut();         // accepts what has come; true: nothing had, and nothing is any more
   void discard();      // what is unread at the very end
   std::size_t held();  // bytes of all clients
-  bool parted() const { return all_.empty(); }
+  bool allClosed() const { return all_.empty(); }
   bool quiet();  // no client is in the middle of a request or of an answer
 
  private:
-  friend class Client;
+  friend class ClientConnection;
   void acceptStep(Error error);
   void goOnAccepting();
   void goOnAcceptingSoon();
@@ -80,13 +81,13 @@
   void rested();
   void makeRoom();
 
-  Loop& loop_;
+  EventLoop& loop_;
   core::GatewayCore* core_ = nullptr;
   asio::basic_socket_acceptor<asio::ip::tcp, Strand> acceptor_;
   asio::coroutine accepting_;
   bool paused_ = false, ready_ = false, leaving_ = false;
   std::size_t most_, roomWanted_ = 1;
-  Duration idle_, longest_;
+  Duration idle_, maxDeadline_;
   TimePoint lastBy_ = TimePoint::max();
   std::vector<SlotRef> all_;
 };
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -44,7 +44,7 @@
 void Connection::close() {
   Error error;
   up_ = false;
-  if (look_.second) loop_.deadlines.drop(look_);
+  if (waitTimer_.second) loop_.deadlines.drop(waitTimer_);
   socket_.close(error);
 }
 
@@ -60,7 +60,7 @@
   return up_ && mustWait(error);
 }
 
-void Connection::endSending() {
+void Connection::shutdownSend() {
   Error error;
   socket_.shutdown(Socket::shutdown_send, error);
 }
@@ -192,16 +192,16 @@
 
 void Connection::watchWait() {
   const TimePoint at = waitEnds();
-  if (at >= lookAt_) return;
-  if (look_.second) loop_.deadlines.drop(look_);
-  lookAt_ = at;
-  look_ = loop_.deadlines.add(at, [&loop = loop_, ref = ref_.packed()](TimePoint now) {
-    if (Connection* const c = loop.find(SlotRef::unpacked(ref))) c->lookAtWait(now);
+  if (at >= waitTimerAt_) return;
+  if (waitTimer_.second) loop_.deadlines.drop(waitTimer_);
+  waitTimerAt_ = at;
+  waitTimer_ = loop_.deadlines.add(at, [&loop = loop_, ref = ref_.packed()](TimePoint now) {
+    if (Connection* const c = loop.find(SlotRef::unpacked(ref))) c->checkWait(now);
   });
 }
 
-void Connection::lookAtWait(TimePoint now) {
-  lookAt_ = TimePoint::max(), look_ = {};
+void Connection::checkWait(TimePoint now) {
+  waitTimerAt_ = TimePoint::max(), waitTimer_ = {};
   if (waitEnds() <= now) return waitedTooLong();
   watchWait();
 }
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -5,7 +5,7 @@
 #include <string_view>
 
 #include "net/buffer.hpp"
-#include "net/loop.hpp"
+#include "net/event_loop.hpp"
 
 namespace merlinbridge::net {
 
@@ -13,8 +13,8 @@
 // Nothing is read while something waits to be written, so the two never mix.
 class Connection {
  public:
-  explicit Connection(Loop& loop) : loop_(loop), socket_(loop.strand) {}
-  Connection(Loop& loop, Socket socket) : loop_(loop), socket_(std::move(socket)) {}
+  explicit Connection(EventLoop& loop) : loop_(loop), socket_(loop.strand) {}
+  Connection(EventLoop& loop, Socket socket) : loop_(loop), socket_(std::move(socket)) {}
   virtual ~Connection() = default;
 
   SlotRef ref() const { return ref_; }
@@ -48,21 +48,21 @@
 
   void send(std::initializer_list<std::string_view> parts);  // now, and what does not go now in its turn
   void sendLater(std::string_view part);                     // with all else at the end of this turn
-  void endSending();
+  void shutdownSend();
   std::size_t came() const { return buffer_.size() - unsent_; }  // bytes to be read, at the front
   bool allWritten() const { return unsent_ == 0; }
   bool peerEnded() const { return peerEnded_; }  // in good order, by an end of its stream
   void goOnReading();                            // to be called where it may no longer be full
   void watchWait();  // to be called where a wait begins that may end earlier than the one before
 
-  Loop& loop_;
+  EventLoop& loop_;
   Buffer buffer_;
 
  private:
-  friend class Loop;
+  friend class EventLoop;
   // What an operation leaves behind: where to go on, if the connection is still there.
   struct Resume {
-    Loop* loop = nullptr;
+    EventLoop* loop = nullptr;
     SlotRef ref;
     void (Connection::*step)(Error) = nullptr;
     void operator()(const Error& error) const;
@@ -71,7 +71,7 @@
   void readStep(Error error);
   void writeStep(Error error);
   bool pushOut();
-  void lookAtWait(TimePoint now);
+  void checkWait(TimePoint now);
 
   mutable Socket socket_;
   SocketAddress peer_;
@@ -79,8 +79,8 @@
   bool up_ = false, readPaused_ = false, writing_ = false, later_ = false, peerEnded_ = false;
   std::size_t unsent_ = 0;
   asio::coroutine reader_, writer_;
-  TimePoint lookAt_ = TimePoint::max();
-  core::DeadlineQueue::Ticket look_{};
+  TimePoint waitTimerAt_ = TimePoint::max();
+  core::DeadlineQueue::Ticket waitTimer_{};
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/counter.cpp
+++ b/src/net/counter_client.cpp
@@ -1,4 +1,4 @@
-#include "net/counter.hpp"
+#include "net/counter_client.hpp"
 
 #include <fmt/compile.h>
 
@@ -19,23 +19,23 @@
 
 }  // namespace
 
-CounterLink::CounterLink(Loop& loop, Counter& counter, std::size_t number)
+CounterConnection::CounterConnection(EventLoop& loop, CounterClient& counter, std::size_t number)
     : Connection(loop), counter_(counter), number_(number), heard_(loop.now()) {}
 
-void CounterLink::call(const CountName& name, std::string_view message) {
+void CounterConnection::call(const CountName& name, std::string_view message) {
   const TimePoint now = loop_.now();
   if (calls_.empty()) heard_ = now;
   const std::uint64_t number = first_ + calls_.size();
   calls_.push_back({name, now, {}, false});
   calls_.back().patience =
       loop_.deadlines.add(now + counter_.patience_, [&loop = loop_, mine = ref(), number](TimePoint at) {
-        if (auto* const link = loop.find<CounterLink>(mine)) link->unanswered(at, number);
+        if (auto* const link = loop.find<CounterConnection>(mine)) link->unanswered(at, number);
       });
   sendLater(message);
 }
 
 // Not answered in time: it may have been added all the same. A connection on which nothing comes is replaced.
-void CounterLink::unanswered(TimePoint now, std::uint64_t number) {
+void CounterConnection::unanswered(TimePoint now, std::uint64_t number) {
   if (number < first_ || number - first_ >= calls_.size()) return;
   Call& call = calls_[number - first_];
   if (std::exchange(call.told, true)) return;
@@ -50,20 +50,20 @@
 
 // Guards against a connection that the old address closes under calls, and against calls told to have failed
 // though they will be added: those on their way end by the protocol's table, none is made any more.
-void CounterLink::retire() {
+void CounterConnection::retire() {
   retired_ = true;
   if (!isUp() || mayEnd()) return broken();
   loop_.deadlines.add(loop_.now() + kOldFor * counter_.connectTimeout_,
                       [&loop = loop_, mine = ref()](TimePoint) {
-                        if (auto* const link = loop.find<CounterLink>(mine)) link->broken();
+                        if (auto* const link = loop.find<CounterConnection>(mine)) link->broken();
                       });
 }
 
-bool CounterLink::mayEnd() const {
+bool CounterConnection::mayEnd() const {
   return retired_ && std::all_of(calls_.begin(), calls_.end(), [](const Call& c) { return c.told; });
 }
 
-void CounterLink::bytesCame() {
+void CounterConnection::bytesCame() {
   heard_ = loop_.now();
   // Guards against reading as answers the calls that what is told here leads to: they wait behind.
   while (isUp() && came() > 0) {
@@ -94,12 +94,12 @@
   }
 }
 
-void CounterLink::broken() {
+void CounterConnection::broken() {
   if (loop_.find(ref()) != this) return;
   if (counter_.links_[number_] == ref()) counter_.links_[number_] = {};
   const bool never = !isUp();
   const auto calls = std::exchange(calls_, {});
-  loop_.bury(ref());
+  loop_.closeDeferred(ref());
   const TimePoint now = loop_.now();
   for (const Call& call : calls) {
     if (call.told) continue;
@@ -109,12 +109,13 @@
   }
 }
 
-TimePoint CounterLink::waitEnds() const {
+TimePoint CounterConnection::waitEnds() const {
   if (!isUp()) return heard_ + counter_.connectTimeout_;
   return calls_.empty() ? heard_ + counter_.idle_ : loop_.now() + counter_.idle_;
 }
 
-Counter::Counter(Loop& loop, std::string address, Duration patience, Duration connectTimeout, Duration idle)
+CounterClient::CounterClient(EventLoop& loop, std::string address, Duration patience, Duration connectTimeout,
+                             Duration idle)
     : loop_(loop),
       address_(std::move(address)),
       peer_(counterAt(address_)),
@@ -122,21 +123,21 @@
       connectTimeout_(connectTimeout),
       idle_(idle) {}
 
-void Counter::moveTo(const std::string& address) {
+void CounterClient::moveTo(const std::string& address) {
   const SocketAddress peer = counterAt(address);
   if (address == address_) return;
   address_ = address, peer_ = peer;
   for (const SlotRef old : std::exchange(links_, {}))
-    if (auto* const link = loop_.find<CounterLink>(old)) link->retire();
+    if (auto* const link = loop_.find<CounterConnection>(old)) link->retire();
 }
 
 // The first connection that is free, else the one with the fewest calls on it.
-void Counter::add(const CountName& name, double units, Duration keptFor) {
-  CounterLink* least = nullptr;
+void CounterClient::add(const CountName& name, double units, Duration keptFor) {
+  CounterConnection* least = nullptr;
   for (std::size_t n = 0; n < links_.size() && !(least && least->waiting() == 0); ++n) {
-    auto* link = loop_.find<CounterLink>(links_[n]);
+    auto* link = loop_.find<CounterConnection>(links_[n]);
     if (!link) {
-      link = &loop_.open<CounterLink>(*this, n);
+      link = &loop_.open<CounterConnection>(*this, n);
       links_[n] = link->ref();
       link->connect(peer_);
     }
--- a/src/net/counter.hpp
+++ b/src/net/counter_client.hpp
@@ -10,12 +10,12 @@
 
 namespace merlinbridge::net {
 
-class Counter;
+class CounterClient;
 
 // One connection to the counter: calls are written one after another, their answers come in the same order.
-class CounterLink final : public Connection {
+class CounterConnection final : public Connection {
  public:
-  CounterLink(Loop&, Counter&, std::size_t number);
+  CounterConnection(EventLoop&, CounterClient&, std::size_t number);
 
   void call(const CountName&, std::string_view message);
   std::size_t waiting() const { return calls_.size(); }
@@ -36,7 +36,7 @@
   void unanswered(TimePoint now, std::uint64_t number);
   bool mayEnd() const;
 
-  Counter& counter_;
+  CounterClient& counter_;
   const std::size_t number_;
   http::Message message_{http::Message::Kind::answer};
   std::deque<Call> calls_;
@@ -46,9 +46,9 @@
 };
 
 // The counter service, over few connections.
-class Counter {
+class CounterClient {
  public:
-  Counter(Loop&, std::string address, Duration patience, Duration connectTimeout, Duration idle);
+  CounterClient(EventLoop&, std::string address, Duration patience, Duration connectTimeout, Duration idle);
 
   void serve(core::GatewayCore& core) { core_ = &core; }
   void add(const CountName&, double units, Duration keptFor);
@@ -56,8 +56,8 @@
   void moveTo(const std::string& address);
 
  private:
-  friend class CounterLink;
-  Loop& loop_;
+  friend class CounterConnection;
+  EventLoop& loop_;
   core::GatewayCore* core_ = nullptr;
   std::string address_;
   SocketAddress peer_;
--- a/src/net/watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -1,4 +1,4 @@
-#include "net/watch.hpp"
+#include "net/discovery_watch.hpp"
 
 #include <fmt/format.h>
 
@@ -20,12 +20,12 @@
 
 }  // namespace
 
-WatchLink::WatchLink(Loop& loop, Watch& watch, std::string_view message)
+WatchConnection::WatchConnection(EventLoop& loop, DiscoveryWatch& watch, std::string_view message)
     : Connection(loop), watch_(watch), heard_(loop.now()) {
   send({message});
 }
 
-void WatchLink::bytesCame() {
+void WatchConnection::bytesCame() {
   heard_ = loop_.now();
   if (!inBody_) {
     const auto stage = head_.advance(buffer_.data(), buffer_.size());
@@ -46,7 +46,7 @@
   if (isUp() && (end != http::Chunks::End::more || decoded_ > kMostList)) broken();
 }
 
-void WatchLink::takeLists() {
+void WatchConnection::takeLists() {
   while (isUp()) {
     const std::size_t seen = pieces_.at();
     const bool waited = pieces_.begun();
@@ -71,20 +71,20 @@
   }
 }
 
-void WatchLink::broken() {
+void WatchConnection::broken() {
   if (watch_.link_ != ref()) return;
   const bool refused = head_.stage() == http::Message::Stage::done && head_.status() != 200;
-  loop_.bury(ref());
-  watch_.lost(refused ? AskEnd::refused : AskEnd::silent);
+  loop_.closeDeferred(ref());
+  watch_.lost(refused ? PollResult::refused : PollResult::silent);
 }
 
 // Guards against a watch that is silent for ever, be its machine or the way to it gone.
-TimePoint WatchLink::waitEnds() const {
+TimePoint WatchConnection::waitEnds() const {
   const TimePoint from = pieces_.begun() ? std::min(begunAt_, heard_) : heard_;
   return from + (isUp() ? kBeat + watch_.connectTimeout_ : watch_.connectTimeout_);
 }
 
-ListLink::ListLink(Loop& loop, Watch& watch, std::string_view message)
+PollConnection::PollConnection(EventLoop& loop, DiscoveryWatch& watch, std::string_view message)
     : Connection(loop),
       watch_(watch),
       message_(http::Message::Kind::answer, http::Message::Body::whole, kMostList),
@@ -92,26 +92,26 @@
   send({message});
 }
 
-void ListLink::bytesCame() {
+void PollConnection::bytesCame() {
   const auto stage = message_.advance(buffer_.data(), came());
-  if (stage == http::Message::Stage::bad) return over(AskEnd::silent);
+  if (stage == http::Message::Stage::bad) return over(PollResult::silent);
   if (stage != http::Message::Stage::done) return;
-  if (message_.status() != 200) return over(AskEnd::refused);
-  over(watch_.take(std::string(message_.body())) ? AskEnd::told : AskEnd::silent);
+  if (message_.status() != 200) return over(PollResult::refused);
+  over(watch_.take(std::string(message_.body())) ? PollResult::told : PollResult::silent);
 }
 
-void ListLink::over(AskEnd how) {
+void PollConnection::over(PollResult how) {
   if (watch_.link_ != ref()) return;
-  loop_.bury(ref());
+  loop_.closeDeferred(ref());
   watch_.lost(how);
 }
 
-TimePoint ListLink::waitEnds() const {
+TimePoint PollConnection::waitEnds() const {
   return since_ + kBeat + watch_.connectTimeout_;
 }
 
-Watch::Watch(Loop& loop, std::string address, std::uint64_t from, Duration connectTimeout,
-             Duration drainGrace, std::uint64_t seed)
+DiscoveryWatch::DiscoveryWatch(EventLoop& loop, std::string address, std::uint64_t from,
+                               Duration connectTimeout, Duration drainGrace, std::uint64_t seed)
     : loop_(loop),
       address_(std::move(address)),
       peer_(parseAddress(address_)),
@@ -120,29 +120,29 @@
       drainGrace_(drainGrace),
       chance_(static_cast<std::uint32_t>(seed)) {}
 
-void Watch::serve(core::GatewayCore& core) {
+void DiscoveryWatch::serve(core::GatewayCore& core) {
   core_ = &core;
   open();
 }
 
 // Guards against discovery that rejects watches, as where it bears no more of them: the whole list is told
 // to whoever asks, and every fourth time a watch is asked for once more.
-void Watch::open() {
+void DiscoveryWatch::open() {
   again_ = {};
   const auto ask = [this](std::string_view what) {
     return fmt::format("GET /registry/instances{} HTTP/1.1\r\nHost: {}\r\n\r\n", what, address_);
   };
   Connection* link = nullptr;
   if (lists_ % kWatchEvery == 0) {
-    link = &loop_.open<WatchLink>(*this, ask(fmt::format("?watch=1&from={}", generation_)));
+    link = &loop_.open<WatchConnection>(*this, ask(fmt::format("?watch=1&from={}", generation_)));
   } else {
-    link = &loop_.open<ListLink>(*this, ask(""));
+    link = &loop_.open<PollConnection>(*this, ask(""));
   }
   link_ = link->ref();
   link->connect(peer_);
 }
 
-bool Watch::take(std::string line) {
+bool DiscoveryWatch::take(std::string line) {
   try {
     line.reserve(line.size() + simdjson::SIMDJSON_PADDING);
     simdjson::dom::parser parser;
@@ -160,7 +160,7 @@
   }
 }
 
-void Watch::heard() {
+void DiscoveryWatch::heard() {
   failures_ = 0;
   if (std::exchange(silent_, false))
     loop_.log(Level::info, "discovery_back", "discovery back, last list ", generation_);
@@ -170,18 +170,18 @@
 // it rejects them, the wait doubles up to a few beats, and each draws its own; a list that was told is
 // good for a beat. Where nothing was said at all, the agent may be told of changes the moment after, and
 // these count as told: then the wait stays well under the time in which a drain has to be heeded.
-void Watch::lost(AskEnd how) {
+void DiscoveryWatch::lost(PollResult how) {
   link_ = {};
   const bool wasWatch = lists_ % kWatchEvery == 0;
-  lists_ = wasWatch && how == AskEnd::silent ? 0 : lists_ + 1;
-  if (how != AskEnd::told && !std::exchange(silent_, true))
+  lists_ = wasWatch && how == PollResult::silent ? 0 : lists_ + 1;
+  if (how != PollResult::told && !std::exchange(silent_, true))
     loop_.log(Level::warning, "discovery_lost", "discovery lost: list ", generation_, " stays in force");
   const Duration longest = scaled(kBeat, kRefusedMost);
   const Duration most =
-      how == AskEnd::refused
+      how == PollResult::refused
           ? longest
           : std::clamp(drainGrace_ / 2, std::min(connectTimeout_ / kLeastWait, longest), longest);
-  const Duration wait = how == AskEnd::told
+  const Duration wait = how == PollResult::told
                             ? scaled(kBeat, kToldFor)
                             : std::min(most, connectTimeout_ * (1 << std::min(failures_++, 8)));
   const double drawn = 0.5 + double(chance_()) / double(chance_.max());
@@ -191,11 +191,11 @@
 // Guards against a watch that the old address ends in its own time, with what was told meanwhile missed: the
 // new one is opened at once and tells all since the last generation. Told the same address again, it only
 // makes haste where it would have waited.
-void Watch::moveTo(const std::string& address) {
+void DiscoveryWatch::moveTo(const std::string& address) {
   const SocketAddress peer = parseAddress(address);
   if (address == address_ && link_) return;
   address_ = address, peer_ = peer;
-  if (link_) loop_.bury(std::exchange(link_, {}));
+  if (link_) loop_.closeDeferred(std::exchange(link_, {}));
   if (again_.second) loop_.deadlines.drop(again_);
   failures_ = lists_ = 0;
   open();
--- a/src/net/watch.hpp
+++ b/src/net/discovery_watch.hpp
@@ -11,15 +11,15 @@
 
 namespace merlinbridge::net {
 
-class Watch;
+class DiscoveryWatch;
 
 // How an ask ended: with a list; rejected; or with nothing that could be used.
-enum class AskEnd { told, refused, silent };
+enum class PollResult { told, refused, silent };
 
 // One watch: a chunked answer without end, a line of JSON for each change.
-class WatchLink final : public Connection {
+class WatchConnection final : public Connection {
  public:
-  WatchLink(Loop&, Watch&, std::string_view message);
+  WatchConnection(EventLoop&, DiscoveryWatch&, std::string_view message);
 
  private:
   void connected() override { heard_ = loop_.now(); }
@@ -29,7 +29,7 @@
   void waitedTooLong() override { broken(); }
   void takeLists();
 
-  Watch& watch_;
+  DiscoveryWatch& watch_;
   http::Message head_{http::Message::Kind::answer, http::Message::Body::streamed};
   http::Chunks chunks_;
   bool inBody_ = false;
@@ -39,42 +39,42 @@
 };
 
 // One whole list, asked for where a watch is not to be had.
-class ListLink final : public Connection {
+class PollConnection final : public Connection {
  public:
-  ListLink(Loop&, Watch&, std::string_view message);
+  PollConnection(EventLoop&, DiscoveryWatch&, std::string_view message);
 
  private:
   void bytesCame() override;
-  void broken() override { over(AskEnd::silent); }
+  void broken() override { over(PollResult::silent); }
   TimePoint waitEnds() const override;
-  void waitedTooLong() override { over(AskEnd::silent); }
-  void over(AskEnd);
+  void waitedTooLong() override { over(PollResult::silent); }
+  void over(PollResult);
 
-  Watch& watch_;
+  DiscoveryWatch& watch_;
   http::Message message_;
   const TimePoint since_;
 };
 
 // Discovery: keeps a watch open from the last list that was told; while it has none, it asks for whole lists
 // and now and then for a watch again.
-class Watch {
+class DiscoveryWatch {
  public:
-  Watch(Loop&, std::string address, std::uint64_t from, Duration connectTimeout, Duration drainGrace,
-        std::uint64_t seed);
+  DiscoveryWatch(EventLoop&, std::string address, std::uint64_t from, Duration connectTimeout,
+                 Duration drainGrace, std::uint64_t seed);
 
   void serve(core::GatewayCore& core);
   // From now on the list comes from here, on from the last generation. Throws std::invalid_argument.
   void moveTo(const std::string& address);
 
  private:
-  friend class WatchLink;
-  friend class ListLink;
+  friend class WatchConnection;
+  friend class PollConnection;
   void open();
   void heard();
-  void lost(AskEnd);
+  void lost(PollResult);
   bool take(std::string line);
 
-  Loop& loop_;
+  EventLoop& loop_;
   core::GatewayCore* core_ = nullptr;
   std::string address_;
   SocketAddress peer_;
--- a/src/net/loop.cpp
+++ b/src/net/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "net/loop.hpp"
+#include "net/event_loop.hpp"
 
 #include <boost/asio/ip/address.hpp>
 #include <charconv>
@@ -21,37 +21,38 @@
   return {host, port};
 }
 
-Loop::Loop(Log& lines, const Clock& clock)
+EventLoop::EventLoop(Log& lines, const Clock& clock)
     : strand(io.get_executor()), log(lines), clock_(clock), timer_(strand) {}
-Loop::~Loop() = default;
+EventLoop::~EventLoop() = default;
 
-Connection* Loop::find(SlotRef ref) {
+Connection* EventLoop::find(SlotRef ref) {
   const auto at = connections_.find(ref);
   return at ? at->get() : nullptr;
 }
 
-void Loop::bury(SlotRef ref) {
+void EventLoop::closeDeferred(SlotRef ref) {
   const auto at = connections_.find(ref);
   if (!at) return;
   (*at)->close();
-  buried_.push_back(std::move(*at));
+  closing_.push_back(std::move(*at));
   connections_.drop(ref);
 }
 
-void Loop::endTurn() {
+void EventLoop::endTurn() {
   if (deadlines.next() <= now()) deadlines.run(now());
   // By index: a flush may add to what is still to be flushed.
   for (std::size_t n = 0; n < toFlush_.size(); ++n)  // NOLINT(modernize-loop-convert): grows meanwhile
     if (Connection* const connection = find(toFlush_[n])) connection->flush();
   toFlush_.clear();
-  buried_.clear();
-  if (const TimePoint next = deadlines.next(); next != TimePoint::max() && next + ride_ != armedFor_)
-    arm(next + ride_);
+  closing_.clear();
+  if (const TimePoint next = deadlines.next();
+      next != TimePoint::max() && next + coalesceWithin_ != armedFor_)
+    arm(next + coalesceWithin_);
   turnAt_.reset();
 }
 
 // A turn of its own for a deadline costs more than all else that it does: it comes only where none other did.
-void Loop::arm(TimePoint at) {
+void EventLoop::arm(TimePoint at) {
   armedFor_ = at;
   timer_.expires_after(std::max(Duration{0}, at - clock_.now()));
   timer_.async_wait([this, at](const Error& error) {
--- a/src/net/loop.hpp
+++ b/src/net/event_loop.hpp
@@ -29,12 +29,12 @@
 SocketAddress parseAddress(const std::string& address);
 
 // The one thread's loop: all connections in numbered slots, all deadlines, and what every turn ends with.
-class Loop {
+class EventLoop {
  public:
-  Loop(Log& lines, const Clock&);
-  ~Loop();
-  Loop(const Loop&) = delete;
-  Loop& operator=(const Loop&) = delete;
+  EventLoop(Log& lines, const Clock&);
+  ~EventLoop();
+  EventLoop(const EventLoop&) = delete;
+  EventLoop& operator=(const EventLoop&) = delete;
 
   // The time of this turn, read once.
   TimePoint now() {
@@ -54,9 +54,9 @@
     return made;
   }
   // What is due may wait for so long to ride on a turn that comes for something else.
-  void rideFor(Duration ride) { ride_ = ride; }
+  void coalesceTimersWithin(Duration ride) { coalesceWithin_ = ride; }
   // Closes a connection at once; it lives on until the turn ends.
-  void bury(SlotRef);
+  void closeDeferred(SlotRef);
   void flushLater(SlotRef ref) { toFlush_.push_back(ref); }
   // Every handler ends with it: what is due is done, what was put off is written, the timer is set.
   void endTurn();
@@ -70,10 +70,10 @@
   void arm(TimePoint);
 
   const Clock& clock_;
-  Duration ride_{0};
+  Duration coalesceWithin_{0};
   std::optional<TimePoint> turnAt_;
   core::SlotTable<std::unique_ptr<Connection>> connections_;
-  std::vector<std::unique_ptr<Connection>> buried_;
+  std::vector<std::unique_ptr<Connection>> closing_;
   std::vector<SlotRef> toFlush_;
   asio::basic_waitable_timer<std::chrono::steady_clock, asio::wait_traits<std::chrono::steady_clock>, Strand>
       timer_;
--- a/src/net/gate.cpp
+++ b/src/net/server.cpp
@@ -1,4 +1,4 @@
-#include "net/gate.hpp"
+#include "net/server.hpp"
 
 #include <fmt/compile.h>
 #include <sys/resource.h>
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-Gate::Gate(Loop& loop, const config::GatewayConfig& config)
+Server::Server(EventLoop& loop, const config::GatewayConfig& config)
     : loop_(loop),
       clients_(loop, parseAddress(config.listen), shareOf(config.sockets), config.idle,
                config.longestDeadline),
@@ -40,7 +40,7 @@
              config.drainGrace, config.seed),
       core_(config, loop.now(), loop.deadlines, *this) {}
 
-void Gate::serve() {
+void Server::serve() {
   hosts_.serve(core_);
   counter_.serve(core_);
   watch_.serve(core_);
@@ -48,38 +48,38 @@
   clients_.setReady(true);
 }
 
-void Gate::moveTo(const std::string& discovery, const std::string& counter) {
+void Server::moveTo(const std::string& discovery, const std::string& counter) {
   if (!counter.empty()) parseAddress(counter);
   watch_.moveTo(discovery);
   counter_.moveTo(counter);
 }
 
-void Gate::leave(TimePoint by) {
+void Server::leave(TimePoint by) {
   core_.endBy(by);
   clients_.leave(by);
 }
 
-void Gate::answerOk(SlotRef ref, std::string_view body, std::string_view type) {
-  Client* const client = loop_.find<Client>(ref);
+void Server::answerOk(SlotRef ref, std::string_view body, std::string_view type) {
+  ClientConnection* const client = loop_.find<ClientConnection>(ref);
   if (!client) return;
   if (type.empty() || type.size() > 100) return client->answer(200, "", body);
   client->answer(200, fmt::format(FMT_COMPILE("Content-Type: {}\r\n"), type), body);
 }
 
-void Gate::answerRejected(SlotRef ref, Duration comeBackAfter) {
-  Client* const client = loop_.find<Client>(ref);
+void Server::answerRejected(SlotRef ref, Duration comeBackAfter) {
+  ClientConnection* const client = loop_.find<ClientConnection>(ref);
   if (!client) return;
   if (comeBackAfter <= Duration{0}) return client->answer(429, "", "");
   client->answer(429, fmt::format(FMT_COMPILE("Retry-After: {:.3f}\r\n"), seconds(comeBackAfter)), "");
 }
 
-void Gate::answerFailed(SlotRef ref) {
-  if (Client* const client = loop_.find<Client>(ref)) client->answer(502, "", "");
+void Server::answerFailed(SlotRef ref) {
+  if (ClientConnection* const client = loop_.find<ClientConnection>(ref)) client->answer(502, "", "");
 }
 
-std::variant<SlotRef, Outcome> Gate::startAttempt(RequestId requestId, AttemptNumber no, SlotRef ref,
-                                                  HostId host, AttemptDeadline deadline) {
-  Client* const client = loop_.find<Client>(ref);
+std::variant<SlotRef, Outcome> Server::startAttempt(RequestId requestId, AttemptNumber no, SlotRef ref,
+                                                    HostId host, AttemptDeadline deadline) {
+  ClientConnection* const client = loop_.find<ClientConnection>(ref);
   if (!client) return Outcome::notSent;
   const http::Message& asked = client->asked();
   const std::string_view hop = asked.get("Connection");
@@ -98,12 +98,12 @@
   return hosts_.startAttempt(host, message_, requestId, no, deadline);
 }
 
-bool Gate::clientThere(SlotRef ref) {
-  const Client* const client = loop_.find<Client>(ref);
+bool Server::clientThere(SlotRef ref) {
+  const ClientConnection* const client = loop_.find<ClientConnection>(ref);
   return client && !client->hungUp();
 }
 
-void Gate::count(const CountName& name, double units, Duration keptFor) {
+void Server::count(const CountName& name, double units, Duration keptFor) {
   counter_.add(name, units, keptFor);
 }
 
--- a/src/net/gate.hpp
+++ b/src/net/server.hpp
@@ -3,29 +3,29 @@
 #include <string>
 
 #include "gateway_core/gateway_core.hpp"
-#include "net/clients.hpp"
-#include "net/counter.hpp"
-#include "net/hosts.hpp"
-#include "net/watch.hpp"
+#include "net/client_listener.hpp"
+#include "net/counter_client.hpp"
+#include "net/discovery_watch.hpp"
+#include "net/upstream_pool.hpp"
 
 namespace merlinbridge::net {
 
 // The sockets round the core: carries what it decides to clients, hosts and the counter.
-class Gate final : private core::Transport {
+class Server final : private core::Transport {
  public:
-  Gate(Loop&, const config::GatewayConfig&);
+  Server(EventLoop&, const config::GatewayConfig&);
 
   void serve();  // clients are accepted, discovery is watched
   // Where discovery and the counter are from now on. Throws std::invalid_argument, and then nothing has
   // moved.
   void moveTo(const std::string& discovery, const std::string& counter);
   void leave(TimePoint by);  // not ready; answers what comes, all of it by then
-  void partRested(Duration since = Duration{0}) { clients_.partRested(since); }
+  void closeIdle(Duration since = Duration{0}) { clients_.closeIdle(since); }
   bool shut() { return clients_.shut(); }
   void discard() { clients_.discard(); }
   std::size_t unanswered() const { return core_.unanswered(); }
   bool quiet() { return unanswered() == 0 && clients_.quiet(); }  // all that was taken has its answer
-  bool parted() { return clients_.parted(); }                     // and every client has seen it
+  bool allClosed() { return clients_.allClosed(); }               // and every client has seen it
 
  private:
   void answerOk(SlotRef client, std::string_view body, std::string_view type) override;
@@ -41,11 +41,11 @@
   void hostUnavailable(HostId host) override { hosts_.gone(host); }
   void note(const std::string& line) override { loop_.log(Level::info, "decisions", line); }
 
-  Loop& loop_;
-  Clients clients_;
-  Hosts hosts_;
-  Counter counter_;
-  Watch watch_;
+  EventLoop& loop_;
+  ClientListener clients_;
+  UpstreamPool hosts_;
+  CounterClient counter_;
+  DiscoveryWatch watch_;
   std::string message_;  // the attempt that is being written
   core::GatewayCore core_;
 };
--- a/src/net/hosts.cpp
+++ b/src/net/upstream_pool.cpp
@@ -1,4 +1,4 @@
-#include "net/hosts.hpp"
+#include "net/upstream_pool.hpp"
 
 #include <fmt/format.h>
 
@@ -22,11 +22,11 @@
   return std::max<long>(std::chrono::ceil<std::chrono::milliseconds>(left).count(), 1);
 }
 
-HostLink::HostLink(Loop& loop, Hosts& hosts, HostId host)
+UpstreamConnection::UpstreamConnection(EventLoop& loop, UpstreamPool& hosts, HostId host)
     : Connection(loop), hosts_(hosts), host_(host), since_(loop.now()) {}
 
-std::optional<Outcome> HostLink::carry(std::string_view message, RequestId requestId, AttemptNumber no,
-                                       AttemptDeadline deadline) {
+std::optional<Outcome> UpstreamConnection::carry(std::string_view message, RequestId requestId,
+                                                 AttemptNumber no, AttemptDeadline deadline) {
   doing_ = Doing::attempt, requestId_ = requestId, no_ = no;
   writtenBy_ = deadline.writeBy, giveUp_ = deadline.abandonAt;
   if (!isUp()) {
@@ -43,7 +43,7 @@
   return Outcome::noConnection;  // it broke before the last byte was written
 }
 
-void HostLink::probe(std::string_view message) {
+void UpstreamConnection::probe(std::string_view message) {
   doing_ = Doing::probe;
   writtenBy_ = TimePoint::max();
   since_ = loop_.now();
@@ -51,7 +51,7 @@
   send({message});
 }
 
-void HostLink::bytesCame() {
+void UpstreamConnection::bytesCame() {
   if (doing_ == Doing::nothing) return hosts_.close(ref());  // nothing was asked: stray bytes
   const auto stage = message_.advance(buffer_.data(), came());
   // An answer that cannot be read is no answer that this was kept from: it may have run.
@@ -61,7 +61,7 @@
 
 // Guards against a host that is told of time that has passed while the connection came up: the client no
 // longer has it.
-void HostLink::connected() {
+void UpstreamConnection::connected() {
   if (waiting_.empty()) return;
   std::string message = std::exchange(waiting_, {});
   const std::size_t from = message.find(kDeadlineField) + kDeadlineField.size();
@@ -77,20 +77,20 @@
 }
 
 // Guards against an attempt whose connection comes up after its window, or once its client has gone.
-bool HostLink::mayWrite() const {
+bool UpstreamConnection::mayWrite() const {
   return loop_.now() < writtenBy_ &&
          (doing_ != Doing::attempt || starting_ || hosts_.core_->wants(requestId_));
 }
 
 // By the protocol's table.
-Outcome HostLink::outcomeOf() const {
+Outcome UpstreamConnection::outcomeOf() const {
   const int status = message_.status();
   if (status == 200) return Outcome::ok;
   if ((status == 503 || status == 504) && message_.get("Srv-Declined") == "1") return Outcome::rejected;
   return Outcome::error;
 }
 
-core::UpstreamResponse HostLink::readResponse() const {
+core::UpstreamResponse UpstreamConnection::readResponse() const {
   core::UpstreamResponse response{message_.body(), {}, 0, {}};
   for (std::size_t n = 0; n < message_.fields(); ++n) {
     auto [name, value] = message_.field(n);
@@ -110,7 +110,7 @@
 }
 
 // Guards against an answer without a length that a reset cuts short: only the end of the stream ends it.
-void HostLink::broken() {
+void UpstreamConnection::broken() {
   message_.movedTo(buffer_.data());  // room was made for what did not come
   const bool answered = peerEnded() && message_.begun() && message_.ended() == http::Message::Stage::done;
   if (doing_ == Doing::nothing) return hosts_.close(ref());
@@ -119,7 +119,7 @@
   ended(isUp() && allWritten() ? Outcome::lost : Outcome::noConnection);
 }
 
-void HostLink::ended(Outcome outcome, const core::UpstreamResponse& response) {
+void UpstreamConnection::ended(Outcome outcome, const core::UpstreamResponse& response) {
   const TimePoint now = loop_.now();
   const auto doing = std::exchange(doing_, Doing::nothing);
   if (std::exchange(starting_, false)) return hosts_.close(ref());  // carry() says so
@@ -135,7 +135,7 @@
   if (keeps && outcome == Outcome::ok && loop_.find(mine)) leaveAndRest();
 }
 
-void HostLink::leaveAndRest() {
+void UpstreamConnection::leaveAndRest() {
   buffer_.drop(buffer_.size());
   message_.clear();
   since_ = loop_.now();
@@ -144,7 +144,7 @@
   resting[host_.value].push_back(ref());
 }
 
-TimePoint HostLink::waitEnds() const {
+TimePoint UpstreamConnection::waitEnds() const {
   if (!isUp()) return std::min(since_ + hosts_.connectTimeout_, writtenBy_);
   if (doing_ == Doing::probe) return since_ + hosts_.connectTimeout_;
   // The attempt has a deadline of its own.
@@ -152,7 +152,7 @@
   return since_ + hosts_.idle_;
 }
 
-void HostLink::waitedTooLong() {
+void UpstreamConnection::waitedTooLong() {
   if (doing_ == Doing::nothing) return hosts_.close(ref());
   if (unwritten() && !mayWrite()) return ended(Outcome::notSent);
   // Guards against resting connections to a machine that has vanished: its silence says nothing of theirs.
@@ -164,35 +164,36 @@
 constexpr int kProving = 25;
 
 // A host closes what has rested for the stated time: half of it is on the safe side, and costs nothing.
-Hosts::Hosts(Loop& loop, std::size_t most, Duration idle, Duration connectTimeout)
+UpstreamPool::UpstreamPool(EventLoop& loop, std::size_t most, Duration idle, Duration connectTimeout)
     : loop_(loop),
       most_(most),
       idle_(idle / 2),
       connectTimeout_(connectTimeout),
       proving_(connectTimeout / kProving) {}
 
-std::variant<SlotRef, Outcome> Hosts::startAttempt(HostId host, std::string_view message, RequestId requestId,
-                                                   AttemptNumber no, AttemptDeadline deadline) {
-  HostLink* const link = linkTo(host);
+std::variant<SlotRef, Outcome> UpstreamPool::startAttempt(HostId host, std::string_view message,
+                                                          RequestId requestId, AttemptNumber no,
+                                                          AttemptDeadline deadline) {
+  UpstreamConnection* const link = connectionTo(host);
   if (!link) return Outcome::notSent;
   const SlotRef ref = link->ref();
   if (const auto ended = link->carry(message, requestId, no, deadline)) return *ended;
   return ref;
 }
 
-void Hosts::probe(HostId host) {
-  if (HostLink* const link = linkTo(host))
+void UpstreamPool::probe(HostId host) {
+  if (UpstreamConnection* const link = connectionTo(host))
     link->probe(fmt::format("GET /health/live HTTP/1.1\r\nHost: {}\r\n\r\n", core_->addressOf(host)));
 }
 
 // Guards against a second answer that comes some milliseconds after the first, which would be taken for the
 // answer to the next attempt; and against stray bytes, or an end, that came in this very turn. Hurts a host
 // that is asked again at once: it gets a further connection.
-HostLink* Hosts::linkTo(HostId host) {
+UpstreamConnection* UpstreamPool::connectionTo(HostId host) {
   if (resting_.size() <= host.value) resting_.resize(host.value + 1);
   for (std::size_t n = resting_[host.value].size(); n-- > 0;) {
     const SlotRef ref = resting_[host.value][n];
-    auto* const link = loop_.find<HostLink>(ref);
+    auto* const link = loop_.find<UpstreamConnection>(ref);
     if (link && loop_.now() - link->since() < proving_) continue;
     resting_[host.value].erase(resting_[host.value].begin() + static_cast<std::ptrdiff_t>(n));
     if (link && link->untouched()) return link;
@@ -201,7 +202,7 @@
   if (all_.size() >= most_ && !closeOldest()) return nullptr;
   try {
     const SocketAddress at = parseAddress(core_->addressOf(host));
-    HostLink& link = loop_.open<HostLink>(*this, host);
+    UpstreamConnection& link = loop_.open<UpstreamConnection>(*this, host);
     all_.push_back(link.ref());
     link.connect(at);
     return &link;
@@ -211,33 +212,33 @@
   }
 }
 
-bool Hosts::closeOldest() {
-  HostLink* oldest = nullptr;
+bool UpstreamPool::closeOldest() {
+  UpstreamConnection* oldest = nullptr;
   for (const SlotRef ref : all_) {
-    auto* const link = loop_.find<HostLink>(ref);
+    auto* const link = loop_.find<UpstreamConnection>(ref);
     if (link && link->resting() && (!oldest || link->since() < oldest->since())) oldest = link;
   }
   if (oldest) close(oldest->ref());
   return oldest != nullptr;
 }
 
-void Hosts::close(SlotRef ref) {
+void UpstreamPool::close(SlotRef ref) {
   std::erase(all_, ref);
-  if (const auto* const link = loop_.find<HostLink>(ref); link && link->resting())
+  if (const auto* const link = loop_.find<UpstreamConnection>(ref); link && link->resting())
     std::erase(resting_[link->host().value], ref);
-  loop_.bury(ref);
+  loop_.closeDeferred(ref);
 }
 
-void Hosts::closeAttempt(SlotRef ref) {
+void UpstreamPool::closeAttempt(SlotRef ref) {
   close(ref);
 }
 
-bool Hosts::unwritten(SlotRef ref) {
-  const auto* const link = loop_.find<HostLink>(ref);
+bool UpstreamPool::unwritten(SlotRef ref) {
+  const auto* const link = loop_.find<UpstreamConnection>(ref);
   return link && link->unwritten();
 }
 
-void Hosts::gone(HostId host) {
+void UpstreamPool::gone(HostId host) {
   if (resting_.size() <= host.value) return;
   for (const SlotRef ref : std::exchange(resting_[host.value], {})) close(ref);
 }
--- a/src/net/hosts.hpp
+++ b/src/net/upstream_pool.hpp
@@ -10,16 +10,16 @@
 
 namespace merlinbridge::net {
 
-class Hosts;
+class UpstreamPool;
 
 // The request's field that tells a host how long its answer is waited for, as the gateway writes it.
 inline constexpr std::string_view kDeadlineField = "\r\nReq-Deadline-Ms: ";
 long millisecondsLeft(Duration);  // rounded up, one at least
 
 // A connection to a host: one attempt or probe at a time, between them it rests.
-class HostLink final : public Connection {
+class UpstreamConnection final : public Connection {
  public:
-  HostLink(Loop&, Hosts&, HostId);
+  UpstreamConnection(EventLoop&, UpstreamPool&, HostId);
 
   // What it is to carry, or the outcome that this had at once.
   std::optional<Outcome> carry(std::string_view message, RequestId, AttemptNumber, AttemptDeadline);
@@ -44,7 +44,7 @@
   core::UpstreamResponse readResponse() const;
   void leaveAndRest();
 
-  Hosts& hosts_;
+  UpstreamPool& hosts_;
   const HostId host_;
   http::Message message_{http::Message::Kind::answer};
   Doing doing_ = Doing::nothing;
@@ -56,9 +56,9 @@
 };
 
 // The connections to hosts, kept for the next attempt, within their share of the descriptors.
-class Hosts {
+class UpstreamPool {
  public:
-  Hosts(Loop&, std::size_t most, Duration idle, Duration connectTimeout);
+  UpstreamPool(EventLoop&, std::size_t most, Duration idle, Duration connectTimeout);
 
   void serve(core::GatewayCore& core) { core_ = &core; }
   std::variant<SlotRef, Outcome> startAttempt(HostId, std::string_view message, RequestId, AttemptNumber,
@@ -69,12 +69,12 @@
   void gone(HostId);
 
  private:
-  friend class HostLink;
-  HostLink* linkTo(HostId);
+  friend class UpstreamConnection;
+  UpstreamConnection* connectionTo(HostId);
   bool closeOldest();
   void close(SlotRef);
 
-  Loop& loop_;
+  EventLoop& loop_;
   core::GatewayCore* core_ = nullptr;
   std::size_t most_;
   Duration idle_, connectTimeout_, proving_;
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -33,8 +33,8 @@
       client.far.close();
     }
     d_.settle();
-    CHECK(d_.gate.unanswered() == 0);
-    CHECK(d_.gate.parted());
+    CHECK(d_.server.unanswered() == 0);
+    CHECK(d_.server.allClosed());
   }
 
  private:
@@ -74,8 +74,8 @@
         spoil();
         break;
       case 10:
-        if (below(40) == 0 && !told_) told_ = true, d_.gate.leave(d_.clock.at + 900s);
-        if (told_) d_.gate.partRested();
+        if (below(40) == 0 && !told_) told_ = true, d_.server.leave(d_.clock.at + 900s);
+        if (told_) d_.server.closeIdle();
         break;
       default:
         break;
--- a/tests/gone_clients_test.cpp
+++ b/tests/gone_clients_test.cpp
@@ -67,7 +67,7 @@
   d.pass(200ms);
   if (stays) CHECK(farm.requests() > 0);
   if (!stays) CHECK(farm.requests() == 0);
-  CHECK((d.gate.unanswered() == 0) == !stays);
+  CHECK((d.server.unanswered() == 0) == !stays);
 }
 
 TEST_CASE("no retry begins for a client that sent much ahead and closed, well within 0.1 s") {
@@ -90,7 +90,7 @@
   d.settle();
   d.pass(200ms);
   CHECK(farm.requests() == 0);
-  CHECK(d.gate.unanswered() == 0);
+  CHECK(d.server.unanswered() == 0);
 }
 
 TEST_CASE("what comes up in the turn in which its client closes is not sent") {
@@ -112,7 +112,7 @@
   d.pass(200ms);
   CHECK(connection->read().empty());
   CHECK(connection->ended());
-  CHECK(d.gate.unanswered() == 0);
+  CHECK(d.server.unanswered() == 0);
 }
 
 TEST_CASE("idle clients that fill all places give way to a crowd of newcomers in few turns, closing or not") {
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -174,7 +174,7 @@
   for (Far& client : clients) client.close();
   d.settle();
   CHECK(descriptors() == before - 2 * many);  // their own, and the gateway's ends; nothing dials any more
-  CHECK(d.gate.unanswered() == 0);
+  CHECK(d.server.unanswered() == 0);
 }
 
 TEST_CASE("a repeat that would come up after the hosts have forgotten the first is not sent") {
@@ -252,7 +252,7 @@
   Asked asked(d);
   asked.client.close();
   d.settle();
-  CHECK(d.gate.unanswered() == 0);
+  CHECK(d.server.unanswered() == 0);
   asked.host->say(Doorstep::ok("one"));
   d.settle();
   Far other = d.client();
@@ -643,7 +643,7 @@
   std::optional<Far> old, fresh, host;
   REQUIRE(d.until([&] { return d.counter.accept(old); }));
   REQUIRE(d.until([&] { return old->holds("POST /tally/u1."); }));
-  d.gate.moveTo(d.discovery.address(), moved.address());
+  d.server.moveTo(d.discovery.address(), moved.address());
   d.loop.endTurn();
   d.settle();
   CHECK_FALSE(old->ended());
@@ -654,8 +654,8 @@
   other.say(Doorstep::metered(2));
   REQUIRE(d.until([&] { return moved.accept(fresh); }));
   CHECK(d.until([&] { return fresh->holds("POST /tally/u2."); }));
-  CHECK_THROWS_AS(d.gate.moveTo(moved.address(), "nowhere"), std::invalid_argument);
-  CHECK_THROWS_AS(d.gate.moveTo("nowhere", d.counter.address()), std::invalid_argument);
+  CHECK_THROWS_AS(d.server.moveTo(moved.address(), "nowhere"), std::invalid_argument);
+  CHECK_THROWS_AS(d.server.moveTo("nowhere", d.counter.address()), std::invalid_argument);
   CHECK_FALSE(fresh->ended());
 }
 
@@ -670,8 +670,8 @@
   d.discovery.close();
   watch->close();
   d.settle();
-  d.gate.moveTo(discovery.address(), counter.address());
-  d.gate.moveTo(discovery.address(), counter.address());
+  d.server.moveTo(discovery.address(), counter.address());
+  d.server.moveTo(discovery.address(), counter.address());
   d.loop.endTurn();
   REQUIRE(d.until([&] { return discovery.accept(fresh); }));
   std::optional<Far> second;
@@ -686,18 +686,18 @@
   Far resting = d.client();
   Asked asked(d);
   Far fresh = d.client();
-  d.gate.leave(TimePoint::max());
+  d.server.leave(TimePoint::max());
   fresh.say("GET /health/ready HTTP/1.1\r\n\r\n");
   REQUIRE(d.until([&] { return fresh.ended(); }));
   CHECK_THAT(fresh.got, Catch::StartsWith("HTTP/1.1 503") && Catch::Contains("Connection: close"));
   CHECK_FALSE(resting.ended());
-  d.gate.partRested();
+  d.server.closeIdle();
   CHECK(d.until([&] { return resting.ended(); }));
-  CHECK_FALSE(d.gate.quiet());
+  CHECK_FALSE(d.server.quiet());
   asked.host->say(Doorstep::ok("one"));
   CHECK(d.until([&] { return asked.client.ended(); }));
   CHECK(asked.client.holds("one"));
-  CHECK(d.gate.quiet());
+  CHECK(d.server.quiet());
 }
 
 TEST_CASE("a request that crosses the end of a rest is neither sent on nor met by a reset") {
@@ -712,7 +712,7 @@
   std::vector<Far> others;
   for (int n = 0; end == 2 && n < 2; ++n) others.push_back(d.client());
   d.settle();
-  if (end == 0) d.gate.leave(TimePoint::max()), d.gate.partRested();
+  if (end == 0) d.server.leave(TimePoint::max()), d.server.closeIdle();
   if (end == 1) d.pass(29'980ms);
   if (end == 2) REQUIRE(d.until([&] { return asked.client.ended(); }));
   asked.client.say(Doorstep::request("look"));  // before it has seen the end
@@ -730,8 +730,8 @@
   const bool inOne = GENERATE(true, false);  // read already, or still with the system
   Doorstep d;
   Asked asked(d, Doorstep::request("look") + (inOne ? Doorstep::request("look") : ""));
-  d.gate.leave(d.clock.at + 3s);
-  d.gate.partRested();
+  d.server.leave(d.clock.at + 3s);
+  d.server.closeIdle();
   asked.host->say(Doorstep::ok("one"));
   if (!inOne) asked.client.say(Doorstep::request("look"));
   std::optional<Far> host;
@@ -746,17 +746,17 @@
 
 TEST_CASE("told to end, the last look at the door takes who has come to it, and then there is none") {
   Doorstep d;
-  d.gate.leave(d.clock.at + 3s);
+  d.server.leave(d.clock.at + 3s);
   Far late = d.client();
-  CHECK_FALSE(d.gate.shut());
+  CHECK_FALSE(d.server.shut());
   late.say(Doorstep::request("look"));
   std::optional<Far> host;
   REQUIRE(d.until([&] { return d.host.accept(host); }));
-  CHECK_FALSE(d.gate.quiet());
+  CHECK_FALSE(d.server.quiet());
   host->say(Doorstep::ok("one"));
   REQUIRE(d.until([&] { return late.ended(); }));
   CHECK(late.holds("one"));
-  CHECK(d.gate.shut());
+  CHECK(d.server.shut());
   Far refused = d.client();
   refused.say("GET /health/live HTTP/1.1\r\n\r\n");
   d.settle();
@@ -769,7 +769,7 @@
   asked.host->say(Doorstep::ok("one"));
   d->settle();
   asked.client.say(Doorstep::request("look"));  // with the system, and never read
-  d->gate.discard();
+  d->server.discard();
   d.reset();  // as the exit does
   CHECK(asked.client.ended());
   CHECK_FALSE(asked.client.wasReset);
@@ -794,7 +794,7 @@
   d.pass(110ms);  // a third of the time in which it has to be heeded
   d.settle();
   CHECK(descriptors() < before - 1);  // the gateway's end has gone, too
-  CHECK(d.gate.unanswered() == 0);
+  CHECK(d.server.unanswered() == 0);
   asked.host->say(Doorstep::ok("one"));
   d.settle();
   std::optional<Far> host;
@@ -814,7 +814,7 @@
   d.settle();
   std::optional<Far> host;
   CHECK_FALSE(d.host.accept(host));
-  CHECK(d.gate.unanswered() == 0);
+  CHECK(d.server.unanswered() == 0);
 }
 
 TEST_CASE("a request that comes in the turn in which its connection has rested too long is served") {
@@ -848,8 +848,8 @@
   if (wanted) c.emplace(d.client());  // with the system, like the two requests
   a.say(Doorstep::request("look")), b.say(Doorstep::request("look"));
   if (!wanted) {
-    d.gate.leave(d.clock.at + 3s);
-    d.gate.partRested();
+    d.server.leave(d.clock.at + 3s);
+    d.server.closeIdle();
   }
   std::vector<Far> hosts;
   REQUIRE(d.until([&] {
@@ -881,19 +881,19 @@
 TEST_CASE("told to end, it answers all before it may be killed, though a host hangs and time is left") {
   Doorstep d;
   Asked before(d, Doorstep::request("pay", "x", "", 5000));
-  d.gate.leave(d.clock.at + 2s);
+  d.server.leave(d.clock.at + 2s);
   Far after = d.client();
   after.say(Doorstep::request("pay", "x", "", 5000));
   std::optional<Far> host;
   REQUIRE(d.until([&] { return d.host.accept(host); }));
   REQUIRE(d.until([&] { return host->holds("\r\n\r\nx"); }));
   d.pass(1900ms);
-  CHECK_FALSE(d.gate.quiet());
+  CHECK_FALSE(d.server.quiet());
   d.pass(100ms);
   CHECK(d.until([&] { return before.client.ended() && after.ended(); }));
   CHECK(statusOf(before.client) == "HTTP/1.1 502");
   CHECK(statusOf(after) == "HTTP/1.1 502");
-  CHECK(d.gate.quiet());
+  CHECK(d.server.quiet());
 }
 
 TEST_CASE("told to end, what has come and was not read yet is taken, on old connections and new ones") {
@@ -904,11 +904,11 @@
   old.got.clear();
   Far silent = d.client();
   d.settle();
-  d.gate.leave(TimePoint::max());
+  d.server.leave(TimePoint::max());
   Far fresh = d.client();
   old.say(Doorstep::request("look"));
   fresh.say(Doorstep::request("look"));
-  d.gate.partRested();
+  d.server.closeIdle();
   for (int n = 0; n < 2; ++n) {
     std::optional<Far> host;
     REQUIRE(d.until([&] { return d.host.accept(host); }));
@@ -918,7 +918,7 @@
   CHECK(d.until([&] { return old.ended() && fresh.ended() && silent.ended(); }));
   CHECK(old.holds("one"));
   CHECK(fresh.holds("one"));
-  CHECK(d.gate.quiet());
+  CHECK(d.server.quiet());
 }
 
 TEST_CASE("discovery that is silent is asked again before what it may have told has to be heeded") {
@@ -988,7 +988,7 @@
   REQUIRE(d.until([&] { return again->holds("from=41 "); }));
   again->say("HTTP/1.1 200 OK\r\n\r\n" + list);
   d.settle();
-  d.gate.moveTo(d.discovery.address(), d.counter.address());  // told the same place: nothing moves
+  d.server.moveTo(d.discovery.address(), d.counter.address());  // told the same place: nothing moves
   d.settle();
   CHECK_FALSE(again->ended());
   again->reset();
@@ -1010,7 +1010,7 @@
   d.settle();
   if (when == 2)
     watch->say("HTTP/1.1 200 OK\r\n\r\n{\"generation\":44,\"instances\":[]}\n");  // in this very turn
-  d.gate.moveTo(moved.address(), d.counter.address());
+  d.server.moveTo(moved.address(), d.counter.address());
   d.loop.endTurn();
   REQUIRE(d.until([&] { return moved.accept(again); }));
   CHECK(d.until([&] { return again->holds("watch=1&from=41 "); }));
--- a/tests/watch_bound_test.cpp
+++ b/tests/watch_bound_test.cpp
@@ -112,7 +112,7 @@
   for (unsigned seed = 0; seed < 6; ++seed) {
     Unreachable hung;
     Doorstep d(128, "", "\"seed\":\"8c1f\"", seeded(seed));
-    if (state == Left::dialling) d.gate.moveTo(hung.address(), d.counter.address()), d.settle();
+    if (state == Left::dialling) d.server.moveTo(hung.address(), d.counter.address()), d.settle();
     Asks asks(d, state == Left::dialling ? hung : d.discovery);
     leaveIn(state, asks);
     if (state == Left::dialling) hung.open();
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -17,7 +17,7 @@
 #include <string>
 #include <vector>
 
-#include "net/gate.hpp"
+#include "net/server.hpp"
 #include "policy_api/decision_engine.hpp"
 
 // A small world round some gateways, and a slow, plain model of the five rules that judges all they do.
@@ -451,8 +451,8 @@
                     const std::string& is = "")
       : sockets_(sockets),
         loop(log, clock),
-        gate(loop, config::readGatewayConfig(replaced(config(hostList), was, is))) {
-    gate.serve();
+        server(loop, config::readGatewayConfig(replaced(config(hostList), was, is))) {
+    server.serve();
     loop.endTurn();
   }
   bool until(const std::function<bool()>& done) {
@@ -526,8 +526,8 @@
   Log log{lines, Level::info};
   FarListener host, counter, discovery;
   std::uint16_t listenPort = freePort();
-  net::Loop loop;
-  net::Gate gate;
+  net::EventLoop loop;
+  net::Server server;
 };
 
 }  // namespace merlinbridge::testing
