--- a/src/emulator/doorman.cpp
+++ b/src/emulator/doorman.cpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <unordered_map>
 
-#include "emulator/dice.hpp"
+#include "emulator/random_stream.hpp"
 
 namespace merlinbridge::emulator {
 namespace {
@@ -64,7 +64,7 @@
         slack_(config.answerSlack),
         deadlines_(deadlines),
         transport_(transport),
-        dice_(config.seed, "policy") {
+        random_(config.seed, "policy") {
     config::EndpointList known = config.known;
     known.complete = true;
     Simple::endpointsUpdated(now, known);
@@ -113,7 +113,7 @@
   virtual bool admits(TimePoint, const Request&) { return true; }
   virtual std::optional<HostId> choose(TimePoint) {
     if (serving_.empty()) return std::nullopt;
-    return HostId{static_cast<std::uint32_t>(dice_.below(serving_.size()))};
+    return HostId{static_cast<std::uint32_t>(random_.below(serving_.size()))};
   }
 
   const PolicySettings settings_;
@@ -142,7 +142,7 @@
   core::Transport& transport_;
 
  protected:
-  Dice dice_;
+  RandomStream random_;
 
  private:
   std::uint64_t last_ = 0;
@@ -192,7 +192,7 @@
   std::optional<HostId> choose(TimePoint) override {
     std::optional<HostId> best;
     double least = 0;
-    const std::size_t from = serving_.empty() ? 0 : dice_.below(serving_.size());
+    const std::size_t from = serving_.empty() ? 0 : random_.below(serving_.size());
     for (std::size_t n = 0; n < serving_.size(); ++n) {
       const std::size_t h = (from + n) % serving_.size();
       const double load = truth_.load(serving_[h]);
--- a/src/emulator/dice.hpp
+++ b/src/emulator/random_stream.hpp
@@ -11,9 +11,9 @@
 
 // Chance for one part of a run. Each part draws from its own stream, so that a change to one leaves what the
 // others draw as it was: two policies meet the same clients, and the same faults.
-class Dice {
+class RandomStream {
  public:
-  Dice(std::uint64_t seed, std::string_view part) {
+  RandomStream(std::uint64_t seed, std::string_view part) {
     std::uint64_t mixed = 1469598103934665603u;
     const auto mix = [&mixed](unsigned char byte) { mixed = (mixed ^ byte) * 1099511628211u; };
     for (const char c : part) mix(static_cast<unsigned char>(c));
@@ -23,14 +23,16 @@
   }
 
   // From 0 on, under 1.
-  double even() {
+  double uniform01() {
     const double high = double(engine_()), low = double(engine_());
     return (high + low / kSpan) / kSpan;
   }
-  double between(double least, double most) { return least + (most - least) * even(); }
-  bool lucky(double odds) { return even() < odds; }
-  std::size_t below(std::size_t n) { return std::min(n - 1, static_cast<std::size_t>(even() * double(n))); }
-  double exponential(double mean) { return -mean * std::log(1 - even()); }
+  double between(double least, double most) { return least + (most - least) * uniform01(); }
+  bool bernoulli(double odds) { return uniform01() < odds; }
+  std::size_t below(std::size_t n) {
+    return std::min(n - 1, static_cast<std::size_t>(uniform01() * double(n)));
+  }
+  double exponential(double mean) { return -mean * std::log(1 - uniform01()); }
   Duration duration(Duration mean) { return scaled(mean, exponential(1)); }
   std::uint64_t word() { return static_cast<std::uint64_t>(engine_()) << 24 | engine_(); }
 
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -13,7 +13,7 @@
 
 #include "config/json_stream_splitter.hpp"
 #include "emulator/agenda.hpp"
-#include "emulator/dice.hpp"
+#include "emulator/random_stream.hpp"
 #include "emulator/tally.hpp"
 
 namespace merlinbridge::emulator {
@@ -163,8 +163,8 @@
       if (a.fault->kind == Trouble::netSlow) factor *= a.fault->factor;
       if (a.fault->kind == Trouble::netLoss) lost *= 1 - std::min(1.0, a.fault->factor);
     }
-    Duration span = scaled(sc.delay, factor) + scaled(sc.jitter, network.even() * factor);
-    for (int n = 0; lost < 1 && n < 6 && network.lucky(1 - lost); ++n) span += kSentAgain * (1 << n);
+    Duration span = scaled(sc.delay, factor) + scaled(sc.jitter, network.uniform01() * factor);
+    for (int n = 0; lost < 1 && n < 6 && network.bernoulli(1 - lost); ++n) span += kSentAgain * (1 << n);
     return span;
   }
   bool cut(std::uint32_t zoneA, std::uint32_t zoneB) const {
@@ -210,8 +210,8 @@
     });
   }
   void arrive() {
-    const auto customer = static_cast<std::uint64_t>(drawFrom(weights, arrivals.even())) + 1;
-    const auto method = static_cast<std::uint32_t>(drawFrom(methodWeights, arrivals.even()));
+    const auto customer = static_cast<std::uint64_t>(drawFrom(weights, arrivals.uniform01())) + 1;
+    const auto method = static_cast<std::uint32_t>(drawFrom(methodWeights, arrivals.uniform01()));
     const double mixed = double((customer * 0x9e3779b97f4a7c15u) >> 11) * 0x1p-53;
     const auto plan = static_cast<std::uint32_t>(drawFrom(planWeights, mixed));
     const double units = sc.units > 0 ? std::clamp(std::round(arrivals.exponential(sc.units)),
@@ -222,9 +222,9 @@
         wishes.add(Wish{customer, plan, method, units, now, now + sc.methods[method].deadline, sc.tries});
     ++tally.asked, ++second().asked;
     tally.worthAsked += worthOf(*wishes.find(wish));
-    const bool leaves = arrivals.lucky(sc.leaves);
+    const bool leaves = arrivals.bernoulli(sc.leaves);
     const TimePoint until =
-        leaves ? now + scaled(sc.methods[method].deadline, arrivals.even())
+        leaves ? now + scaled(sc.methods[method].deadline, arrivals.uniform01())
                : now + sc.methods[method].deadline + 2 * sc.answerSlack + 2 * (sc.delay + sc.jitter);
     agenda.at(until, [this, wish, leaves] { stopWaiting(wish, leaves); });
     ask(wish);
@@ -239,7 +239,7 @@
     // Uneven, as clients come: the first gateway of a customer's set sees the most.
     const std::uint32_t spread = std::min(sc.spread, sc.gateways);
     const auto first = static_cast<std::uint32_t>((wish.customer * 0xff51afd7ed558ccdu >> 33) % sc.gateways);
-    auto at = static_cast<std::uint32_t>(spread * std::pow(choices.even(), kUneven));
+    auto at = static_cast<std::uint32_t>(spread * std::pow(choices.uniform01(), kUneven));
     std::uint32_t g = (first + at) % sc.gateways;
     for (std::uint32_t n = 0; n < spread && !nodes[g].listed; ++n) g = (first + ++at % spread) % sc.gateways;
     const TryId id{++lastTry};
@@ -280,8 +280,9 @@
     if (!wish) return;
     wish->current = {};
     if (!may) return fail(wishRef);
-    Duration wait = scaled(sc.wait, (0.5 + choices.even()) * double(1 << std::min(10, wish->triesMade - 1)));
-    if (advice > Duration{0} && choices.lucky(sc.heedsAdvice)) wait = std::max(wait, advice);
+    Duration wait =
+        scaled(sc.wait, (0.5 + choices.uniform01()) * double(1 << std::min(10, wish->triesMade - 1)));
+    if (advice > Duration{0} && choices.bernoulli(sc.heedsAdvice)) wait = std::max(wait, advice);
     if (agenda.now() + wait >= wish->deadline || wish->triesLeft <= 0) return fail(wishRef);
     agenda.after(wait, [this, wishRef] {
       if (wishes.find(wishRef)) ask(wishRef);
@@ -553,7 +554,7 @@
     m.doneLately = m.doneLately * std::exp(-seconds(agenda.now() - m.doneAt)) + 1;
     m.doneAt = agenda.now();
     const bool err = any(Trouble::hostErr, [&](const Active& a) {
-      return job.machine < a.marked.size() && a.marked[job.machine] && works.lucky(a.fault->factor);
+      return job.machine < a.marked.size() && a.marked[job.machine] && works.bernoulli(a.fault->factor);
     });
     if (!err) ledger.served(agenda.now(), job.requestId, job.no);
     endAttempt(job.gateway, job.gatewayLife, job.attempt, err ? Outcome::error : Outcome::ok);
@@ -633,18 +634,18 @@
   void feedSoon(Node& node) {
     if (node.state == Node::State::down || node.feeding || node.told == generation) return;
     node.feeding = true;
-    const Duration wait = scaled(sc.told, (0.5 + lists.even()) * product(Trouble::discoveryLate));
+    const Duration wait = scaled(sc.told, (0.5 + lists.uniform01()) * product(Trouble::discoveryLate));
     agenda.after(wait, [this, &node, life = node.life] { feed(node, life); });
   }
   void feed(Node& node, std::uint64_t life) {
     if (node.life != life || node.state == Node::State::down) return;
     const auto later = [&](Duration wait) { agenda.after(wait, [this, &node, life] { feed(node, life); }); };
     if (any(Trouble::discoveryDown, [](const Active&) { return true; }))
-      return later(scaled(sc.connectTimeout, 0.5 + lists.even()));
+      return later(scaled(sc.connectTimeout, 0.5 + lists.uniform01()));
     if (marked(Trouble::discoveryRefuse, node.no)) {
       const Duration most = kOdd * kBeat;
       return later(scaled(std::min(most, sc.connectTimeout * (1 << std::min(8, node.refusals++))),
-                          0.5 + lists.even()));
+                          0.5 + lists.uniform01()));
     }
     node.refusals = 0;
     std::set<std::uint32_t> changed;
@@ -652,18 +653,18 @@
       changed.insert(at->second);
     std::string text = listText(changed);
     config::Pieces pieces;
-    if (any(Trouble::discoveryMangle, [](const Active&) { return true; }) && lists.lucky(0.5))
+    if (any(Trouble::discoveryMangle, [](const Active&) { return true; }) && lists.bernoulli(0.5))
       text.resize(1 + lists.below(text.size() - 1));
     // It comes in two parts, cut anywhere, and goes the way that the daemon's bytes go.
     const std::string half = text.substr(0, lists.below(text.size() + 1));
     auto end = pieces.take(half);
     if (end == config::Pieces::End::more) end = pieces.take(text);
-    if (end != config::Pieces::End::piece) return later(scaled(sc.connectTimeout, 0.5 + lists.even()));
+    if (end != config::Pieces::End::piece) return later(scaled(sc.connectTimeout, 0.5 + lists.uniform01()));
     std::string line = text.substr(pieces.from(), pieces.at() - pieces.from());
     line.reserve(line.size() + simdjson::SIMDJSON_PADDING);
     simdjson::dom::parser parser;
     config::element root;
-    if (parser.parse(line).get(root)) return later(scaled(sc.connectTimeout, 0.5 + lists.even()));
+    if (parser.parse(line).get(root)) return later(scaled(sc.connectTimeout, 0.5 + lists.uniform01()));
     const config::EndpointList endpoints = config::readEndpointList(config::Fields("discovery", root));
     tally.listLines += endpoints.entries.size();
     node.told = generation, node.feeding = false;
@@ -726,7 +727,7 @@
       double kept = 1;
       for (const auto& [key, a] : active)
         if (a.fault->kind == Trouble::counterLose) kept *= 1 - std::min(1.0, a.fault->factor);
-      if (kept < 1 && !network.lucky(kept)) return;
+      if (kept < 1 && !network.bernoulli(kept)) return;
       counterSays(g, life, ref, CountEnd::ok, entry.first);
     });
   }
@@ -746,10 +747,10 @@
 
   // ---- faults ----
 
-  std::vector<char> mark(std::size_t n, double share, Dice& dice) const {
+  std::vector<char> mark(std::size_t n, double share, RandomStream& random) const {
     std::vector<std::uint32_t> order(n);
     for (std::uint32_t i = 0; i < n; ++i) order[i] = i;
-    for (std::size_t i = n; i > 1; --i) std::swap(order[i - 1], order[dice.below(i)]);
+    for (std::size_t i = n; i > 1; --i) std::swap(order[i - 1], order[random.below(i)]);
     std::vector<char> marks(n, 0);
     const auto wanted = static_cast<std::size_t>(std::llround(share * double(n)));
     for (std::size_t i = 0; i < std::min(n, wanted); ++i) marks[order[i]] = 1;
@@ -758,27 +759,27 @@
   void planFaults() {
     for (std::size_t n = 0; n < sc.faults.size(); ++n) {
       const Fault& f = sc.faults[n];
-      Dice dice(seed, fmt::format("fault {}", n));
-      const TimePoint from = kBegin + durationOf(dice.between(f.from.least, f.from.most));
-      const Duration lasts = durationOf(dice.between(f.lasts.least, f.lasts.most));
-      agenda.at(from, [this, n, &f, dice, lasts]() mutable { begin(n, f, dice, lasts); });
+      RandomStream random(seed, fmt::format("fault {}", n));
+      const TimePoint from = kBegin + durationOf(random.between(f.from.least, f.from.most));
+      const Duration lasts = durationOf(random.between(f.lasts.least, f.lasts.most));
+      agenda.at(from, [this, n, &f, random, lasts]() mutable { begin(n, f, random, lasts); });
     }
   }
   // NOLINTNEXTLINE(readability-function-size): becomes a class for each fault in part two (issue 30)
-  void begin(std::size_t n, const Fault& f, Dice& dice, Duration lasts) {
-    Active a{&f, {}, static_cast<std::uint32_t>(dice.below(sc.zones)), agenda.now() + lasts};
+  void begin(std::size_t n, const Fault& f, RandomStream& random, Duration lasts) {
+    Active a{&f, {}, static_cast<std::uint32_t>(random.below(sc.zones)), agenda.now() + lasts};
     const auto gatewayFault = [&] {
       return f.kind == Trouble::gatewayKill || f.kind == Trouble::gatewayRestart ||
              f.kind == Trouble::discoveryRefuse || f.kind == Trouble::counterSplit;
     };
     if (gatewayFault()) {
-      a.marked = mark(nodes.size(), f.share, dice);
+      a.marked = mark(nodes.size(), f.share, random);
     } else {
       // Only hosts that are there can be met.
       std::vector<std::uint32_t> up;
       for (std::uint32_t m = 0; m < machines.size(); ++m)
         if (machines[m].state == Machine::State::up && machines[m].serving) up.push_back(m);
-      const std::vector<char> some = mark(up.size(), f.share, dice);
+      const std::vector<char> some = mark(up.size(), f.share, random);
       a.marked.assign(machines.size(), 0);
       for (std::size_t i = 0; i < up.size(); ++i) a.marked[up[i]] = some[i];
     }
@@ -906,8 +907,8 @@
   Agenda agenda;
   Ledger ledger;
   Tally tally;
-  Dice network{seed, "network"}, arrivals{seed, "arrivals"}, choices{seed, "choices"}, works{seed, "works"},
-      lists{seed, "lists"}, lives{seed, "lives"};
+  RandomStream network{seed, "network"}, arrivals{seed, "arrivals"}, choices{seed, "choices"},
+      works{seed, "works"}, lists{seed, "lists"}, lives{seed, "lives"};
   std::vector<double> weights, methodWeights, planWeights;
   core::SlotTable<Wish> wishes;
   core::SlotTable<Try> tries;
--- a/src/policy/decision_engine.cpp
+++ b/src/policy/decision_engine.cpp
@@ -226,7 +226,7 @@
       part.ends = now + scaled(settings.overloadWindow, 1 / kColdParts);
     }
     if (part.left < units)
-      part.left = part.left > 0 && lucky(part.left / units) ? units : std::min(part.left, 0.0);
+      part.left = part.left > 0 && bernoulli(part.left / units) ? units : std::min(part.left, 0.0);
     return part.left >= units;
   }
 
@@ -275,11 +275,11 @@
       if (!requestId.attempts.empty() && requestId.attempts.back().host.value == h) continue;
       if (benchedUntil[h] > now || mute(h)) continue;
       if (out[h] + 1 > std::max(1.0, roomOf(h, method))) continue;
-      if (const double share = trust(h, requestId.asked); share < 1 && !lucky(share)) continue;
+      if (const double share = trust(h, requestId.asked); share < 1 && !bernoulli(share)) continue;
       const double w = weight(h);
       // Guards against many gateways that give the same host its turn at once: its place in the rotation
       // is drawn, be it that this gateway has just started or that the host has.
-      if (std::exchange(newcomer[h], 0)) credit[h] = -servingHosts * drawn();
+      if (std::exchange(newcomer[h], 0)) credit[h] = -servingHosts * uniform01();
       credit[h] += w, total += w;
       able.push_back(h);
     }
@@ -355,7 +355,7 @@
       if (warmth(h) >= 1) carried.add(now, kCarriedSpan, requestId.asked.units / std::max(1, warmHosts));
     } else if (end.outcome == Outcome::noConnection || end.outcome == Outcome::lost) {
       // Guards against gone hosts that are still listed, each found out anew by every gateway, over and over.
-      const double times = std::min(kSitOutMost, std::exp2(unreached[h]++)) * (0.5 + drawn());
+      const double times = std::min(kSitOutMost, std::exp2(unreached[h]++)) * (0.5 + uniform01());
       sitOut(h, scaled(settings.connectTimeout, kSitOut * times));
     }
   }
@@ -447,17 +447,17 @@
     // chance.
     const bool blind =
         part(b) < 1 || seconds(now - b.roundAt) * std::min(b.othersRate, b.plan->rate) >= units;
-    return blind && lucky(b.level / units);
+    return blind && bernoulli(b.level / units);
   }
-  double drawn() { return double(chance()) / (double(chance.max()) + 1); }
-  bool lucky(double odds) { return odds > drawn(); }
+  double uniform01() { return double(chance()) / (double(chance.max()) + 1); }
+  bool bernoulli(double odds) { return odds > uniform01(); }
 
   // A cap on open attempts goes the quota's way: the time that they were open is published, so the others'
   // use a second is what they have open on the mean. The last place goes by chance, one at least in silence.
   bool hasOpening(const Book& b) {
     const double left = part(b) < 1 ? std::max(1.0, b.plan->open / b.gateways) - b.open
                                     : b.plan->open - b.open - (sharesOpen(b) ? b.othersRate : 0);
-    return lucky(left);
+    return bernoulli(left);
   }
   static bool sharesOpen(const Book& b) { return b.plan->rate <= 0 && b.plan->open > 0; }
 
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -1,7 +1,7 @@
 #include <catch2/catch.hpp>
 
 #include "emulator/agenda.hpp"
-#include "emulator/dice.hpp"
+#include "emulator/random_stream.hpp"
 #include "emulator/tally.hpp"
 
 using namespace merlinbridge;
@@ -158,11 +158,11 @@
 }
 
 TEST_CASE("parts of a run draw from streams of their own") {
-  Dice a(1, "one"), b(1, "one"), c(1, "two"), d(2, "one");
-  const double first = a.even();
-  CHECK(first == b.even());
-  CHECK(first != c.even());
-  CHECK(first != d.even());
+  RandomStream a(1, "one"), b(1, "one"), c(1, "two"), d(2, "one");
+  const double first = a.uniform01();
+  CHECK(first == b.uniform01());
+  CHECK(first != c.uniform01());
+  CHECK(first != d.uniform01());
   double sum = 0;
   for (int n = 0; n < 10'000; ++n) sum += a.exponential(3);
   CHECK(sum / 10'000 == Approx(3).epsilon(0.05));
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -114,13 +114,13 @@
 
 TEST_CASE("no random bytes are more than bad") {
   const auto seed = GENERATE(range(0u, 60u));
-  std::ranlux24_base dice(seed);
+  std::ranlux24_base random(seed);
   const std::string base = seed % 2 ? kAsk : kChunked;
   for (int round = 0; round < 200; ++round) {
     std::string text = base;
-    for (int n = 0; n < 3; ++n) text[dice() % text.size()] = static_cast<char>(dice());
+    for (int n = 0; n < 3; ++n) text[random() % text.size()] = static_cast<char>(random());
     const Kind kind = seed % 2 ? Kind::request : Kind::answer;
-    const std::size_t at = dice() % text.size();
+    const std::size_t at = random() % text.size();
     const Read whole = read(kind, text, {text.size()}), split = read(kind, text, {at, text.size()});
     REQUIRE(whole.stage == split.stage);
     REQUIRE(whole.blame == split.blame);
@@ -157,11 +157,11 @@
 TEST_CASE("a buffer keeps its bytes while it grows, moves and is cut") {
   net::Buffer buffer;
   std::string model;
-  std::ranlux24_base dice(7);
+  std::ranlux24_base random(7);
   for (int step = 0; step < 5000; ++step) {
-    const std::string some(dice() % 700, static_cast<char>('a' + step % 26));
+    const std::string some(random() % 700, static_cast<char>('a' + step % 26));
     buffer.add(some), model += some;
-    const std::size_t gone = dice() % (model.size() + 1);
+    const std::size_t gone = random() % (model.size() + 1);
     if (step % 3 == 0) {
       buffer.cut(gone / 2, gone), model.erase(gone / 2, gone - gone / 2);
     } else {
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -9,8 +9,8 @@
 
 // Ten seconds of generated traffic and troubles on one world.
 void play(World& w, std::uint64_t seed) {
-  std::ranlux24_base dice(static_cast<unsigned>(seed));
-  const auto below = [&](unsigned n) { return static_cast<unsigned>(dice() % n); };
+  std::ranlux24_base random(static_cast<unsigned>(seed));
+  const auto below = [&](unsigned n) { return static_cast<unsigned>(random() % n); };
   const bool troubled = seed % 4 != 0;
   for (int step = 0; step < 1000; ++step) {
     w.runFor(10ms);
--- a/tests/standins/reality.cpp
+++ b/tests/standins/reality.cpp
@@ -17,7 +17,7 @@
 namespace merlinbridge::standins {
 namespace {
 
-using emulator::Dice;
+using emulator::RandomStream;
 using emulator::Scenario;
 using emulator::Tally;
 
@@ -162,12 +162,12 @@
   }
   void arrive() {
     auto w = std::make_shared<Wish>();
-    w->customer = drawFrom(customers_, arrivals_.even()) + 1;
-    w->method = drawFrom(methods_, arrivals_.even());
+    w->customer = drawFrom(customers_, arrivals_.uniform01()) + 1;
+    w->method = drawFrom(methods_, arrivals_.uniform01());
     w->plan = drawFrom(plans_, double((w->customer * 0x9e3779b97f4a7c15u) >> 11) * 0x1p-53);
     w->units = std::clamp(std::round(arrivals_.exponential(s_.units)), std::min(1.0, s_.units),
                           std::max(1.0, 4 * s_.units));
-    arrivals_.lucky(s_.leaves);
+    arrivals_.bernoulli(s_.leaves);
     w->askedAt = WallClock::now(), w->deadline = w->askedAt + s_.methods[w->method].deadline;
     w->triesLeft = s_.tries;
     ++tally.asked, ++waiting;
@@ -186,7 +186,7 @@
     ++w->triesMade, ++tally.tries;
     const std::uint32_t spread = std::min(s_.spread, s_.gateways);
     const auto first = static_cast<std::uint32_t>((w->customer * 0xff51afd7ed558ccdu >> 33) % s_.gateways);
-    const auto n = static_cast<std::uint32_t>(spread * std::pow(choices_.even(), 1.5));
+    const auto n = static_cast<std::uint32_t>(spread * std::pow(choices_.uniform01(), 1.5));
     const std::size_t g = (first + n) % s_.gateways;
     const auto& m = s_.methods[w->method];
     std::shared_ptr<Way> way;
@@ -265,8 +265,9 @@
   }
   void again(const std::shared_ptr<Wish>& w, bool may, double advice) {
     if (!may) return end(w, false);
-    Duration wait = scaled(s_.wait, (0.5 + choices_.even()) * double(1 << std::min(10, w->triesMade - 1)));
-    if (advice > 0 && choices_.lucky(s_.heedsAdvice)) wait = std::max(wait, durationOf(advice));
+    Duration wait =
+        scaled(s_.wait, (0.5 + choices_.uniform01()) * double(1 << std::min(10, w->triesMade - 1)));
+    if (advice > 0 && choices_.bernoulli(s_.heedsAdvice)) wait = std::max(wait, durationOf(advice));
     if (WallClock::now() + wait >= w->deadline || w->triesLeft <= 0) return end(w, false);
     auto timer = std::make_shared<asio::steady_timer>(io_, wait);
     timer->async_wait([this, w, timer](const Error&) { ask(w); });
@@ -276,7 +277,7 @@
   const Scenario& s_;
   std::vector<Tcp::endpoint> gateways_;
   std::vector<std::vector<std::shared_ptr<Way>>> rest_;
-  Dice arrivals_, choices_;
+  RandomStream arrivals_, choices_;
   asio::steady_timer next_;
   WallClock::time_point began_;
   Duration at_{0};
@@ -291,7 +292,7 @@
 
 Tally onSockets(const Scenario& s, std::uint64_t seed, const std::string& program) {
   asio::io_context io;
-  Dice works(seed, "works");
+  RandomStream works(seed, "works");
   std::vector<std::unique_ptr<Host>> hosts;
   std::string list;
   for (std::uint32_t h = 0; h < s.hosts; ++h) {
--- a/tests/standins/standins.hpp
+++ b/tests/standins/standins.hpp
@@ -15,7 +15,7 @@
 #include <utility>
 #include <vector>
 
-#include "emulator/dice.hpp"
+#include "emulator/random_stream.hpp"
 #include "http/message.hpp"
 
 namespace merlinbridge::standins {
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -69,7 +69,7 @@
     std::uint32_t attempts = 0;
   };
 
-  World(PolicySettings t, std::uint64_t seed) : settings(std::move(t)), dice_(static_cast<unsigned>(seed)) {
+  World(PolicySettings t, std::uint64_t seed) : settings(std::move(t)), random_(static_cast<unsigned>(seed)) {
     for (std::uint32_t h = 0; h < 6; ++h)
       hosts.push_back({{h % 3}, {}, true, 60, 60ms, {}, false, false, 0, 0, {}, {}, {}});
     for (std::uint32_t g = 0; g < settings.gateways; ++g) {
@@ -92,12 +92,12 @@
     now = end;
   }
   void runFor(Duration span) { runUntil(now + span); }
-  bool chance(double p) { return std::uniform_real_distribution<>(0, 1)(dice_) < p; }
+  bool chance(double p) { return std::uniform_real_distribution<>(0, 1)(random_) < p; }
 
   void start(std::uint32_t g) {
     Node& n = nodes_[g];
     n.out = std::make_unique<Way>(*this, g, ++lives_);
-    n.gateway = std::make_unique<DecisionEngine>(settings, dice_(), now, *n.out);
+    n.gateway = std::make_unique<DecisionEngine>(settings, random_(), now, *n.out);
     n.gateway->allHostsUpdated(now, lines());
   }
   void kill(std::uint32_t g) {
@@ -296,7 +296,7 @@
 
   std::map<std::pair<TimePoint, std::uint64_t>, std::function<void()>> agenda_;
   std::uint64_t order_ = 0, lives_ = 0, lastRequest_ = 0;
-  std::ranlux24_base dice_;
+  std::ranlux24_base random_;
   std::deque<Node> nodes_;
   std::map<std::uint64_t, Ceiling> ceilings_;
 };
