--- a/src/emulator/doorman.cpp
+++ b/src/emulator/emulated_gateway.cpp
@@ -1,4 +1,4 @@
-#include "emulator/doorman.hpp"
+#include "emulator/emulated_gateway.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -13,7 +13,7 @@
 using core::SlotRef;
 
 // The daemon's own core, with the module inside.
-class Own final : public Doorman {
+class Own final : public EmulatedGateway {
  public:
   Own(const config::GatewayConfig& config, TimePoint now, core::DeadlineQueue& deadlines,
       core::Transport& transport)
@@ -56,7 +56,7 @@
 };
 
 // What the policies beside the module share: one attempt for each request, and no second.
-class Simple : public Doorman {
+class Simple : public EmulatedGateway {
  public:
   Simple(const config::GatewayConfig& config, TimePoint now, core::DeadlineQueue& deadlines,
          core::Transport& transport)
@@ -219,9 +219,9 @@
   return std::nullopt;
 }
 
-std::unique_ptr<Doorman> doormanOf(Policy policy, const config::GatewayConfig& config, TimePoint now,
-                                   core::DeadlineQueue& deadlines, core::Transport& transport,
-                                   const Truth& truth) {
+std::unique_ptr<EmulatedGateway> makeGateway(Policy policy, const config::GatewayConfig& config,
+                                             TimePoint now, core::DeadlineQueue& deadlines,
+                                             core::Transport& transport, const Truth& truth) {
   switch (policy) {
     case Policy::module:
       return std::make_unique<Own>(config, now, deadlines, transport);
--- a/src/emulator/doorman.hpp
+++ b/src/emulator/emulated_gateway.hpp
@@ -10,9 +10,9 @@
 
 // Whoever decides at a gateway's door: the project's own core with its module, or another policy in its
 // place. The calls are the core's own.
-class Doorman {
+class EmulatedGateway {
  public:
-  virtual ~Doorman() = default;
+  virtual ~EmulatedGateway() = default;
   virtual void requestArrived(TimePoint, core::SlotRef client, const Request&) = 0;
   virtual void clientLeft(TimePoint, core::SlotRef client) = 0;
   virtual void attemptEnded(TimePoint, RequestId, AttemptNumber, Outcome, const core::UpstreamResponse&) = 0;
@@ -33,7 +33,7 @@
 std::string_view wordOf(Policy);
 std::optional<Policy> policyNamed(std::string_view word);
 
-std::unique_ptr<Doorman> doormanOf(Policy, const config::GatewayConfig&, TimePoint now, core::DeadlineQueue&,
-                                   core::Transport&, const Truth&);
+std::unique_ptr<EmulatedGateway> makeGateway(Policy, const config::GatewayConfig&, TimePoint now,
+                                             core::DeadlineQueue&, core::Transport&, const Truth&);
 
 }  // namespace merlinbridge::emulator
--- a/src/emulator/agenda.hpp
+++ b/src/emulator/event_queue.hpp
@@ -11,11 +11,11 @@
 namespace merlinbridge::emulator {
 
 // What is to happen, by virtual time: of two things at the same instant, the one that was put down first.
-class Agenda {
+class EventQueue {
  public:
   using What = std::function<void()>;
 
-  explicit Agenda(TimePoint begin) : now_(begin) {}
+  explicit EventQueue(TimePoint begin) : now_(begin) {}
 
   TimePoint now() const { return now_; }
   void at(TimePoint when, What what) {
--- a/src/emulator/ledger.cpp
+++ b/src/emulator/invariant_checker.cpp
@@ -1,4 +1,4 @@
-#include "emulator/ledger.hpp"
+#include "emulator/invariant_checker.hpp"
 
 #include <fmt/format.h>
 
@@ -16,35 +16,35 @@
 
 }  // namespace
 
-std::string_view wordOf(Rule rule) {
+std::string_view wordOf(Invariant rule) {
   static constexpr std::string_view kWords[] = {"lost", "twice", "drain", "cold", "ceiling"};
   return kWords[static_cast<std::size_t>(rule)];
 }
 
-Ledger::Ledger(const Scenario& s) : s_(s) {
+InvariantChecker::InvariantChecker(const Scenario& s) : s_(s) {
   double share = 0, work = 0;
   for (const ScenarioMethod& m : s.methods) share += m.share, work += m.share * seconds(m.work);
   if (share > 0 && work > 0) meanWork_ = work / share, capacity_ = s.cores / meanWork_;
 }
 
-Ledger::Open* Ledger::find(TryId attemptId) {
+InvariantChecker::Open* InvariantChecker::find(ClientAttemptId attemptId) {
   const auto at = open_.find(attemptId.value);
   return at == open_.end() ? nullptr : &at->second;
 }
 
-void Ledger::close(TryId attemptId) {
+void InvariantChecker::close(ClientAttemptId attemptId) {
   const Open* const open = find(attemptId);
   if (open && (open->answered || open->left) &&
       std::none_of(open->outs.begin(), open->outs.end(), [](const Out& o) { return o.out; }))
     open_.erase(attemptId.value);
 }
 
-void Ledger::breach(TimePoint at, Rule rule, TryId attemptId, std::string what) {
+void InvariantChecker::violation(TimePoint at, Invariant rule, ClientAttemptId attemptId, std::string what) {
   if (counts_[static_cast<std::size_t>(rule)]++ < kInWords)
     first_.push_back({at, rule, attemptId, std::move(what)});
 }
 
-std::uint64_t Ledger::all() const {
+std::uint64_t InvariantChecker::all() const {
   std::uint64_t sum = 0;
   for (const std::uint64_t n : counts_) sum += n;
   return sum;
@@ -53,62 +53,65 @@
 // ---- the client's side: one whole answer in time ----
 
 // What comes to a gateway after its time is late by no fault of the gateway's: it has the slack from then on.
-void Ledger::taken(TimePoint now, TryId attemptId, const Asked& asked) {
+void InvariantChecker::taken(TimePoint now, ClientAttemptId attemptId, const Asked& asked) {
   Open& open = open_.emplace(attemptId.value, Open{asked, {}, false, false, false}).first->second;
   open.asked.deadline = std::max(asked.deadline, now);
 }
 
-void Ledger::clientLeft(TimePoint now, TryId attemptId) {
+void InvariantChecker::clientLeft(TimePoint now, ClientAttemptId attemptId) {
   Open* const open = find(attemptId);
   if (!open) return;
   if (!open->answered && !open->left && now > open->asked.deadline + s_.answerSlack)
-    breach(now, Rule::lost, attemptId, "never answered");
+    violation(now, Invariant::lost, attemptId, "never answered");
   open->left = true;
   close(attemptId);
 }
 
-void Ledger::answered(TimePoint now, TryId attemptId, Answer how) {
+void InvariantChecker::answered(TimePoint now, ClientAttemptId attemptId, Answer how) {
   Open* const open = find(attemptId);
   if (!open)
-    return breach(now, Rule::lost, attemptId, "an answer to what was never asked, or to a client long gone");
-  if (open->answered) return breach(now, Rule::lost, attemptId, "a second final answer");
+    return violation(now, Invariant::lost, attemptId,
+                     "an answer to what was never asked, or to a client long gone");
+  if (open->answered) return violation(now, Invariant::lost, attemptId, "a second final answer");
   open->answered = true;
   if (!open->left && now > open->asked.deadline + s_.answerSlack)
-    breach(now, Rule::lost, attemptId,
-           fmt::format("answered {:.3f} s after its time", seconds(now - open->asked.deadline)));
+    violation(now, Invariant::lost, attemptId,
+              fmt::format("answered {:.3f} s after its time", seconds(now - open->asked.deadline)));
   const bool served =
       std::any_of(open->outs.begin(), open->outs.end(), [](const Out& o) { return o.served; });
-  if (how == Answer::ok && !served) breach(now, Rule::lost, attemptId, "an answer that no host has made");
+  if (how == Answer::ok && !served)
+    violation(now, Invariant::lost, attemptId, "an answer that no host has made");
   if (how == Answer::rejected && mayHaveRun(*open)) {
     const ScenarioMethod& m = s_.methods[open->asked.method];
     if (m.repeat == Repeat::nonIdempotent || (m.repeat == Repeat::deduplicated && m.group != Group::all))
-      breach(now, Rule::twice, attemptId, "rejected though it may have run");
+      violation(now, Invariant::twice, attemptId, "rejected though it may have run");
   }
   close(attemptId);
 }
 
 // What it held is the clients' to ask again: it has not ended it, its machine has.
-void Ledger::gatewayDied(TimePoint, GatewayNo gateway) {
+void InvariantChecker::gatewayDied(TimePoint, GatewayNumber gateway) {
   std::erase_if(open_, [gateway](const auto& at) { return at.second.asked.gateway == gateway; });
   notServing_.erase(notServing_.lower_bound({gateway.value, 0}),
                     notServing_.lower_bound({gateway.value + 1, 0}));
 }
 
-void Ledger::finish(TimePoint now) {
+void InvariantChecker::finish(TimePoint now) {
   std::vector<std::uint64_t> late;
   for (const auto& [attemptId, open] : open_)
     if (!open.answered && !open.left && now > open.asked.deadline + s_.answerSlack) late.push_back(attemptId);
   std::sort(late.begin(), late.end());
-  for (const std::uint64_t attemptId : late) breach(now, Rule::lost, {attemptId}, "never answered");
+  for (const std::uint64_t attemptId : late) violation(now, Invariant::lost, {attemptId}, "never answered");
 }
 
 // ---- the hosts' side: no effect twice ----
 
-bool Ledger::mayHaveRun(const Open& open) const {
+bool InvariantChecker::mayHaveRun(const Open& open) const {
   return std::any_of(open.outs.begin(), open.outs.end(), [](const Out& o) { return !o.proven; });
 }
 
-bool Ledger::mayRepeat(TimePoint now, const Open& open, std::uint32_t zone, std::int64_t cell) const {
+bool InvariantChecker::mayRepeat(TimePoint now, const Open& open, std::uint32_t zone,
+                                 std::int64_t cell) const {
   const ScenarioMethod& m = s_.methods[open.asked.method];
   if (m.repeat == Repeat::idempotent) return true;
   return std::all_of(open.outs.begin(), open.outs.end(), [&](const Out& o) {
@@ -118,27 +121,28 @@
   });
 }
 
-void Ledger::sent(TimePoint now, TryId attemptId, std::uint32_t no, MachineNo machine, std::uint32_t zone,
-                  std::int64_t cell) {
+void InvariantChecker::sent(TimePoint now, ClientAttemptId attemptId, std::uint32_t no, HostNumber machine,
+                            std::uint32_t zone, std::int64_t cell) {
   Open* const open = find(attemptId);
-  if (!open) return breach(now, Rule::lost, attemptId, "sent on for a client that is not there");
-  if (open->answered) breach(now, Rule::lost, attemptId, "sent on after its final answer");
+  if (!open) return violation(now, Invariant::lost, attemptId, "sent on for a client that is not there");
+  if (open->answered) violation(now, Invariant::lost, attemptId, "sent on after its final answer");
   if (!mayRepeat(now, *open, zone, cell))
-    breach(now, Rule::twice, attemptId, fmt::format("attempt {} though an earlier one may have run", no));
+    violation(now, Invariant::twice, attemptId,
+              fmt::format("attempt {} though an earlier one may have run", no));
   if (!s_.allowHedging &&
       std::any_of(open->outs.begin(), open->outs.end(), [](const Out& o) { return o.out; }))
-    breach(now, Rule::twice, attemptId, fmt::format("attempt {} while another is out", no));
+    violation(now, Invariant::twice, attemptId, fmt::format("attempt {} while another is out", no));
   if (const auto at = notServing_.find({open->asked.gateway.value, machine.value});
       at != notServing_.end() && now > at->second + s_.drainGrace)
-    breach(now, Rule::drain, attemptId,
-           fmt::format("sent to host {} {:.3f} s after gateway {} was told that it drains", machine.value,
-                       seconds(now - at->second), open->asked.gateway.value));
+    violation(now, Invariant::drain, attemptId,
+              fmt::format("sent to host {} {:.3f} s after gateway {} was told that it drains", machine.value,
+                          seconds(now - at->second), open->asked.gateway.value));
   open->outs.resize(std::max<std::size_t>(open->outs.size(), no + 1));
   open->outs[no] = {machine, zone, cell, now};
 }
 
-void Ledger::ran(TimePoint now, TryId attemptId, std::uint32_t no, MachineNo, std::uint32_t zone,
-                 std::int64_t cell) {
+void InvariantChecker::ran(TimePoint now, ClientAttemptId attemptId, std::uint32_t no, HostNumber,
+                           std::uint32_t zone, std::int64_t cell) {
   Open* const open = find(attemptId);
   if (!open || no >= open->outs.size()) return;
   const ScenarioMethod& m = s_.methods[open->asked.method];
@@ -150,42 +154,42 @@
         (m.group == Group::all || (m.group == Group::zone ? o.zone == zone : o.cell == cell));
     if (dropped) return;
     ++runsTwice_;
-    breach(now, Rule::twice, attemptId, "its effect came twice");
+    violation(now, Invariant::twice, attemptId, "its effect came twice");
     break;
   }
   open->outs[no].ran = true;
 }
 
-void Ledger::served(TimePoint, TryId attemptId, std::uint32_t no) {
+void InvariantChecker::served(TimePoint, ClientAttemptId attemptId, std::uint32_t no) {
   Open* const open = find(attemptId);
   if (open && no < open->outs.size()) open->outs[no].served = true;
 }
 
-void Ledger::over(TimePoint now, TryId attemptId, std::uint32_t no, bool proven) {
+void InvariantChecker::over(TimePoint now, ClientAttemptId attemptId, std::uint32_t no, bool proven) {
   Open* const open = find(attemptId);
   if (!open || no >= open->outs.size()) return;
   Out& out = open->outs[no];
-  if (proven && out.ran) breach(now, Rule::twice, attemptId, "told as never run, though it has run");
+  if (proven && out.ran) violation(now, Invariant::twice, attemptId, "told as never run, though it has run");
   out.out = false, out.proven = proven;
   close(attemptId);
 }
 
 // ---- quotas and ceilings ----
 
-std::optional<bool> Ledger::reached(TimePoint now, TryId attemptId, std::uint32_t) {
+std::optional<bool> InvariantChecker::reached(TimePoint now, ClientAttemptId attemptId, std::uint32_t) {
   Open* const open = find(attemptId);
   if (!open || std::exchange(open->drawn, true)) return std::nullopt;
   return draw(now, attemptId, *open);
 }
 
-std::optional<bool> Ledger::draw(TimePoint now, TryId attemptId, Open& open) {
+std::optional<bool> InvariantChecker::draw(TimePoint now, ClientAttemptId attemptId, Open& open) {
   const Plan& p = s_.plans[open.asked.plan].plan;
   const double units = open.asked.units;
   unitsSent_ += units;
   if (p.rate <= 0 && p.ceilingRate <= 0) return true;
   auto [at, fresh] =
-      purses_.try_emplace(open.asked.customer, Purse{p.burst, p.ceilingBurst, now, {}, 0, now});
-  Purse& purse = at->second;
+      customers_.try_emplace(open.asked.customer, CustomerState{p.burst, p.ceilingBurst, now, {}, 0, now});
+  CustomerState& purse = at->second;
   const double passed = seconds(now - purse.at);
   purse.level = std::min(p.burst, purse.level + p.rate * passed);
   purse.ceiling = std::min(p.ceilingBurst, purse.ceiling + p.ceilingRate * passed);
@@ -198,9 +202,9 @@
   if (p.ceilingRate > 0) {
     purse.ceiling -= units;
     if (purse.ceiling < -p.ceilingSlack - kRounding)
-      breach(now, Rule::ceiling, attemptId,
-             fmt::format("customer {:x}: {:.3f} units under the ceiling's slack", open.asked.customer,
-                         -p.ceilingSlack - purse.ceiling));
+      violation(now, Invariant::ceiling, attemptId,
+                fmt::format("customer {:x}: {:.3f} units under the ceiling's slack", open.asked.customer,
+                            -p.ceilingSlack - purse.ceiling));
     purse.window.emplace_back(now, units), purse.inWindow += units;
     while (purse.window.front().first + kWindow <= now)
       purse.inWindow -= purse.window.front().second, purse.window.pop_front();
@@ -208,8 +212,8 @@
         std::max(worstWindow_, purse.inWindow / (p.ceilingRate * seconds(kWindow) + p.ceilingBurst));
   }
   // A purse that has filled up again says no more than a new one would.
-  if (purses_.size() >= sweepAt_) {
-    std::erase_if(purses_, [this, now](const auto& entry) {
+  if (customers_.size() >= sweepAt_) {
+    std::erase_if(customers_, [this, now](const auto& entry) {
       double longest = seconds(kWindow);
       for (const ScenarioPlan& plan : s_.plans) {
         if (plan.plan.rate > 0) longest = std::max(longest, plan.plan.burst / plan.plan.rate);
@@ -219,15 +223,16 @@
       }
       return seconds(now - entry.second.seen) > longest;
     });
-    sweepAt_ = std::max<std::size_t>(1024, 2 * purses_.size());
+    sweepAt_ = std::max<std::size_t>(1024, 2 * customers_.size());
   }
   return inside;
 }
 
-bool Ledger::wouldFit(TimePoint now, std::uint64_t customer, std::uint32_t plan, double units) const {
+bool InvariantChecker::wouldFit(TimePoint now, std::uint64_t customer, std::uint32_t plan,
+                                double units) const {
   const Plan& p = s_.plans[plan].plan;
-  const auto at = purses_.find(customer);
-  if (at == purses_.end()) return true;
+  const auto at = customers_.find(customer);
+  if (at == customers_.end()) return true;
   const double passed = seconds(now - at->second.at);
   return (p.rate <= 0 || std::min(p.burst, at->second.level + p.rate * passed) >= units) &&
          (p.ceilingRate <= 0 ||
@@ -236,19 +241,19 @@
 
 // ---- drains and cold hosts ----
 
-void Ledger::told(TimePoint now, GatewayNo gateway, MachineNo machine, bool serving) {
+void InvariantChecker::told(TimePoint now, GatewayNumber gateway, HostNumber machine, bool serving) {
   if (serving)
     notServing_.erase({gateway.value, machine.value});
   else
     notServing_.try_emplace({gateway.value, machine.value}, now);
 }
 
-void Ledger::hostForgotten(MachineNo machine) {
+void InvariantChecker::hostForgotten(HostNumber machine) {
   cold_.erase(machine.value);
   for (std::uint32_t g = 0; g < s_.gateways; ++g) notServing_.erase({g, machine.value});
 }
 
-double Ledger::coldBudget(TimePoint now, TimePoint started) const {
+double InvariantChecker::coldBudget(TimePoint now, TimePoint started) const {
   const double ramp =
       s_.cold.count() > 0 ? std::clamp(seconds(now - started) / seconds(s_.cold), 0.0, 1.0) : 1;
   const double share = s_.startCapacity + (1 - s_.startCapacity) * ramp;
@@ -256,7 +261,8 @@
   return n + 2 * std::sqrt(n) + 2;
 }
 
-bool Ledger::hostAsked(TimePoint now, MachineNo machine, TimePoint started, Duration work, bool told) {
+bool InvariantChecker::hostAsked(TimePoint now, HostNumber machine, TimePoint started, Duration work,
+                                 bool told) {
   if (now >= started + s_.cold) return cold_.erase(machine.value), false;
   Cold& cold = cold_[machine.value];
   const auto take = [&cold](const Cold::Part& part, double sign) {
@@ -271,8 +277,8 @@
   nearestCold_ = std::max(nearestCold_, cold.sum / budget);
   if (cold.sum <= budget) return false;
   if (3 * cold.sumTold > 2 * cold.sum)
-    breach(
-        now, Rule::cold, {},
+    violation(
+        now, Invariant::cold, {},
         fmt::format(
             "host {} fell: {:.1f} requests of mean work in {:.1f} s while cold, {:.1f} of them from gateways "
             "told of its start",
--- a/src/emulator/ledger.hpp
+++ b/src/emulator/invariant_checker.hpp
@@ -12,59 +12,59 @@
 
 namespace merlinbridge::emulator {
 
-using TryId = Id<struct TryKind>;  // one try of a client; each has a name of its own
-using MachineNo = Id<struct MachineNoKind, std::uint32_t>;
-using GatewayNo = Id<struct GatewayNoKind, std::uint32_t>;
+using ClientAttemptId = Id<struct ClientAttemptKind>;  // one try of a client; each has a name of its own
+using HostNumber = Id<struct HostNumberKind, std::uint32_t>;
+using GatewayNumber = Id<struct GatewayNumberKind, std::uint32_t>;
 
-enum class Rule { lost, twice, drain, cold, ceiling };
-inline constexpr std::size_t kRules = 5;
-std::string_view wordOf(Rule);
+enum class Invariant { lost, twice, drain, cold, ceiling };
+inline constexpr std::size_t kInvariants = 5;
+std::string_view wordOf(Invariant);
 
 enum class Answer { ok, rejected, failed };
 
-struct Breach {
+struct Violation {
   TimePoint at;
-  Rule rule;
-  TryId attemptId;  // 0 where it is no single request's
+  Invariant rule;
+  ClientAttemptId attemptId;  // 0 where it is no single request's
   std::string what;
 };
 
 // What really happened, and whether the five rules were kept. It is told by the machines and the network,
 // never by a gateway's decisions, and knows nothing of them. What it remembers is bounded by what is in
 // flight.
-class Ledger {
+class InvariantChecker {
  public:
-  explicit Ledger(const Scenario&);
+  explicit InvariantChecker(const Scenario&);
 
   struct Asked {
-    GatewayNo gateway;
+    GatewayNumber gateway;
     std::uint32_t method = 0, plan = 0;
     std::uint64_t customer = 0;
     double units = 0;
     TimePoint deadline;
   };
-  void taken(TimePoint, TryId, const Asked&);
-  void clientLeft(TimePoint, TryId);
-  void answered(TimePoint, TryId, Answer);
-  void gatewayDied(TimePoint, GatewayNo);
+  void taken(TimePoint, ClientAttemptId, const Asked&);
+  void clientLeft(TimePoint, ClientAttemptId);
+  void answered(TimePoint, ClientAttemptId, Answer);
+  void gatewayDied(TimePoint, GatewayNumber);
 
-  void sent(TimePoint, TryId, std::uint32_t no, MachineNo, std::uint32_t zone, std::int64_t cell);
+  void sent(TimePoint, ClientAttemptId, std::uint32_t no, HostNumber, std::uint32_t zone, std::int64_t cell);
   // The whole of it is at the host. True: its units were inside the customer's quota. Empty: not its first.
-  std::optional<bool> reached(TimePoint, TryId, std::uint32_t no);
-  void ran(TimePoint, TryId, std::uint32_t no, MachineNo, std::uint32_t zone, std::int64_t cell);
-  void served(TimePoint, TryId, std::uint32_t no);  // the host has written its answer
+  std::optional<bool> reached(TimePoint, ClientAttemptId, std::uint32_t no);
+  void ran(TimePoint, ClientAttemptId, std::uint32_t no, HostNumber, std::uint32_t zone, std::int64_t cell);
+  void served(TimePoint, ClientAttemptId, std::uint32_t no);  // the host has written its answer
   // The gateway has it that this attempt is over; proven: by the protocol's table it has never run.
-  void over(TimePoint, TryId, std::uint32_t no, bool proven);
+  void over(TimePoint, ClientAttemptId, std::uint32_t no, bool proven);
 
   // Work has come to a host that started then. True: it is cold and falls over under it.
-  bool hostAsked(TimePoint, MachineNo, TimePoint started, Duration work, bool told);
-  void told(TimePoint, GatewayNo, MachineNo, bool serving);
-  void hostForgotten(MachineNo);  // gone for so long that nobody speaks of it any more
+  bool hostAsked(TimePoint, HostNumber, TimePoint started, Duration work, bool told);
+  void told(TimePoint, GatewayNumber, HostNumber, bool serving);
+  void hostForgotten(HostNumber);  // gone for so long that nobody speaks of it any more
 
   void finish(TimePoint);
 
-  const std::vector<Breach>& first() const { return first_; }  // of each rule, the first few
-  std::uint64_t count(Rule rule) const { return counts_[static_cast<std::size_t>(rule)]; }
+  const std::vector<Violation>& first() const { return first_; }  // of each rule, the first few
+  std::uint64_t count(Invariant rule) const { return counts_[static_cast<std::size_t>(rule)]; }
   std::uint64_t all() const;
   std::size_t held() const { return open_.size(); }
 
@@ -83,7 +83,7 @@
 
  private:
   struct Out {
-    MachineNo machine;
+    HostNumber machine;
     std::uint32_t zone = 0;
     std::int64_t cell = 0;
     TimePoint sentAt;
@@ -94,7 +94,7 @@
     std::vector<Out> outs;
     bool answered = false, left = false, drawn = false;
   };
-  struct Purse {
+  struct CustomerState {
     double level, ceiling;
     TimePoint at;
     std::deque<std::pair<TimePoint, double>>
@@ -112,22 +112,22 @@
     double sum = 0, sumTold = 0;
   };
 
-  Open* find(TryId);
-  void close(TryId);
-  void breach(TimePoint, Rule, TryId, std::string what);
+  Open* find(ClientAttemptId);
+  void close(ClientAttemptId);
+  void violation(TimePoint, Invariant, ClientAttemptId, std::string what);
   bool mayRepeat(TimePoint, const Open&, std::uint32_t zone, std::int64_t cell) const;
   bool mayHaveRun(const Open&) const;
-  std::optional<bool> draw(TimePoint, TryId, Open&);
+  std::optional<bool> draw(TimePoint, ClientAttemptId, Open&);
 
   const Scenario& s_;
   double capacity_ = 1, meanWork_ = 1;  // requests a second that a warm host carries; seconds of one
   std::unordered_map<std::uint64_t, Open> open_;
-  std::unordered_map<std::uint64_t, Purse> purses_;
+  std::unordered_map<std::uint64_t, CustomerState> customers_;
   std::size_t sweepAt_ = 1024;
   std::map<std::uint32_t, Cold> cold_;
   std::map<std::pair<std::uint32_t, std::uint32_t>, TimePoint> notServing_;  // gateway and machine: told when
-  std::vector<Breach> first_;
-  std::uint64_t counts_[kRules] = {};
+  std::vector<Violation> first_;
+  std::uint64_t counts_[kInvariants] = {};
   double worstWindow_ = 0, nearestCold_ = 0, unitsSent_ = 0, unitsBeyond_ = 0;
   std::uint64_t runsTwice_ = 0;
 };
--- a/src/emulator/tally.cpp
+++ b/src/emulator/metrics.cpp
@@ -1,4 +1,4 @@
-#include "emulator/tally.hpp"
+#include "emulator/metrics.hpp"
 
 namespace merlinbridge::emulator {
 
@@ -12,7 +12,7 @@
   return most_;
 }
 
-std::vector<Figure> figuresOf(const Tally& t) {
+std::vector<Figure> figuresOf(const Metrics& t) {
   const auto part = [](double of, double all) { return all > 0 ? of / all : 0; };
   const double asked = double(t.asked);
   std::vector<Figure> all{
@@ -38,8 +38,8 @@
       {"p999_ms", 1e3 * t.latency.within(0.999)},
       {"most_in_flight", double(t.mostInFlight)},
   };
-  for (std::size_t r = 0; r < kRules; ++r)
-    all.push_back({"broken_" + std::string(wordOf(static_cast<Rule>(r))), double(t.breaches[r])});
+  for (std::size_t r = 0; r < kInvariants; ++r)
+    all.push_back({"broken_" + std::string(wordOf(static_cast<Invariant>(r))), double(t.violations[r])});
   return all;
 }
 
--- a/src/emulator/tally.hpp
+++ b/src/emulator/metrics.hpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "emulator/doorman.hpp"
-#include "emulator/ledger.hpp"
+#include "emulator/emulated_gateway.hpp"
+#include "emulator/invariant_checker.hpp"
 
 namespace merlinbridge::emulator {
 
@@ -35,14 +35,14 @@
 };
 
 // What a run came to. Figures of the emulator are emulated figures.
-struct Tally {
+struct Metrics {
   std::uint64_t asked = 0, inTime = 0, late = 0, failed = 0,
                 left = 0;  // what clients wanted, all tries of it
   std::uint64_t tries = 0, rejected = 0, failedAnswers = 0, unreached = 0;
   std::uint64_t attempts = 0, further = 0, connects = 0, countCalls = 0, listLines = 0, hostsFallen = 0;
   double worthAsked = 0, worth = 0, unitsSent = 0, unitsBeyond = 0, worstWindow = 0;
   double nearestCold = 0;  // of what a cold host may be sent, the nearest that one came to it
-  std::array<std::uint64_t, kRules> breaches{};
+  std::array<std::uint64_t, kInvariants> violations{};
   Latencies latency;
   std::size_t mostInFlight = 0;
   std::uint64_t events = 0;
@@ -54,10 +54,10 @@
     double unitsSent = 0, unitsBeyond = 0;
   };
   std::vector<Second> seconds;
-  std::vector<Breach> first;
+  std::vector<Violation> first;
   std::uint64_t broken() const {
     std::uint64_t sum = 0;
-    for (const std::uint64_t n : breaches) sum += n;
+    for (const std::uint64_t n : violations) sum += n;
     return sum;
   }
 };
@@ -67,12 +67,12 @@
   double value;
 };
 // The figures of a run that tables and comparisons know, by name.
-std::vector<Figure> figuresOf(const Tally&);
+std::vector<Figure> figuresOf(const Metrics&);
 
-// Plays a scenario to its end. One seed gives one run, to the last byte. `doorman` takes the place of the
-// policy's own where it is given: for tests of the ledger.
-using DoormanMaker = std::function<std::unique_ptr<Doorman>(
+// Plays a scenario to its end. One seed gives one run, to the last byte. `gateway` takes the place of the
+// policy's own where it is given: for tests of the checker.
+using GatewayFactory = std::function<std::unique_ptr<EmulatedGateway>(
     const config::GatewayConfig&, TimePoint now, core::DeadlineQueue&, core::Transport&, const Truth&)>;
-Tally play(const Scenario&, std::uint64_t seed, Policy, const DoormanMaker& doorman = {});
+Metrics play(const Scenario&, std::uint64_t seed, Policy, const GatewayFactory& gateway = {});
 
 }  // namespace merlinbridge::emulator
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -17,29 +17,29 @@
 
 using config::TomlTable;
 
-constexpr std::array kTroubles = std::to_array<std::pair<std::string_view, Trouble>>({
-    {"gateway_kill", Trouble::gatewayKill},
-    {"gateway_restart", Trouble::gatewayRestart},
-    {"host_kill", Trouble::hostKill},
-    {"host_hang", Trouble::hostHang},
-    {"host_slow", Trouble::hostSlow},
-    {"host_err", Trouble::hostErr},
-    {"host_vanish", Trouble::hostVanish},
-    {"host_replace", Trouble::hostReplace},
-    {"zone_cut", Trouble::zoneCut},
-    {"zone_loss", Trouble::zoneLoss},
-    {"discovery_down", Trouble::discoveryDown},
-    {"discovery_late", Trouble::discoveryLate},
-    {"discovery_refuse", Trouble::discoveryRefuse},
-    {"discovery_mangle", Trouble::discoveryMangle},
-    {"counter_down", Trouble::counterDown},
-    {"counter_slow", Trouble::counterSlow},
-    {"counter_empty", Trouble::counterEmpty},
-    {"counter_split", Trouble::counterSplit},
-    {"counter_lose", Trouble::counterLose},
-    {"net_loss", Trouble::netLoss},
-    {"net_slow", Trouble::netSlow},
-    {"load_burst", Trouble::loadBurst},
+constexpr std::array kFaultKinds = std::to_array<std::pair<std::string_view, FaultKind>>({
+    {"gateway_kill", FaultKind::gatewayKill},
+    {"gateway_restart", FaultKind::gatewayRestart},
+    {"host_kill", FaultKind::hostKill},
+    {"host_hang", FaultKind::hostHang},
+    {"host_slow", FaultKind::hostSlow},
+    {"host_err", FaultKind::hostErr},
+    {"host_vanish", FaultKind::hostVanish},
+    {"host_replace", FaultKind::hostReplace},
+    {"zone_cut", FaultKind::zoneCut},
+    {"zone_loss", FaultKind::zoneLoss},
+    {"discovery_down", FaultKind::discoveryDown},
+    {"discovery_late", FaultKind::discoveryLate},
+    {"discovery_refuse", FaultKind::discoveryRefuse},
+    {"discovery_mangle", FaultKind::discoveryMangle},
+    {"counter_down", FaultKind::counterDown},
+    {"counter_slow", FaultKind::counterSlow},
+    {"counter_empty", FaultKind::counterEmpty},
+    {"counter_split", FaultKind::counterSplit},
+    {"counter_lose", FaultKind::counterLose},
+    {"net_loss", FaultKind::netLoss},
+    {"net_slow", FaultKind::netSlow},
+    {"load_burst", FaultKind::loadBurst},
 });
 
 // "path=value" over the text: the path's last word is a key, a number in it counts entries from 0.
@@ -103,7 +103,7 @@
 void readFaults(TomlTable& root, Scenario& s) {
   for (TomlTable& t : root.parts("fault")) {
     Fault f{};
-    f.kind = t.oneOf<Trouble>("kind", {}, kTroubles);
+    f.kind = t.oneOf<FaultKind>("kind", {}, kFaultKinds);
     f.from = t.range("from", {});
     f.lasts = t.range("lasts", Range{});
     f.share = t.number("share", 1, 0, 1);
@@ -117,8 +117,8 @@
 
 }  // namespace
 
-std::string_view wordOf(Trouble kind) {
-  for (const auto& [word, value] : kTroubles)
+std::string_view wordOf(FaultKind kind) {
+  for (const auto& [word, value] : kFaultKinds)
     if (value == kind) return word;
   return "none";
 }
--- a/src/emulator/scenario.hpp
+++ b/src/emulator/scenario.hpp
@@ -14,7 +14,7 @@
 using BadScenario = config::TomlError;
 using config::Range;
 
-enum class Trouble {
+enum class FaultKind {
   gatewayKill,      // a share of the gateways dies at once and comes back after the fault
   gatewayRestart,   // all gateways are restarted in steps, each told to end first
   hostKill,         // a share of the hosts dies; their connections are refused; back, cold, after it
@@ -40,7 +40,7 @@
 };
 
 struct Fault {
-  Trouble kind{};
+  FaultKind kind{};
   Range from, lasts;  // in seconds
   double share = 1, factor = 1;
   int steps = 1;
@@ -103,7 +103,7 @@
   config::GatewayConfig config() const;
 };
 
-std::string_view wordOf(Trouble);
+std::string_view wordOf(FaultKind);
 
 // Reads a scenario whole. `file` is named in what is said of it; `changes` are "path=value" and come over
 // what the text says. Throws BadScenario.
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -12,9 +12,9 @@
 #include <unordered_map>
 
 #include "config/json_stream_splitter.hpp"
-#include "emulator/agenda.hpp"
+#include "emulator/event_queue.hpp"
+#include "emulator/metrics.hpp"
 #include "emulator/random_stream.hpp"
-#include "emulator/tally.hpp"
 
 namespace merlinbridge::emulator {
 namespace {
@@ -35,7 +35,7 @@
 
 struct World;
 
-struct Machine {
+struct EmulatedHost {
   enum class State { up, dead, gone };
   std::uint32_t zone;
   std::int64_t cell;
@@ -44,7 +44,7 @@
   bool cold;  // its start is told
   State state = State::up;
   bool serving = true;
-  std::uint64_t life = 1;
+  std::uint64_t incarnation = 1;
   int running = 0, connections = 0;
   std::deque<SlotRef> queue{};
   double doneLately = 0;
@@ -52,12 +52,12 @@
 };
 
 struct Job {
-  std::uint32_t machine;
-  std::uint64_t machineLife;
+  std::uint32_t host;
+  std::uint64_t hostIncarnation;
   std::uint32_t gateway;
-  std::uint64_t gatewayLife;
+  std::uint64_t gatewayIncarnation;
   SlotRef attempt;
-  TryId requestId;
+  ClientAttemptId requestId;
   std::uint32_t no;
   Duration work;
   bool running = false;
@@ -66,15 +66,15 @@
 struct Attempt {
   RequestId requestId;
   AttemptNumber no;
-  TryId tryId;
-  std::uint32_t machine;
-  std::uint64_t machineLife;
+  ClientAttemptId clientAttemptId;
+  std::uint32_t host;
+  std::uint64_t hostIncarnation;
   bool fresh;                    // on a new connection
   bool connected = false;        // which has come up
   std::optional<SlotRef> job{};  // at the host
 };
 
-struct Wish {
+struct ClientRequest {
   std::uint64_t customer;
   std::uint32_t plan, method;
   double units;
@@ -83,11 +83,11 @@
   SlotRef current{};
 };
 
-struct Try {
-  SlotRef wish;
-  TryId id;
+struct ClientAttempt {
+  SlotRef clientRequest;
+  ClientAttemptId id;
   std::uint32_t gateway;
-  std::uint64_t gatewayLife;
+  std::uint64_t gatewayIncarnation;
   bool inside = false;
 };
 
@@ -96,11 +96,11 @@
   TimePoint madeAt;
 };
 
-// One gateway: the doorman inside and, round it, what the sockets would be.
-struct Node final : core::Transport {
+// One gateway: the gateway inside and, round it, what the sockets would be.
+struct GatewayProcess final : core::Transport {
   enum class State { down, ready, leaving };
 
-  Node(World& world, std::uint32_t number, std::uint32_t z) : w(world), no(number), zone(z) {}
+  GatewayProcess(World& world, std::uint32_t number, std::uint32_t z) : w(world), no(number), zone(z) {}
 
   void answerOk(SlotRef client, std::string_view, std::string_view) override;
   void answerRejected(SlotRef client, Duration comeBackAfter) override;
@@ -116,10 +116,10 @@
   World& w;
   std::uint32_t no, zone;
   State state = State::down;
-  std::uint64_t life = 0;
+  std::uint64_t incarnation = 0;
   bool listed = true;  // the clients' front sends to it
   core::DeadlineQueue deadlines;
-  std::unique_ptr<Doorman> doorman;
+  std::unique_ptr<EmulatedGateway> gateway;
   TimePoint armed = TimePoint::max();
   core::SlotTable<Attempt> attempts;
   core::SlotTable<Call> calls;
@@ -127,7 +127,7 @@
   std::uint64_t told = 0;                                  // generation
   bool feeding = false;
   int refusals = 0;
-  std::map<std::uint32_t, std::uint64_t> knowsLife;  // of machines: the start that it was told of
+  std::map<std::uint32_t, std::uint64_t> knownIncarnations;  // of machines: the start that it was told of
 };
 
 struct Active {
@@ -138,30 +138,30 @@
 };
 
 struct World {
-  World(const Scenario& scenario, std::uint64_t s, Policy p, const DoormanMaker& m)
-      : sc(scenario), seed(s), policy(p), maker(m), agenda(kBegin), ledger(scenario) {}
+  World(const Scenario& scenario, std::uint64_t s, Policy p, const GatewayFactory& m)
+      : sc(scenario), seed(s), policy(p), maker(m), events(kBegin), checker(scenario) {}
 
   // ---- chance, faults, the network ----
 
-  double product(Trouble kind) const {
+  double product(FaultKind kind) const {
     double all = 1;
     for (const auto& [key, a] : active)
       if (a.fault->kind == kind) all *= a.fault->factor;
     return all;
   }
   template <class Holds>
-  bool any(Trouble kind, Holds holds) const {
+  bool any(FaultKind kind, Holds holds) const {
     return std::any_of(active.begin(), active.end(),
                        [&](const auto& at) { return at.second.fault->kind == kind && holds(at.second); });
   }
-  bool marked(Trouble kind, std::uint32_t which) const {
+  bool marked(FaultKind kind, std::uint32_t which) const {
     return any(kind, [which](const Active& a) { return which < a.marked.size() && a.marked[which]; });
   }
   Duration delay() {
     double factor = 1, lost = 1 - sc.loss;
     for (const auto& [key, a] : active) {
-      if (a.fault->kind == Trouble::netSlow) factor *= a.fault->factor;
-      if (a.fault->kind == Trouble::netLoss) lost *= 1 - std::min(1.0, a.fault->factor);
+      if (a.fault->kind == FaultKind::netSlow) factor *= a.fault->factor;
+      if (a.fault->kind == FaultKind::netLoss) lost *= 1 - std::min(1.0, a.fault->factor);
     }
     Duration span = scaled(sc.delay, factor) + scaled(sc.jitter, network.uniform01() * factor);
     for (int n = 0; lost < 1 && n < 6 && network.bernoulli(1 - lost); ++n) span += kSentAgain * (1 << n);
@@ -169,18 +169,19 @@
   }
   bool cut(std::uint32_t zoneA, std::uint32_t zoneB) const {
     return zoneA != zoneB &&
-           any(Trouble::zoneCut, [=](const Active& a) { return a.zone == zoneA || a.zone == zoneB; });
+           any(FaultKind::zoneCut, [=](const Active& a) { return a.zone == zoneA || a.zone == zoneB; });
   }
-  bool silent(std::uint32_t machine) const { return marked(Trouble::hostVanish, machine); }
+  bool silent(std::uint32_t host) const { return marked(FaultKind::hostVanish, host); }
   void print(std::uint64_t what) {
-    tally.print = (tally.print ^ what ^ static_cast<std::uint64_t>(agenda.now().time_since_epoch().count())) *
-                  1099511628211u;
+    metrics.print =
+        (metrics.print ^ what ^ static_cast<std::uint64_t>(events.now().time_since_epoch().count())) *
+        1099511628211u;
   }
-  Tally::Second& second() {
+  Metrics::Second& second() {
     const auto at = static_cast<std::size_t>(std::max<std::int64_t>(
-        0, std::chrono::duration_cast<std::chrono::seconds>(agenda.now() - kBegin).count()));
-    if (tally.seconds.size() <= at) tally.seconds.resize(at + 1);
-    return tally.seconds[at];
+        0, std::chrono::duration_cast<std::chrono::seconds>(events.now() - kBegin).count()));
+    if (metrics.seconds.size() <= at) metrics.seconds.resize(at + 1);
+    return metrics.seconds[at];
   }
 
   // ---- clients ----
@@ -199,12 +200,12 @@
     return std::min(sums.size() - 1, static_cast<std::size_t>(at - sums.begin()));
   }
   void nextArrival() {
-    const double rate = sc.rate * product(Trouble::loadBurst);
+    const double rate = sc.rate * product(FaultKind::loadBurst);
     // Where nobody asks just now, it is looked again a little later.
-    const TimePoint at = agenda.now() + (rate > 0 ? durationOf(std::min(1e4, arrivals.exponential(1 / rate)))
+    const TimePoint at = events.now() + (rate > 0 ? durationOf(std::min(1e4, arrivals.exponential(1 / rate)))
                                                   : Duration(std::chrono::milliseconds(100)));
     if (at > kBegin + sc.length) return;
-    agenda.at(at, [this, rate] {
+    events.at(at, [this, rate] {
       if (rate > 0) arrive();
       nextArrival();
     });
@@ -217,351 +218,372 @@
     const double units = sc.units > 0 ? std::clamp(std::round(arrivals.exponential(sc.units)),
                                                    std::min(1.0, sc.units), std::max(1.0, 4 * sc.units))
                                       : 0;
-    const TimePoint now = agenda.now();
-    const SlotRef wish =
-        wishes.add(Wish{customer, plan, method, units, now, now + sc.methods[method].deadline, sc.tries});
-    ++tally.asked, ++second().asked;
-    tally.worthAsked += worthOf(*wishes.find(wish));
+    const TimePoint now = events.now();
+    const SlotRef clientRequest = clientRequests.add(
+        ClientRequest{customer, plan, method, units, now, now + sc.methods[method].deadline, sc.tries});
+    ++metrics.asked, ++second().asked;
+    metrics.worthAsked += worthOf(*clientRequests.find(clientRequest));
     const bool leaves = arrivals.bernoulli(sc.leaves);
     const TimePoint until =
         leaves ? now + scaled(sc.methods[method].deadline, arrivals.uniform01())
                : now + sc.methods[method].deadline + 2 * sc.answerSlack + 2 * (sc.delay + sc.jitter);
-    agenda.at(until, [this, wish, leaves] { stopWaiting(wish, leaves); });
-    ask(wish);
+    events.at(until, [this, clientRequest, leaves] { stopWaiting(clientRequest, leaves); });
+    ask(clientRequest);
   }
-  double worthOf(const Wish& wish) const {
-    return sc.methods[wish.method].utility * sc.plans[wish.plan].plan.price * wish.units;
+  double worthOf(const ClientRequest& clientRequest) const {
+    return sc.methods[clientRequest.method].utility * sc.plans[clientRequest.plan].plan.price *
+           clientRequest.units;
   }
   void ask(SlotRef ref) {
-    Wish& wish = *wishes.find(ref);
-    if (wish.triesLeft-- <= 0 || agenda.now() >= wish.deadline) return fail(ref);
-    ++wish.triesMade, ++tally.tries;
+    ClientRequest& clientRequest = *clientRequests.find(ref);
+    if (clientRequest.triesLeft-- <= 0 || events.now() >= clientRequest.deadline) return fail(ref);
+    ++clientRequest.triesMade, ++metrics.tries;
     // Uneven, as clients come: the first gateway of a customer's set sees the most.
     const std::uint32_t spread = std::min(sc.spread, sc.gateways);
-    const auto first = static_cast<std::uint32_t>((wish.customer * 0xff51afd7ed558ccdu >> 33) % sc.gateways);
+    const auto first =
+        static_cast<std::uint32_t>((clientRequest.customer * 0xff51afd7ed558ccdu >> 33) % sc.gateways);
     auto at = static_cast<std::uint32_t>(spread * std::pow(choices.uniform01(), kUneven));
     std::uint32_t g = (first + at) % sc.gateways;
-    for (std::uint32_t n = 0; n < spread && !nodes[g].listed; ++n) g = (first + ++at % spread) % sc.gateways;
-    const TryId id{++lastTry};
-    wish.current = tries.add(Try{ref, id, g, nodes[g].life});
-    agenda.after(delay(), [this, t = wish.current] { reachGateway(t); });
+    for (std::uint32_t n = 0; n < spread && !processes[g].listed; ++n)
+      g = (first + ++at % spread) % sc.gateways;
+    const ClientAttemptId id{++lastTry};
+    clientRequest.current = clientAttempts.add(ClientAttempt{ref, id, g, processes[g].incarnation});
+    events.after(delay(), [this, t = clientRequest.current] { reachGateway(t); });
   }
   void reachGateway(SlotRef ref) {
-    Try* const t = tries.find(ref);
+    ClientAttempt* const t = clientAttempts.find(ref);
     if (!t) return;
-    Node& node = nodes[t->gateway];
-    t->gatewayLife = node.life;
-    if (node.state == Node::State::down) {
-      ++tally.unreached;
-      return agenda.after(delay(), [this, ref] { again(ref, true, Duration{0}); });
+    GatewayProcess& process = processes[t->gateway];
+    t->gatewayIncarnation = process.incarnation;
+    if (process.state == GatewayProcess::State::down) {
+      ++metrics.unreached;
+      return events.after(delay(), [this, ref] { again(ref, true, Duration{0}); });
     }
-    const Wish& wish = *wishes.find(t->wish);
-    ledger.taken(agenda.now(), t->id,
-                 {{t->gateway}, wish.method, wish.plan, wish.customer, wish.units, wish.deadline});
-    tally.mostInFlight = std::max(tally.mostInFlight, ledger.held());
+    const ClientRequest& clientRequest = *clientRequests.find(t->clientRequest);
+    checker.taken(events.now(), t->id,
+                  {{t->gateway},
+                   clientRequest.method,
+                   clientRequest.plan,
+                   clientRequest.customer,
+                   clientRequest.units,
+                   clientRequest.deadline});
+    metrics.mostInFlight = std::max(metrics.mostInFlight, checker.held());
     print(t->id.value);
     Request a{{},
-              {wish.customer},
-              {wish.plan},
-              {wish.method},
-              wish.deadline,
-              wish.units,
+              {clientRequest.customer},
+              {clientRequest.plan},
+              {clientRequest.method},
+              clientRequest.deadline,
+              clientRequest.units,
               std::min(sc.spread, sc.gateways)};
-    node.doorman->requestArrived(agenda.now(), ref, a);
-    arm(node);
+    process.gateway->requestArrived(events.now(), ref, a);
+    arm(process);
   }
   // This try is over without a result; may the client ask once more?
   void again(SlotRef ref, bool may, Duration advice) {
-    Try* const t = tries.find(ref);
+    ClientAttempt* const t = clientAttempts.find(ref);
     if (!t) return;
-    const SlotRef wishRef = t->wish;
-    tries.drop(ref);
-    Wish* const wish = wishes.find(wishRef);
-    if (!wish) return;
-    wish->current = {};
-    if (!may) return fail(wishRef);
-    Duration wait =
-        scaled(sc.wait, (0.5 + choices.uniform01()) * double(1 << std::min(10, wish->triesMade - 1)));
+    const SlotRef clientRequestRef = t->clientRequest;
+    clientAttempts.drop(ref);
+    ClientRequest* const clientRequest = clientRequests.find(clientRequestRef);
+    if (!clientRequest) return;
+    clientRequest->current = {};
+    if (!may) return fail(clientRequestRef);
+    Duration wait = scaled(
+        sc.wait, (0.5 + choices.uniform01()) * double(1 << std::min(10, clientRequest->triesMade - 1)));
     if (advice > Duration{0} && choices.bernoulli(sc.heedsAdvice)) wait = std::max(wait, advice);
-    if (agenda.now() + wait >= wish->deadline || wish->triesLeft <= 0) return fail(wishRef);
-    agenda.after(wait, [this, wishRef] {
-      if (wishes.find(wishRef)) ask(wishRef);
+    if (events.now() + wait >= clientRequest->deadline || clientRequest->triesLeft <= 0)
+      return fail(clientRequestRef);
+    events.after(wait, [this, clientRequestRef] {
+      if (clientRequests.find(clientRequestRef)) ask(clientRequestRef);
     });
   }
-  bool mayAskAgain(const Wish& wish) const {
-    const ScenarioMethod& m = sc.methods[wish.method];
+  bool mayAskAgain(const ClientRequest& clientRequest) const {
+    const ScenarioMethod& m = sc.methods[clientRequest.method];
     return m.repeat == Repeat::idempotent || (m.repeat == Repeat::deduplicated && m.group == Group::all &&
-                                              agenda.now() < wish.askedAt + m.window);
+                                              events.now() < clientRequest.askedAt + m.window);
   }
   void fail(SlotRef ref) {
-    const Wish* const wish = wishes.find(ref);
-    if (!wish) return;
-    ++tally.failed, ++second().failed;
+    const ClientRequest* const clientRequest = clientRequests.find(ref);
+    if (!clientRequest) return;
+    ++metrics.failed, ++second().failed;
     print(3);
-    wishes.drop(ref);
+    clientRequests.drop(ref);
   }
   void stopWaiting(SlotRef ref, bool early) {
-    Wish* const wish = wishes.find(ref);
-    if (!wish) return;
-    const SlotRef current = wish->current;
-    early ? void(++tally.left) : void((++tally.failed, ++second().failed));
-    wishes.drop(ref);
-    Try* const t = tries.find(current);
+    ClientRequest* const clientRequest = clientRequests.find(ref);
+    if (!clientRequest) return;
+    const SlotRef current = clientRequest->current;
+    early ? void(++metrics.left) : void((++metrics.failed, ++second().failed));
+    clientRequests.drop(ref);
+    ClientAttempt* const t = clientAttempts.find(current);
     if (!t) return;
-    Node& node = nodes[t->gateway];
-    const TryId id = t->id;
-    const std::uint64_t life = t->gatewayLife;
-    agenda.after(delay(), [this, current, id, life, &node] {
-      if (!tries.find(current)) return;
-      if (node.life == life && node.state != Node::State::down) {
-        ledger.clientLeft(agenda.now(), id);
-        node.doorman->clientLeft(agenda.now(), current);
-        arm(node);
+    GatewayProcess& process = processes[t->gateway];
+    const ClientAttemptId id = t->id;
+    const std::uint64_t incarnation = t->gatewayIncarnation;
+    events.after(delay(), [this, current, id, incarnation, &process] {
+      if (!clientAttempts.find(current)) return;
+      if (process.incarnation == incarnation && process.state != GatewayProcess::State::down) {
+        checker.clientLeft(events.now(), id);
+        process.gateway->clientLeft(events.now(), current);
+        arm(process);
       }
-      tries.drop(current);
+      clientAttempts.drop(current);
     });
   }
   void answerCame(SlotRef ref, Answer how, Duration advice) {
-    Try* const t = tries.find(ref);
+    ClientAttempt* const t = clientAttempts.find(ref);
     if (!t) return;
-    const SlotRef wishRef = t->wish;
-    const Wish* const wish = wishes.find(wishRef);
-    if (!wish) return tries.drop(ref);
+    const SlotRef clientRequestRef = t->clientRequest;
+    const ClientRequest* const clientRequest = clientRequests.find(clientRequestRef);
+    if (!clientRequest) return clientAttempts.drop(ref);
     print(10 + static_cast<std::uint64_t>(how));
     if (how != Answer::ok) {
-      how == Answer::rejected ? void((++tally.rejected, ++second().rejected)) : void(++tally.failedAnswers);
-      return again(ref, how == Answer::rejected || mayAskAgain(*wish), advice);
+      how == Answer::rejected ? void((++metrics.rejected, ++second().rejected))
+                              : void(++metrics.failedAnswers);
+      return again(ref, how == Answer::rejected || mayAskAgain(*clientRequest), advice);
     }
-    const TimePoint now = agenda.now();
-    const bool inTime = now <= wish->askedAt + sc.methods[wish->method].soft;
-    inTime ? void((++tally.inTime, ++second().inTime)) : void((++tally.late, ++second().late));
-    if (t->inside) tally.worth += worthOf(*wish) * (inTime ? 1 : kLateWorth);
-    tally.latency.add(now - wish->askedAt);
-    tries.drop(ref);
-    wishes.drop(wishRef);
+    const TimePoint now = events.now();
+    const bool inTime = now <= clientRequest->askedAt + sc.methods[clientRequest->method].soft;
+    inTime ? void((++metrics.inTime, ++second().inTime)) : void((++metrics.late, ++second().late));
+    if (t->inside) metrics.worth += worthOf(*clientRequest) * (inTime ? 1 : kLateWorth);
+    metrics.latency.add(now - clientRequest->askedAt);
+    clientAttempts.drop(ref);
+    clientRequests.drop(clientRequestRef);
   }
 
   // ---- gateways ----
 
-  void arm(Node& node) {
-    const TimePoint next = node.deadlines.next();
-    if (node.state == Node::State::down || next >= node.armed) return;
-    node.armed = next;
-    agenda.at(next, [this, &node, life = node.life, next] {
-      if (node.life != life || node.state == Node::State::down || node.armed != next) return;
-      node.armed = TimePoint::max();
-      node.deadlines.run(agenda.now());
-      arm(node);
+  void arm(GatewayProcess& process) {
+    const TimePoint next = process.deadlines.next();
+    if (process.state == GatewayProcess::State::down || next >= process.armed) return;
+    process.armed = next;
+    events.at(next, [this, &process, incarnation = process.incarnation, next] {
+      if (process.incarnation != incarnation || process.state == GatewayProcess::State::down ||
+          process.armed != next)
+        return;
+      process.armed = TimePoint::max();
+      process.deadlines.run(events.now());
+      arm(process);
     });
   }
-  void bear(Node& node) {
-    ++node.life;
-    node.state = Node::State::ready;
-    node.armed = TimePoint::max(), node.told = generation, node.refusals = 0, node.feeding = false;
-    node.deadlines = {};
-    node.attempts = {}, node.calls = {}, node.resting.clear(), node.knowsLife.clear();
+  void startProcess(GatewayProcess& process) {
+    ++process.incarnation;
+    process.state = GatewayProcess::State::ready;
+    process.armed = TimePoint::max(), process.told = generation, process.refusals = 0,
+    process.feeding = false;
+    process.deadlines = {};
+    process.attempts = {}, process.calls = {}, process.resting.clear(), process.knownIncarnations.clear();
     config::GatewayConfig o = config;
     o.seed = lives.word();
     o.known.generation = generation;
     o.known.complete = true;
-    for (std::uint32_t m = 0; m < machines.size(); ++m)
-      if (machines[m].state != Machine::State::gone) {
+    for (std::uint32_t m = 0; m < hosts.size(); ++m)
+      if (hosts[m].state != EmulatedHost::State::gone) {
         o.known.entries.push_back(lineOf(m));
-        tellOne(node, m);
+        tellOne(process, m);
       }
-    Truth truth{
-        [this](std::uint64_t c, std::uint32_t p, double u) { return ledger.wouldFit(agenda.now(), c, p, u); },
-        [this](std::string_view address) { return loadOf(address); }};
-    node.doorman = maker ? maker(o, agenda.now(), node.deadlines, node, truth)
-                         : doormanOf(policy, o, agenda.now(), node.deadlines, node, truth);
-    node.listed = true;
-    feedSoon(node);
-    arm(node);
+    Truth truth{[this](std::uint64_t c, std::uint32_t p, double u) {
+                  return checker.wouldFit(events.now(), c, p, u);
+                },
+                [this](std::string_view address) { return loadOf(address); }};
+    process.gateway = maker ? maker(o, events.now(), process.deadlines, process, truth)
+                            : makeGateway(policy, o, events.now(), process.deadlines, process, truth);
+    process.listed = true;
+    feedSoon(process);
+    arm(process);
   }
-  void die(Node& node) {
-    if (node.state == Node::State::down) return;
-    node.state = Node::State::down;
-    ++node.life;
-    ledger.gatewayDied(agenda.now(), {node.no});
-    print(1000 + node.no);
+  void killProcess(GatewayProcess& process) {
+    if (process.state == GatewayProcess::State::down) return;
+    process.state = GatewayProcess::State::down;
+    ++process.incarnation;
+    checker.gatewayDied(events.now(), {process.no});
+    print(1000 + process.no);
     // Its machine's connections are reset, its clients are told by that.
     std::vector<SlotRef> held;
-    tries.each([&](SlotRef ref, Try& t) {
-      if (t.gateway == node.no && t.gatewayLife + 1 == node.life) held.push_back(ref);
+    clientAttempts.each([&](SlotRef ref, ClientAttempt& t) {
+      if (t.gateway == process.no && t.gatewayIncarnation + 1 == process.incarnation) held.push_back(ref);
     });
     for (const SlotRef ref : held)
-      agenda.after(delay(), [this, ref] {
-        const Try* const t = tries.find(ref);
+      events.after(delay(), [this, ref] {
+        const ClientAttempt* const t = clientAttempts.find(ref);
         if (!t) return;
-        const Wish* const wish = wishes.find(t->wish);
-        again(ref, wish && mayAskAgain(*wish), Duration{0});
+        const ClientRequest* const clientRequest = clientRequests.find(t->clientRequest);
+        again(ref, clientRequest && mayAskAgain(*clientRequest), Duration{0});
       });
-    node.attempts.each([&](SlotRef, Attempt& a) { dropAtHost(a); });
-    node.attempts = {};
-    for (const auto& [m, rest] : node.resting) machines[m].connections -= static_cast<int>(rest.size());
-    node.resting.clear();
-    node.doorman.reset();
-    node.deadlines = {};
-    agenda.after(sc.notice, [&node] {
-      if (node.state == Node::State::down) node.listed = false;
+    process.attempts.each([&](SlotRef, Attempt& a) { dropAtHost(a); });
+    process.attempts = {};
+    for (const auto& [m, rest] : process.resting) hosts[m].connections -= static_cast<int>(rest.size());
+    process.resting.clear();
+    process.gateway.reset();
+    process.deadlines = {};
+    events.after(sc.notice, [&process] {
+      if (process.state == GatewayProcess::State::down) process.listed = false;
     });
   }
-  void leave(Node& node) {
-    if (node.state != Node::State::ready) return;
-    node.state = Node::State::leaving;
-    const TimePoint by = agenda.now() + kStillComing + std::min(sc.longestDeadline(), kLongestKept) - kSpared;
-    node.doorman->endBy(by);
-    agenda.after(kStillComing / 2, [&node] { node.listed = false; });
-    arm(node);
-    agenda.after(kStillComing, [this, &node, life = node.life] { lookWhetherDone(node, life); });
+  void beginShutdown(GatewayProcess& process) {
+    if (process.state != GatewayProcess::State::ready) return;
+    process.state = GatewayProcess::State::leaving;
+    const TimePoint by = events.now() + kStillComing + std::min(sc.longestDeadline(), kLongestKept) - kSpared;
+    process.gateway->endBy(by);
+    events.after(kStillComing / 2, [&process] { process.listed = false; });
+    arm(process);
+    events.after(kStillComing, [this, &process, incarnation = process.incarnation] {
+      lookWhetherDone(process, incarnation);
+    });
   }
-  void lookWhetherDone(Node& node, std::uint64_t life) {
-    if (node.life != life || node.state != Node::State::leaving) return;
-    if (node.doorman->unanswered() > 0)
-      return agenda.after(kSpared / 10, [this, &node, life] { lookWhetherDone(node, life); });
-    die(node);
-    agenda.after(sc.restart, [this, &node, l = node.life] {
-      if (node.life == l && node.state == Node::State::down) bear(node);
+  void lookWhetherDone(GatewayProcess& process, std::uint64_t incarnation) {
+    if (process.incarnation != incarnation || process.state != GatewayProcess::State::leaving) return;
+    if (process.gateway->unanswered() > 0)
+      return events.after(kSpared / 10,
+                          [this, &process, incarnation] { lookWhetherDone(process, incarnation); });
+    killProcess(process);
+    events.after(sc.restart, [this, &process, l = process.incarnation] {
+      if (process.incarnation == l && process.state == GatewayProcess::State::down) startProcess(process);
     });
   }
 
   // ---- hosts ----
 
   config::Endpoint lineOf(std::uint32_t m) const {
-    const Machine& at = machines[m];
+    const EmulatedHost& at = hosts[m];
     return {at.name,
             std::to_string(m),
             fmt::format("z{}", at.zone),
             "m",
             at.cell,
-            at.serving && at.state != Machine::State::gone,
-            at.state == Machine::State::gone,
+            at.serving && at.state != EmulatedHost::State::gone,
+            at.state == EmulatedHost::State::gone,
             1,
             at.cold ? at.started.time_since_epoch() : Duration{0}};
   }
-  std::uint32_t addMachine(std::uint32_t zone, bool cold) {
-    const auto m = static_cast<std::uint32_t>(machines.size());
-    machines.push_back({zone, static_cast<std::int64_t>(m % 8), fmt::format("h{}", m),
-                        cold ? agenda.now() : kBegin - sc.cold - std::chrono::hours(1), cold});
+  std::uint32_t addHost(std::uint32_t zone, bool cold) {
+    const auto m = static_cast<std::uint32_t>(hosts.size());
+    hosts.push_back({zone, static_cast<std::int64_t>(m % 8), fmt::format("h{}", m),
+                     cold ? events.now() : kBegin - sc.cold - std::chrono::hours(1), cold});
     return m;
   }
   // The least share of its capacity that it has by now.
-  double warmth(const Machine& m) const {
+  double warmth(const EmulatedHost& m) const {
     if (sc.cold <= Duration{0}) return 1;
     return sc.startCapacity + (1 - sc.startCapacity) *
-                                  std::clamp(seconds(agenda.now() - m.started) / seconds(sc.cold), 0.0, 1.0);
+                                  std::clamp(seconds(events.now() - m.started) / seconds(sc.cold), 0.0, 1.0);
   }
   double loadOf(std::string_view address) const {
     std::uint32_t m = 0;
     std::from_chars(address.data(), address.data() + address.size(), m);
-    const Machine& at = machines[m];
-    if (at.state != Machine::State::up || !at.serving || silent(m) || marked(Trouble::hostHang, m)) return -1;
-    const double slow = marked(Trouble::hostSlow, m) ? product(Trouble::hostSlow) : 1;
+    const EmulatedHost& at = hosts[m];
+    if (at.state != EmulatedHost::State::up || !at.serving || silent(m) || marked(FaultKind::hostHang, m))
+      return -1;
+    const double slow = marked(FaultKind::hostSlow, m) ? product(FaultKind::hostSlow) : 1;
     return (at.running + double(at.queue.size())) * slow / (sc.cores * warmth(at));
   }
-  void killMachine(std::uint32_t m, Machine::State state) {
-    Machine& at = machines[m];
-    if (at.state != Machine::State::up) return;
+  void killHost(std::uint32_t m, EmulatedHost::State state) {
+    EmulatedHost& at = hosts[m];
+    if (at.state != EmulatedHost::State::up) return;
     at.state = state;
-    ++at.life;
+    ++at.incarnation;
     at.running = 0, at.connections = 0;
     at.queue.clear();
     std::vector<SlotRef> ended;
     jobs.each([&](SlotRef ref, Job& job) {
-      if (job.machine == m) ended.push_back(ref);
+      if (job.host == m) ended.push_back(ref);
     });
     for (const SlotRef ref : ended) {
       const Job job = *jobs.find(ref);
       jobs.drop(ref);
-      endAttempt(job.gateway, job.gatewayLife, job.attempt, Outcome::lost);
+      endAttempt(job.gateway, job.gatewayIncarnation, job.attempt, Outcome::lost);
     }
-    for (Node& node : nodes) node.resting.erase(m);
+    for (GatewayProcess& process : processes) process.resting.erase(m);
   }
-  void startMachine(std::uint32_t m) {
-    Machine& at = machines[m];
-    if (at.state == Machine::State::gone) return;
-    at.state = Machine::State::up;
-    ++at.life;
-    at.started = agenda.now(), at.cold = true;
+  void startHost(std::uint32_t m) {
+    EmulatedHost& at = hosts[m];
+    if (at.state == EmulatedHost::State::gone) return;
+    at.state = EmulatedHost::State::up;
+    ++at.incarnation;
+    at.started = events.now(), at.cold = true;
     change({m});
   }
-  void reachHost(std::uint32_t g, std::uint64_t life, SlotRef ref) {
-    Node& node = nodes[g];
-    if (node.life != life) return;
-    Attempt* const a = node.attempts.find(ref);
+  void reachHost(std::uint32_t g, std::uint64_t incarnation, SlotRef ref) {
+    GatewayProcess& process = processes[g];
+    if (process.incarnation != incarnation) return;
+    Attempt* const a = process.attempts.find(ref);
     if (!a) return;  // given up on the way: the host sees no whole request
-    Machine& m = machines[a->machine];
-    if (cut(node.zone, m.zone) || silent(a->machine)) {
+    EmulatedHost& m = hosts[a->host];
+    if (cut(process.zone, m.zone) || silent(a->host)) {
       // Nothing is said. A new connection is given up by the gateway's own patience.
       if (a->fresh)
-        agenda.after(sc.connectTimeout,
-                     [this, g, life, ref] { endAttempt(g, life, ref, Outcome::noConnection, true); });
+        events.after(sc.connectTimeout, [this, g, incarnation, ref] {
+          endAttempt(g, incarnation, ref, Outcome::noConnection, true);
+        });
       return;
     }
     const bool full = a->fresh && m.connections >= sc.connections;
     // An old connection ends with the life of the host that it led to, be this up again or not.
-    if (m.state != Machine::State::up || full || (!a->fresh && a->machineLife != m.life))
-      return endAttempt(g, life, ref, a->fresh ? Outcome::noConnection : Outcome::lost);
+    if (m.state != EmulatedHost::State::up || full || (!a->fresh && a->hostIncarnation != m.incarnation))
+      return endAttempt(g, incarnation, ref, a->fresh ? Outcome::noConnection : Outcome::lost);
     if (a->fresh) ++m.connections, a->connected = true;
-    const Wish* wish = nullptr;
-    Try* asked = nullptr;
-    if (const auto at = tryOf.find(a->tryId.value); at != tryOf.end()) asked = tries.find(at->second);
-    if (asked) wish = wishes.find(asked->wish);
-    const std::uint32_t method = methodOf(*a, wish);
+    const ClientRequest* clientRequest = nullptr;
+    ClientAttempt* asked = nullptr;
+    if (const auto at = tryOf.find(a->clientAttemptId.value); at != tryOf.end())
+      asked = clientAttempts.find(at->second);
+    if (asked) clientRequest = clientRequests.find(asked->clientRequest);
+    const std::uint32_t method = methodOf(*a, clientRequest);
     const Duration work = scaled(sc.methods[method].work, 0.5 + works.exponential(0.5));
-    const bool toldOfIt = node.knowsLife.contains(a->machine);
-    if (const auto inside = ledger.reached(agenda.now(), a->tryId, a->no.value)) {
-      second().unitsSent += wish ? wish->units : 0;
+    const bool toldOfIt = process.knownIncarnations.contains(a->host);
+    if (const auto inside = checker.reached(events.now(), a->clientAttemptId, a->no.value)) {
+      second().unitsSent += clientRequest ? clientRequest->units : 0;
       if (asked) asked->inside = *inside;
-      if (!*inside) second().unitsBeyond += wish ? wish->units : 0;
+      if (!*inside) second().unitsBeyond += clientRequest ? clientRequest->units : 0;
     }
-    if (m.cold && ledger.hostAsked(agenda.now(), {a->machine}, m.started, work, toldOfIt)) {
-      ++tally.hostsFallen;
-      print(5000 + a->machine);
-      const std::uint32_t fallen = a->machine;
-      killMachine(fallen, Machine::State::dead);
-      return endAttempt(g, life, ref, Outcome::lost);
+    if (m.cold && checker.hostAsked(events.now(), {a->host}, m.started, work, toldOfIt)) {
+      ++metrics.hostsFallen;
+      print(5000 + a->host);
+      const std::uint32_t fallen = a->host;
+      killHost(fallen, EmulatedHost::State::dead);
+      return endAttempt(g, incarnation, ref, Outcome::lost);
     }
     if (m.running >= sc.cores && m.queue.size() >= static_cast<std::size_t>(sc.room))
-      return endAttempt(g, life, ref, Outcome::rejected);
-    const SlotRef job = jobs.add(Job{a->machine, m.life, g, life, ref, a->tryId, a->no.value, work});
+      return endAttempt(g, incarnation, ref, Outcome::rejected);
+    const SlotRef job =
+        jobs.add(Job{a->host, m.incarnation, g, incarnation, ref, a->clientAttemptId, a->no.value, work});
     a->job = job;
     m.running < sc.cores ? run(job) : void(m.queue.push_back(job));
   }
-  std::uint32_t methodOf(const Attempt& a, const Wish* wish) const {
-    if (wish) return wish->method;
-    return static_cast<std::uint32_t>(a.tryId.value % sc.methods.size());
+  std::uint32_t methodOf(const Attempt& a, const ClientRequest* clientRequest) const {
+    if (clientRequest) return clientRequest->method;
+    return static_cast<std::uint32_t>(a.clientAttemptId.value % sc.methods.size());
   }
   void run(SlotRef ref) {
     Job& job = *jobs.find(ref);
-    Machine& m = machines[job.machine];
+    EmulatedHost& m = hosts[job.host];
     job.running = true;
     ++m.running;
-    ledger.ran(agenda.now(), job.requestId, job.no, {job.machine}, m.zone, m.cell);
-    if (marked(Trouble::hostHang, job.machine)) return;
+    checker.ran(events.now(), job.requestId, job.no, {job.host}, m.zone, m.cell);
+    if (marked(FaultKind::hostHang, job.host)) return;
     double slow = 1 / warmth(m);
     for (const auto& [key, a] : active)
-      if (a.fault->kind == Trouble::hostSlow && job.machine < a.marked.size() && a.marked[job.machine])
+      if (a.fault->kind == FaultKind::hostSlow && job.host < a.marked.size() && a.marked[job.host])
         slow *= a.fault->factor;
-    agenda.after(scaled(job.work, slow), [this, ref] { done(ref); });
+    events.after(scaled(job.work, slow), [this, ref] { done(ref); });
   }
   void done(SlotRef ref) {
     const Job* const at = jobs.find(ref);
     if (!at) return;
     const Job job = *at;
     jobs.drop(ref);
-    Machine& m = machines[job.machine];
-    m.doneLately = m.doneLately * std::exp(-seconds(agenda.now() - m.doneAt)) + 1;
-    m.doneAt = agenda.now();
-    const bool err = any(Trouble::hostErr, [&](const Active& a) {
-      return job.machine < a.marked.size() && a.marked[job.machine] && works.bernoulli(a.fault->factor);
+    EmulatedHost& m = hosts[job.host];
+    m.doneLately = m.doneLately * std::exp(-seconds(events.now() - m.doneAt)) + 1;
+    m.doneAt = events.now();
+    const bool err = any(FaultKind::hostErr, [&](const Active& a) {
+      return job.host < a.marked.size() && a.marked[job.host] && works.bernoulli(a.fault->factor);
     });
-    if (!err) ledger.served(agenda.now(), job.requestId, job.no);
-    endAttempt(job.gateway, job.gatewayLife, job.attempt, err ? Outcome::error : Outcome::ok);
-    next(job.machine);
+    if (!err) checker.served(events.now(), job.requestId, job.no);
+    endAttempt(job.gateway, job.gatewayIncarnation, job.attempt, err ? Outcome::error : Outcome::ok);
+    next(job.host);
   }
-  void next(std::uint32_t machine) {
-    Machine& m = machines[machine];
+  void next(std::uint32_t host) {
+    EmulatedHost& m = hosts[host];
     --m.running;
     while (!m.queue.empty() && m.running < sc.cores) {
       const SlotRef job = m.queue.front();
@@ -570,57 +592,59 @@
     }
   }
   // Something comes back from a host, or from the way to it, and reaches the gateway a little later.
-  void endAttempt(std::uint32_t g, std::uint64_t life, SlotRef ref, Outcome outcome, bool atOnce = false) {
-    Node& node = nodes[g];
-    if (node.life != life) return;
-    const Attempt* const a = node.attempts.find(ref);
+  void endAttempt(std::uint32_t g, std::uint64_t incarnation, SlotRef ref, Outcome outcome,
+                  bool atOnce = false) {
+    GatewayProcess& process = processes[g];
+    if (process.incarnation != incarnation) return;
+    const Attempt* const a = process.attempts.find(ref);
     if (!a) return;
-    const std::uint32_t machine = a->machine;
-    if (!atOnce && (cut(node.zone, machines[machine].zone) || silent(machine))) return;
+    const std::uint32_t host = a->host;
+    if (!atOnce && (cut(process.zone, hosts[host].zone) || silent(host))) return;
     core::UpstreamResponse response{};
-    const Machine& m = machines[machine];
+    const EmulatedHost& m = hosts[host];
     if (sc.reports && outcome == Outcome::ok) {
       response.load.held = m.running + double(m.queue.size());
       response.load.queued = double(m.queue.size());
       response.load.perSecond = m.doneLately;
     }
-    const std::uint64_t machineLife = m.life;
-    agenda.after(atOnce ? Duration{0} : delay(), [this, g, life, ref, outcome, response, machineLife] {
-      Node& at = nodes[g];
-      if (at.life != life) return;
+    const std::uint64_t hostIncarnation = m.incarnation;
+    events.after(atOnce ? Duration{0} : delay(), [this, g, incarnation, ref, outcome, response,
+                                                  hostIncarnation] {
+      GatewayProcess& at = processes[g];
+      if (at.incarnation != incarnation) return;
       Attempt* const attempt = at.attempts.find(ref);
       if (!attempt) return;
       const Attempt over = *attempt;
       at.attempts.drop(ref);
       const bool proven = outcome == Outcome::rejected || outcome == Outcome::noConnection;
-      ledger.over(agenda.now(), over.tryId, over.no.value, proven);
+      checker.over(events.now(), over.clientAttemptId, over.no.value, proven);
       print(100 + static_cast<std::uint64_t>(outcome));
       const bool keeps = outcome == Outcome::ok || outcome == Outcome::error || outcome == Outcome::rejected;
-      Machine& host = machines[over.machine];
-      if (host.life == machineLife && host.state == Machine::State::up) {
+      EmulatedHost& answering = hosts[over.host];
+      if (answering.incarnation == hostIncarnation && answering.state == EmulatedHost::State::up) {
         if (keeps)
-          at.resting[over.machine].push_back(agenda.now());
+          at.resting[over.host].push_back(events.now());
         else if (!over.fresh || over.connected)
-          --host.connections;
+          --answering.connections;
       }
-      at.doorman->attemptEnded(agenda.now(), over.requestId, over.no, outcome, response);
+      at.gateway->attemptEnded(events.now(), over.requestId, over.no, outcome, response);
       arm(at);
     });
   }
   // The gateway has closed the connection: the host learns of it, if it can be reached.
   void dropAtHost(const Attempt& a) {
-    Machine& m = machines[a.machine];
-    if (m.state == Machine::State::up && (!a.fresh || a.connected)) --m.connections;
+    EmulatedHost& m = hosts[a.host];
+    if (m.state == EmulatedHost::State::up && (!a.fresh || a.connected)) --m.connections;
     if (!a.job) return;
-    agenda.after(delay(), [this, ref = *a.job] {
+    events.after(delay(), [this, ref = *a.job] {
       const Job* const job = jobs.find(ref);
       if (!job) return;
-      const std::uint32_t machine = job->machine;
-      const bool hangs = marked(Trouble::hostHang, machine);
+      const std::uint32_t host = job->host;
+      const bool hangs = marked(FaultKind::hostHang, host);
       if (job->running && !sc.stopsCancelled && !hangs) return;
       const bool running = job->running;
       jobs.drop(ref);
-      if (running) next(machine);
+      if (running) next(host);
     });
   }
 
@@ -629,31 +653,33 @@
   void change(const std::vector<std::uint32_t>& changed) {
     ++generation;
     for (const std::uint32_t m : changed) changes.emplace_back(generation, m);
-    for (Node& node : nodes) feedSoon(node);
+    for (GatewayProcess& process : processes) feedSoon(process);
   }
-  void feedSoon(Node& node) {
-    if (node.state == Node::State::down || node.feeding || node.told == generation) return;
-    node.feeding = true;
-    const Duration wait = scaled(sc.told, (0.5 + lists.uniform01()) * product(Trouble::discoveryLate));
-    agenda.after(wait, [this, &node, life = node.life] { feed(node, life); });
+  void feedSoon(GatewayProcess& process) {
+    if (process.state == GatewayProcess::State::down || process.feeding || process.told == generation) return;
+    process.feeding = true;
+    const Duration wait = scaled(sc.told, (0.5 + lists.uniform01()) * product(FaultKind::discoveryLate));
+    events.after(wait, [this, &process, incarnation = process.incarnation] { feed(process, incarnation); });
   }
-  void feed(Node& node, std::uint64_t life) {
-    if (node.life != life || node.state == Node::State::down) return;
-    const auto later = [&](Duration wait) { agenda.after(wait, [this, &node, life] { feed(node, life); }); };
-    if (any(Trouble::discoveryDown, [](const Active&) { return true; }))
+  void feed(GatewayProcess& process, std::uint64_t incarnation) {
+    if (process.incarnation != incarnation || process.state == GatewayProcess::State::down) return;
+    const auto later = [&](Duration wait) {
+      events.after(wait, [this, &process, incarnation] { feed(process, incarnation); });
+    };
+    if (any(FaultKind::discoveryDown, [](const Active&) { return true; }))
       return later(scaled(sc.connectTimeout, 0.5 + lists.uniform01()));
-    if (marked(Trouble::discoveryRefuse, node.no)) {
+    if (marked(FaultKind::discoveryRefuse, process.no)) {
       const Duration most = kOdd * kBeat;
-      return later(scaled(std::min(most, sc.connectTimeout * (1 << std::min(8, node.refusals++))),
+      return later(scaled(std::min(most, sc.connectTimeout * (1 << std::min(8, process.refusals++))),
                           0.5 + lists.uniform01()));
     }
-    node.refusals = 0;
+    process.refusals = 0;
     std::set<std::uint32_t> changed;
-    for (auto at = changes.rbegin(); at != changes.rend() && at->first > node.told; ++at)
+    for (auto at = changes.rbegin(); at != changes.rend() && at->first > process.told; ++at)
       changed.insert(at->second);
     std::string text = listText(changed);
     config::Pieces pieces;
-    if (any(Trouble::discoveryMangle, [](const Active&) { return true; }) && lists.bernoulli(0.5))
+    if (any(FaultKind::discoveryMangle, [](const Active&) { return true; }) && lists.bernoulli(0.5))
       text.resize(1 + lists.below(text.size() - 1));
     // It comes in two parts, cut anywhere, and goes the way that the daemon's bytes go.
     const std::string half = text.substr(0, lists.below(text.size() + 1));
@@ -666,16 +692,16 @@
     config::element root;
     if (parser.parse(line).get(root)) return later(scaled(sc.connectTimeout, 0.5 + lists.uniform01()));
     const config::EndpointList endpoints = config::readEndpointList(config::Fields("discovery", root));
-    tally.listLines += endpoints.entries.size();
-    node.told = generation, node.feeding = false;
-    for (const std::uint32_t m : changed) tellOne(node, m);
-    node.doorman->endpointsUpdated(agenda.now(), endpoints);
-    arm(node);
+    metrics.listLines += endpoints.entries.size();
+    process.told = generation, process.feeding = false;
+    for (const std::uint32_t m : changed) tellOne(process, m);
+    process.gateway->endpointsUpdated(events.now(), endpoints);
+    arm(process);
   }
-  void tellOne(Node& node, std::uint32_t m) {
-    const Machine& at = machines[m];
-    ledger.told(agenda.now(), {node.no}, {m}, at.serving && at.state != Machine::State::gone);
-    if (at.cold) node.knowsLife[m] = at.life;
+  void tellOne(GatewayProcess& process, std::uint32_t m) {
+    const EmulatedHost& at = hosts[m];
+    checker.told(events.now(), {process.no}, {m}, at.serving && at.state != EmulatedHost::State::gone);
+    if (at.cold) process.knownIncarnations[m] = at.incarnation;
   }
   std::string listText(const std::set<std::uint32_t>& changed) const {
     const std::string_view gap = sc.indented ? "\n    " : "";
@@ -703,17 +729,17 @@
     std::vector<TimePoint> busyUntil;
     std::size_t sweepAt = 4096;
   };
-  void counterCalled(std::uint32_t g, std::uint64_t life, SlotRef ref, CountName name, double units,
+  void counterCalled(std::uint32_t g, std::uint64_t incarnation, SlotRef ref, CountName name, double units,
                      Duration keptFor) {
-    CounterState& c = counters[marked(Trouble::counterSplit, g) ? 1 : 0];
-    if (any(Trouble::counterDown, [](const Active&) { return true; })) return;
-    const Duration service = scaled(sc.counterService, product(Trouble::counterSlow));
+    CounterState& c = counters[marked(FaultKind::counterSplit, g) ? 1 : 0];
+    if (any(FaultKind::counterDown, [](const Active&) { return true; })) return;
+    const Duration service = scaled(sc.counterService, product(FaultKind::counterSlow));
     TimePoint& busy = c.busyUntil[name.customer.value % c.busyUntil.size()];
-    const TimePoint now = agenda.now();
-    if (busy > now + sc.counterRoom * service) return counterSays(g, life, ref, CountEnd::notAdded, 0);
+    const TimePoint now = events.now();
+    if (busy > now + sc.counterRoom * service) return counterSays(g, incarnation, ref, CountEnd::notAdded, 0);
     busy = std::max(busy, now) + service;
-    agenda.at(busy, [this, &c, g, life, ref, name, units, keptFor] {
-      const TimePoint at = agenda.now();
+    events.at(busy, [this, &c, g, incarnation, ref, name, units, keptFor] {
+      const TimePoint at = events.now();
       auto& entry = c.counts
                         .try_emplace({static_cast<int>(name.what), name.customer.value, name.slot.value}, 0,
                                      at + keptFor)
@@ -726,23 +752,24 @@
       }
       double kept = 1;
       for (const auto& [key, a] : active)
-        if (a.fault->kind == Trouble::counterLose) kept *= 1 - std::min(1.0, a.fault->factor);
+        if (a.fault->kind == FaultKind::counterLose) kept *= 1 - std::min(1.0, a.fault->factor);
       if (kept < 1 && !network.bernoulli(kept)) return;
-      counterSays(g, life, ref, CountEnd::ok, entry.first);
+      counterSays(g, incarnation, ref, CountEnd::ok, entry.first);
     });
   }
-  void counterSays(std::uint32_t g, std::uint64_t life, SlotRef ref, CountEnd end, double total) {
-    agenda.after(delay(), [this, g, life, ref, end, total] { counted(g, life, ref, end, total); });
+  void counterSays(std::uint32_t g, std::uint64_t incarnation, SlotRef ref, CountEnd end, double total) {
+    events.after(delay(),
+                 [this, g, incarnation, ref, end, total] { counted(g, incarnation, ref, end, total); });
   }
-  void counted(std::uint32_t g, std::uint64_t life, SlotRef ref, CountEnd end, double total) {
-    Node& node = nodes[g];
-    if (node.life != life || node.state == Node::State::down) return;
-    const Call* const at = node.calls.find(ref);
+  void counted(std::uint32_t g, std::uint64_t incarnation, SlotRef ref, CountEnd end, double total) {
+    GatewayProcess& process = processes[g];
+    if (process.incarnation != incarnation || process.state == GatewayProcess::State::down) return;
+    const Call* const at = process.calls.find(ref);
     if (!at) return;
     const Call call = *at;
-    node.calls.drop(ref);
-    node.doorman->counted(agenda.now(), call.name, end, total, agenda.now() - call.madeAt);
-    arm(node);
+    process.calls.drop(ref);
+    process.gateway->counted(events.now(), call.name, end, total, events.now() - call.madeAt);
+    arm(process);
   }
 
   // ---- faults ----
@@ -762,25 +789,25 @@
       RandomStream random(seed, fmt::format("fault {}", n));
       const TimePoint from = kBegin + durationOf(random.between(f.from.least, f.from.most));
       const Duration lasts = durationOf(random.between(f.lasts.least, f.lasts.most));
-      agenda.at(from, [this, n, &f, random, lasts]() mutable { begin(n, f, random, lasts); });
+      events.at(from, [this, n, &f, random, lasts]() mutable { begin(n, f, random, lasts); });
     }
   }
   // NOLINTNEXTLINE(readability-function-size): becomes a class for each fault in part two (issue 30)
   void begin(std::size_t n, const Fault& f, RandomStream& random, Duration lasts) {
-    Active a{&f, {}, static_cast<std::uint32_t>(random.below(sc.zones)), agenda.now() + lasts};
+    Active a{&f, {}, static_cast<std::uint32_t>(random.below(sc.zones)), events.now() + lasts};
     const auto gatewayFault = [&] {
-      return f.kind == Trouble::gatewayKill || f.kind == Trouble::gatewayRestart ||
-             f.kind == Trouble::discoveryRefuse || f.kind == Trouble::counterSplit;
+      return f.kind == FaultKind::gatewayKill || f.kind == FaultKind::gatewayRestart ||
+             f.kind == FaultKind::discoveryRefuse || f.kind == FaultKind::counterSplit;
     };
     if (gatewayFault()) {
-      a.marked = mark(nodes.size(), f.share, random);
+      a.marked = mark(processes.size(), f.share, random);
     } else {
       // Only hosts that are there can be met.
       std::vector<std::uint32_t> up;
-      for (std::uint32_t m = 0; m < machines.size(); ++m)
-        if (machines[m].state == Machine::State::up && machines[m].serving) up.push_back(m);
+      for (std::uint32_t m = 0; m < hosts.size(); ++m)
+        if (hosts[m].state == EmulatedHost::State::up && hosts[m].serving) up.push_back(m);
       const std::vector<char> some = mark(up.size(), f.share, random);
-      a.marked.assign(machines.size(), 0);
+      a.marked.assign(hosts.size(), 0);
       for (std::size_t i = 0; i < up.size(); ++i) a.marked[up[i]] = some[i];
     }
     const auto eachMarked = [&a](auto what) {
@@ -789,35 +816,35 @@
     };
     print(7000 + n);
     switch (f.kind) {
-      case Trouble::gatewayKill:
-        eachMarked([&](std::uint32_t g) { die(nodes[g]); });
+      case FaultKind::gatewayKill:
+        eachMarked([&](std::uint32_t g) { killProcess(processes[g]); });
         break;
-      case Trouble::gatewayRestart:
+      case FaultKind::gatewayRestart:
         restartInSteps(f, a, lasts);
         break;
-      case Trouble::hostKill:
-        eachMarked([&](std::uint32_t m) { killMachine(m, Machine::State::dead); });
+      case FaultKind::hostKill:
+        eachMarked([&](std::uint32_t m) { killHost(m, EmulatedHost::State::dead); });
         break;
-      case Trouble::zoneLoss:
-        for (std::uint32_t m = 0; m < machines.size(); ++m) {
-          a.marked[m] = machines[m].zone == a.zone && machines[m].state == Machine::State::up;
-          if (a.marked[m]) killMachine(m, Machine::State::dead);
+      case FaultKind::zoneLoss:
+        for (std::uint32_t m = 0; m < hosts.size(); ++m) {
+          a.marked[m] = hosts[m].zone == a.zone && hosts[m].state == EmulatedHost::State::up;
+          if (a.marked[m]) killHost(m, EmulatedHost::State::dead);
         }
         break;
-      case Trouble::hostReplace:
+      case FaultKind::hostReplace:
         replaceInSteps(f, a, lasts);
         break;
-      case Trouble::counterEmpty:
+      case FaultKind::counterEmpty:
         for (CounterState& c : counters) c.counts.clear();
         break;
-      case Trouble::counterSplit:
+      case FaultKind::counterSplit:
         counters[1].counts.clear();
         break;
       default:
         break;
     }
     active.emplace(n, std::move(a));
-    agenda.after(lasts, [this, n] { end(n); });
+    events.after(lasts, [this, n] { end(n); });
   }
   void end(std::size_t n) {
     const Active a = std::move(active.at(n));
@@ -825,28 +852,29 @@
     print(8000 + n);
     for (std::uint32_t i = 0; i < a.marked.size(); ++i) {
       if (!a.marked[i]) continue;
-      if (a.fault->kind == Trouble::gatewayKill && nodes[i].state == Node::State::down) bear(nodes[i]);
-      if ((a.fault->kind == Trouble::hostKill || a.fault->kind == Trouble::zoneLoss) &&
-          machines[i].state == Machine::State::dead)
-        startMachine(i);
+      if (a.fault->kind == FaultKind::gatewayKill && processes[i].state == GatewayProcess::State::down)
+        startProcess(processes[i]);
+      if ((a.fault->kind == FaultKind::hostKill || a.fault->kind == FaultKind::zoneLoss) &&
+          hosts[i].state == EmulatedHost::State::dead)
+        startHost(i);
       // What hung goes on where it was: it answers what it still holds.
-      if (a.fault->kind == Trouble::hostHang && !marked(Trouble::hostHang, i)) wakeMachine(i);
+      if (a.fault->kind == FaultKind::hostHang && !marked(FaultKind::hostHang, i)) wakeHost(i);
     }
   }
-  void wakeMachine(std::uint32_t m) {
+  void wakeHost(std::uint32_t m) {
     std::vector<SlotRef> held;
     jobs.each([&](SlotRef ref, Job& job) {
-      if (job.machine == m && job.running) held.push_back(ref);
+      if (job.host == m && job.running) held.push_back(ref);
     });
-    for (const SlotRef ref : held) agenda.after(jobs.find(ref)->work, [this, ref] { done(ref); });
+    for (const SlotRef ref : held) events.after(jobs.find(ref)->work, [this, ref] { done(ref); });
   }
   void restartInSteps(const Fault& f, const Active& a, Duration lasts) {
     std::vector<std::uint32_t> who;
     for (std::uint32_t g = 0; g < a.marked.size(); ++g)
       if (a.marked[g]) who.push_back(g);
     for (std::size_t i = 0; i < who.size(); ++i)
-      agenda.after(lasts * static_cast<int>(i * static_cast<std::size_t>(f.steps) / who.size()) / f.steps,
-                   [this, g = who[i]] { leave(nodes[g]); });
+      events.after(lasts * static_cast<int>(i * static_cast<std::size_t>(f.steps) / who.size()) / f.steps,
+                   [this, g = who[i]] { beginShutdown(processes[g]); });
   }
   void replaceInSteps(const Fault& f, const Active& a, Duration lasts) {
     std::vector<std::uint32_t> who;
@@ -857,19 +885,19 @@
       for (std::size_t i = 0; i < who.size(); ++i)
         if (static_cast<int>(i * static_cast<std::size_t>(f.steps) / who.size()) == step)
           part.push_back(who[i]);
-      agenda.after(lasts * step / f.steps, [this, part] {
+      events.after(lasts * step / f.steps, [this, part] {
         std::vector<std::uint32_t> changed;
         for (const std::uint32_t m : part) {
-          if (machines[m].state == Machine::State::gone) continue;
-          changed.push_back(addMachine(machines[m].zone, true));
-          machines[m].serving = false;
+          if (hosts[m].state == EmulatedHost::State::gone) continue;
+          changed.push_back(addHost(hosts[m].zone, true));
+          hosts[m].serving = false;
           changed.push_back(m);
           // Drained, it ends when the last that it may have been sent is over.
-          agenda.after(sc.drainGrace + sc.longestDeadline(), [this, m] {
-            killMachine(m, Machine::State::gone);
-            machines[m].state = Machine::State::gone;
+          events.after(sc.drainGrace + sc.longestDeadline(), [this, m] {
+            killHost(m, EmulatedHost::State::gone);
+            hosts[m].state = EmulatedHost::State::gone;
             change({m});
-            agenda.after(std::chrono::seconds(30), [this, m] { ledger.hostForgotten({m}); });
+            events.after(std::chrono::seconds(30), [this, m] { checker.hostForgotten({m}); });
           });
         }
         if (!changed.empty()) change(changed);
@@ -879,45 +907,46 @@
 
   // ---- the run ----
 
-  Tally run() {
+  Metrics run() {
     config = sc.config();
     drawCustomers();
     for (CounterState& c : counters) c.busyUntil.assign(static_cast<std::size_t>(sc.counterParts), kBegin);
-    for (std::uint32_t h = 0; h < sc.hosts; ++h) addMachine(h % sc.zones, false);
-    for (std::uint32_t g = 0; g < sc.gateways; ++g) nodes.emplace_back(*this, g, g % sc.zones);
-    for (Node& node : nodes) bear(node);
+    for (std::uint32_t h = 0; h < sc.hosts; ++h) addHost(h % sc.zones, false);
+    for (std::uint32_t g = 0; g < sc.gateways; ++g) processes.emplace_back(*this, g, g % sc.zones);
+    for (GatewayProcess& process : processes) startProcess(process);
     planFaults();
     nextArrival();
     const TimePoint until = kBegin + sc.length + sc.longestDeadline() + std::chrono::seconds(2);
-    while (agenda.step(until)) ++tally.events;
-    ledger.finish(agenda.now());
-    tally.unitsSent = ledger.unitsSent(), tally.unitsBeyond = ledger.unitsBeyond();
-    tally.worstWindow = ledger.worstWindow();
-    tally.nearestCold = ledger.nearestCold();
-    for (std::size_t r = 0; r < kRules; ++r) tally.breaches[r] = ledger.count(static_cast<Rule>(r));
-    tally.first = ledger.first();
-    for (Breach& b : tally.first) b.at = TimePoint(b.at - kBegin);
-    return std::move(tally);
+    while (events.step(until)) ++metrics.events;
+    checker.finish(events.now());
+    metrics.unitsSent = checker.unitsSent(), metrics.unitsBeyond = checker.unitsBeyond();
+    metrics.worstWindow = checker.worstWindow();
+    metrics.nearestCold = checker.nearestCold();
+    for (std::size_t r = 0; r < kInvariants; ++r)
+      metrics.violations[r] = checker.count(static_cast<Invariant>(r));
+    metrics.first = checker.first();
+    for (Violation& b : metrics.first) b.at = TimePoint(b.at - kBegin);
+    return std::move(metrics);
   }
 
   const Scenario& sc;
   const std::uint64_t seed;
   const Policy policy;
-  const DoormanMaker& maker;
-  Agenda agenda;
-  Ledger ledger;
-  Tally tally;
+  const GatewayFactory& maker;
+  EventQueue events;
+  InvariantChecker checker;
+  Metrics metrics;
   RandomStream network{seed, "network"}, arrivals{seed, "arrivals"}, choices{seed, "choices"},
       works{seed, "works"}, lists{seed, "lists"}, lives{seed, "lives"};
   std::vector<double> weights, methodWeights, planWeights;
-  core::SlotTable<Wish> wishes;
-  core::SlotTable<Try> tries;
+  core::SlotTable<ClientRequest> clientRequests;
+  core::SlotTable<ClientAttempt> clientAttempts;
   std::unordered_map<std::uint64_t, SlotRef> tryOf;  // by id, while attempts of it are out; looked up only
   std::size_t tryOfSweep = 1024;
   std::uint64_t lastTry = 0;
   config::GatewayConfig config;
-  std::deque<Node> nodes;
-  std::vector<Machine> machines;
+  std::deque<GatewayProcess> processes;
+  std::vector<EmulatedHost> hosts;
   core::SlotTable<Job> jobs;
   std::uint64_t generation = 1;
   std::vector<std::pair<std::uint64_t, std::uint32_t>> changes;
@@ -927,99 +956,100 @@
 
 // ---- a gateway's ways out ----
 
-void Node::answerOk(SlotRef client, std::string_view, std::string_view) {
-  const Try* const t = w.tries.find(client);
+void GatewayProcess::answerOk(SlotRef client, std::string_view, std::string_view) {
+  const ClientAttempt* const t = w.clientAttempts.find(client);
   if (!t) return;
-  w.ledger.answered(w.agenda.now(), t->id, Answer::ok);
-  w.agenda.after(w.delay(), [&world = w, client] { world.answerCame(client, Answer::ok, Duration{0}); });
+  w.checker.answered(w.events.now(), t->id, Answer::ok);
+  w.events.after(w.delay(), [&world = w, client] { world.answerCame(client, Answer::ok, Duration{0}); });
 }
 
-void Node::answerRejected(SlotRef client, Duration comeBackAfter) {
-  const Try* const t = w.tries.find(client);
+void GatewayProcess::answerRejected(SlotRef client, Duration comeBackAfter) {
+  const ClientAttempt* const t = w.clientAttempts.find(client);
   if (!t) return;
-  w.ledger.answered(w.agenda.now(), t->id, Answer::rejected);
-  w.agenda.after(w.delay(), [&world = w, client, comeBackAfter] {
+  w.checker.answered(w.events.now(), t->id, Answer::rejected);
+  w.events.after(w.delay(), [&world = w, client, comeBackAfter] {
     world.answerCame(client, Answer::rejected, comeBackAfter);
   });
 }
 
-void Node::answerFailed(SlotRef client) {
-  const Try* const t = w.tries.find(client);
+void GatewayProcess::answerFailed(SlotRef client) {
+  const ClientAttempt* const t = w.clientAttempts.find(client);
   if (!t) return;
-  w.ledger.answered(w.agenda.now(), t->id, Answer::failed);
-  w.agenda.after(w.delay(), [&world = w, client] { world.answerCame(client, Answer::failed, Duration{0}); });
+  w.checker.answered(w.events.now(), t->id, Answer::failed);
+  w.events.after(w.delay(), [&world = w, client] { world.answerCame(client, Answer::failed, Duration{0}); });
 }
 
-std::variant<SlotRef, Outcome> Node::startAttempt(RequestId requestId, AttemptNumber attemptNumber,
-                                                  SlotRef client, HostId host, AttemptDeadline) {
-  const Try* const t = w.tries.find(client);
+std::variant<SlotRef, Outcome> GatewayProcess::startAttempt(RequestId requestId, AttemptNumber attemptNumber,
+                                                            SlotRef client, HostId host, AttemptDeadline) {
+  const ClientAttempt* const t = w.clientAttempts.find(client);
   if (!t) return Outcome::notSent;
-  const std::string& address = doorman->addressOf(host);
+  const std::string& address = gateway->addressOf(host);
   std::uint32_t m = 0;
   std::from_chars(address.data(), address.data() + address.size(), m);
-  const Machine& machine = w.machines.at(m);
+  const EmulatedHost& target = w.hosts.at(m);
   auto& rest = resting[m];
-  const TimePoint now = w.agenda.now();
+  const TimePoint now = w.events.now();
   while (!rest.empty() && rest.front() + w.sc.idle / 2 <= now) {
     rest.pop_front();
-    if (machine.state == Machine::State::up) --w.machines[m].connections;
+    if (target.state == EmulatedHost::State::up) --w.hosts[m].connections;
   }
   const bool fresh = rest.empty();
   if (!fresh) rest.pop_back();
-  const SlotRef ref = attempts.add(Attempt{requestId, attemptNumber, t->id, m, machine.life, fresh});
+  const SlotRef ref = attempts.add(Attempt{requestId, attemptNumber, t->id, m, target.incarnation, fresh});
   w.tryOf[t->id.value] = client;
   if (w.tryOf.size() > w.tryOfSweep) {
-    std::erase_if(w.tryOf, [this](const auto& at) { return !w.tries.find(at.second); });
+    std::erase_if(w.tryOf, [this](const auto& at) { return !w.clientAttempts.find(at.second); });
     w.tryOfSweep = std::max<std::size_t>(1024, 2 * w.tryOf.size());
   }
-  w.ledger.sent(now, t->id, attemptNumber.value, {m}, machine.zone, machine.cell);
-  ++w.tally.attempts, ++w.second().attempts;
-  if (attemptNumber.value > 0) ++w.tally.further;
-  if (fresh) ++w.tally.connects, ++w.second().connects;
+  w.checker.sent(now, t->id, attemptNumber.value, {m}, target.zone, target.cell);
+  ++w.metrics.attempts, ++w.second().attempts;
+  if (attemptNumber.value > 0) ++w.metrics.further;
+  if (fresh) ++w.metrics.connects, ++w.second().connects;
   w.print(20'000 + m);
   const Duration way = fresh ? 2 * w.delay() + w.delay() : w.delay();
-  w.agenda.after(way, [&world = w, g = no, l = life, ref] { world.reachHost(g, l, ref); });
+  w.events.after(way, [&world = w, g = no, l = incarnation, ref] { world.reachHost(g, l, ref); });
   return ref;
 }
 
-bool Node::closeAttempt(SlotRef, AttemptNumber, SlotRef link) {
+bool GatewayProcess::closeAttempt(SlotRef, AttemptNumber, SlotRef link) {
   const Attempt* const a = attempts.find(link);
   if (!a) return true;
   const Attempt given = *a;
   attempts.drop(link);
   // What a new connection has not carried yet was never written whole.
-  w.ledger.over(w.agenda.now(), given.tryId, given.no.value, false);
+  w.checker.over(w.events.now(), given.clientAttemptId, given.no.value, false);
   w.dropAtHost(given);
   return true;
 }
 
-void Node::count(const CountName& name, double units, Duration keptFor) {
-  ++w.tally.countCalls, ++w.second().countCalls;
-  const SlotRef ref = calls.add(Call{name, w.agenda.now()});
-  w.agenda.after(w.delay(), [&world = w, g = no, l = life, ref, name, units, keptFor] {
+void GatewayProcess::count(const CountName& name, double units, Duration keptFor) {
+  ++w.metrics.countCalls, ++w.second().countCalls;
+  const SlotRef ref = calls.add(Call{name, w.events.now()});
+  w.events.after(w.delay(), [&world = w, g = no, l = incarnation, ref, name, units, keptFor] {
     world.counterCalled(g, l, ref, name, units, keptFor);
   });
-  w.agenda.after(w.sc.counterTimeout,
-                 [&world = w, g = no, l = life, ref] { world.counted(g, l, ref, CountEnd::unknown, 0); });
+  w.events.after(w.sc.counterTimeout, [&world = w, g = no, l = incarnation, ref] {
+    world.counted(g, l, ref, CountEnd::unknown, 0);
+  });
 }
 
-void Node::hostUnavailable(HostId host) {
-  if (!doorman) return;
-  const std::string& address = doorman->addressOf(host);
+void GatewayProcess::hostUnavailable(HostId host) {
+  if (!gateway) return;
+  const std::string& address = gateway->addressOf(host);
   std::uint32_t m = 0;
   const auto [end, error] = std::from_chars(address.data(), address.data() + address.size(), m);
   if (error != std::errc{}) return;
   const auto at = resting.find(m);
   if (at == resting.end()) return;
-  if (w.machines[m].state == Machine::State::up)
-    w.machines[m].connections -= static_cast<int>(at->second.size());
+  if (w.hosts[m].state == EmulatedHost::State::up)
+    w.hosts[m].connections -= static_cast<int>(at->second.size());
   resting.erase(at);
 }
 
 }  // namespace
 
-Tally play(const Scenario& scenario, std::uint64_t seed, Policy policy, const DoormanMaker& doorman) {
-  World world(scenario, seed, policy, doorman);
+Metrics play(const Scenario& scenario, std::uint64_t seed, Policy policy, const GatewayFactory& gateway) {
+  World world(scenario, seed, policy, gateway);
   return world.run();
 }
 
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -17,9 +17,9 @@
 namespace merlinbridge::lab {
 namespace {
 
+using emulator::Metrics;
 using emulator::Policy;
 using emulator::Scenario;
-using emulator::Tally;
 
 Policy policyOf(const std::string& word) {
   if (const auto policy = emulator::policyNamed(word)) return *policy;
@@ -49,13 +49,13 @@
   return seeds;
 }
 
-std::string summary(const Scenario& s, std::uint64_t seed, Policy policy, const Tally& t) {
+std::string summary(const Scenario& s, std::uint64_t seed, Policy policy, const Metrics& t) {
   std::string out =
       fmt::format("{} ({:016x}), seed {}, {}: emulated\n", s.name, s.hash, seed, wordOf(policy));
   for (const auto& [name, value] : emulator::figuresOf(t))
     out += fmt::format("  {:<16} {:.6g}\n", name, value);
   out += fmt::format("  {:<16} {}\n  {:<16} {:016x}\n", "events", t.events, "print", t.print);
-  for (const emulator::Breach& b : t.first)
+  for (const emulator::Violation& b : t.first)
     out += fmt::format("RULE BROKEN at {:.4f} s: {}, request {}: {}\n", seconds(b.at.time_since_epoch()),
                        wordOf(b.rule), b.attemptId.value, b.what);
   return out;
@@ -65,7 +65,7 @@
         const std::vector<std::string>& changes, const std::string& out) {
   const Scenario s = emulator::readScenario(emulator::textOfFile(file), file, changes);
   const Policy policy = policyOf(policyWord);
-  const Tally t = emulator::play(s, seed, policy);
+  const Metrics t = emulator::play(s, seed, policy);
   std::cout << summary(s, seed, policy, t);
   if (!out.empty()) {
     std::filesystem::create_directories(out);
@@ -120,7 +120,7 @@
       for (std::size_t at = 0; (at = next++) < plans.size();) {
         const Plan& plan = plans[at];
         try {
-          const Tally t = emulator::play(plan.scenario, plan.seed, plan.policy);
+          const Metrics t = emulator::play(plan.scenario, plan.seed, plan.policy);
           rows[at] = rowOf(plan.scenario, plan.seed, plan.policy, t);
           rows[at].fields = plan.fields;
           broken += t.broken();
@@ -160,16 +160,16 @@
   const Scenario s = emulator::readScenario(emulator::textOfFile(file), file, changes);
   const Policy policy = policyOf(policyWord);
   std::optional<std::size_t> wanted;
-  for (std::size_t r = 0; r < emulator::kRules; ++r)
-    if (wordOf(static_cast<emulator::Rule>(r)) == rule) wanted = r;
+  for (std::size_t r = 0; r < emulator::kInvariants; ++r)
+    if (wordOf(static_cast<emulator::Invariant>(r)) == rule) wanted = r;
   if (!wanted && rule != "any")
     throw Unfit("no rule '" + rule + "': expected any, lost, twice, drain, cold or ceiling");
   std::size_t tried = 0;
   const Scenario least = shrink(
       s,
       [&](const Scenario& each) {
-        const Tally t = emulator::play(each, seed, policy);
-        return wanted ? t.breaches[*wanted] > 0 : t.broken() > 0;
+        const Metrics t = emulator::play(each, seed, policy);
+        return wanted ? t.violations[*wanted] > 0 : t.broken() > 0;
       },
       most, tried);
   putFile(out, emulator::writeScenario(least));
--- a/src/lab/table.cpp
+++ b/src/lab/table.cpp
@@ -137,22 +137,22 @@
 }
 
 Row rowOf(const emulator::Scenario& s, std::uint64_t seed, emulator::Policy policy,
-          const emulator::Tally& tally) {
+          const emulator::Metrics& metrics) {
   Row row{s.name, fmt::format("{:016x}", s.hash), MERLINBRIDGE_VERSION, std::string(wordOf(policy)), seed, {},
           {}};
-  for (const auto& [name, value] : emulator::figuresOf(tally)) row.figures[name] = value;
+  for (const auto& [name, value] : emulator::figuresOf(metrics)) row.figures[name] = value;
   return row;
 }
 
-std::string timeline(const emulator::Tally& tally) {
+std::string timeline(const emulator::Metrics& metrics) {
   std::string out =
       "second,asked,in_time,late,failed,pushed_back,call_outs,connects,count_calls,units_sent,units_beyond\n";
-  for (std::size_t n = 0; n < tally.seconds.size(); ++n) {
-    const auto& s = tally.seconds[n];
+  for (std::size_t n = 0; n < metrics.seconds.size(); ++n) {
+    const auto& s = metrics.seconds[n];
     out += fmt::format("{},{},{},{},{},{},{},{},{},{:.6g},{:.6g}\n", n, s.asked, s.inTime, s.late, s.failed,
                        s.rejected, s.attempts, s.connects, s.countCalls, s.unitsSent, s.unitsBeyond);
   }
-  return out + fmt::format("# end,{}\n", tally.seconds.size());
+  return out + fmt::format("# end,{}\n", metrics.seconds.size());
 }
 
 }  // namespace merlinbridge::lab
--- a/src/lab/table.hpp
+++ b/src/lab/table.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "emulator/tally.hpp"
+#include "emulator/metrics.hpp"
 
 namespace merlinbridge::lab {
 
@@ -30,7 +30,7 @@
 // Written whole under another name and then put in place: an end at any moment leaves the old file, or none.
 void putFile(const std::string& path, const std::string& text);
 
-Row rowOf(const emulator::Scenario&, std::uint64_t seed, emulator::Policy, const emulator::Tally&);
-std::string timeline(const emulator::Tally&);
+Row rowOf(const emulator::Scenario&, std::uint64_t seed, emulator::Policy, const emulator::Metrics&);
+std::string timeline(const emulator::Metrics&);
 
 }  // namespace merlinbridge::lab
--- a/tests/cold_hosts_test.cpp
+++ b/tests/cold_hosts_test.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "emulator/tally.hpp"
+#include "emulator/metrics.hpp"
 
 using namespace merlinbridge;
 using namespace merlinbridge::emulator;
@@ -55,9 +55,9 @@
   const Scenario s =
       readScenario(kReplaced, "cold.toml", {"fleet.gateways=" + gateways, "clients.spread=" + spread});
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    const Tally t = play(s, seed, Policy::module);
+    const Metrics t = play(s, seed, Policy::module);
     INFO(gateways << " gateways, seed " << seed);
-    CHECK(t.breaches[static_cast<std::size_t>(Rule::cold)] == 0);
+    CHECK(t.violations[static_cast<std::size_t>(Invariant::cold)] == 0);
     CHECK(t.nearestCold < 1);
     CHECK(t.nearestCold > 0.05);  // they are used all the same
   }
@@ -65,5 +65,5 @@
 
 TEST_CASE("gateways that let all in push the same cold hosts over") {
   const Scenario s = readScenario(kReplaced, "cold.toml", {"fleet.gateways=25", "clients.spread=8"});
-  CHECK(play(s, 1, Policy::all).breaches[static_cast<std::size_t>(Rule::cold)] > 0);
+  CHECK(play(s, 1, Policy::all).violations[static_cast<std::size_t>(Invariant::cold)] > 0);
 }
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -1,8 +1,8 @@
 #include <catch2/catch.hpp>
 
-#include "emulator/agenda.hpp"
+#include "emulator/event_queue.hpp"
+#include "emulator/metrics.hpp"
 #include "emulator/random_stream.hpp"
-#include "emulator/tally.hpp"
 
 using namespace merlinbridge;
 using namespace merlinbridge::emulator;
@@ -59,10 +59,10 @@
   return "";
 }
 
-// A doorman that breaks one rule on purpose and is otherwise plain.
-class Breaker final : public Doorman {
+// A gateway that breaks one rule on purpose and is otherwise plain.
+class Breaker final : public EmulatedGateway {
  public:
-  Breaker(Rule rule, const config::GatewayConfig& config, core::DeadlineQueue& deadlines,
+  Breaker(Invariant rule, const config::GatewayConfig& config, core::DeadlineQueue& deadlines,
           core::Transport& transport)
       : rule_(rule), deadlines_(deadlines), transport_(transport) {
     for (const auto& line : config.known.entries)
@@ -70,13 +70,13 @@
   }
   void requestArrived(TimePoint now, SlotRef client, const Request& a) override {
     if (hosts_.empty()) return transport_.answerRejected(client, Duration{0});
-    if (rule_ == Rule::lost && ++lost_ % 10 == 0) return;  // never answered
+    if (rule_ == Invariant::lost && ++lost_ % 10 == 0) return;  // never answered
     const RequestId requestId{++last_};
     // The ceiling rule is broken by letting all in, the drain and cold rules by staying with what was first
     // told, or with what was told last.
-    const std::size_t host = rule_ == Rule::drain  ? 0
-                             : rule_ == Rule::cold ? hosts_.size() - 1
-                                                   : last_ % hosts_.size();
+    const std::size_t host = rule_ == Invariant::drain  ? 0
+                             : rule_ == Invariant::cold ? hosts_.size() - 1
+                                                        : last_ % hosts_.size();
     const auto sent = transport_.startAttempt(requestId, {0}, client, {static_cast<std::uint32_t>(host)},
                                               {a.deadline, TimePoint::max()});
     requests_[requestId.value] = {client, a.method, 0, std::get<SlotRef>(sent)};
@@ -99,10 +99,10 @@
       const SlotRef client = held.client;
       requests_.erase(at);
       transport_.answerOk(client, response.body, response.type);
-      if (rule_ == Rule::lost && last_ % 7 == 0) transport_.answerFailed(client);  // and once more
+      if (rule_ == Invariant::lost && last_ % 7 == 0) transport_.answerFailed(client);  // and once more
       return;
     }
-    if (rule_ == Rule::twice && held.no == 0) {  // whatever the method
+    if (rule_ == Invariant::twice && held.no == 0) {  // whatever the method
       const auto sent = transport_.startAttempt(requestId, {++held.no}, held.client, {0},
                                                 {TimePoint::max(), TimePoint::max()});
       if (const SlotRef* const link = std::get_if<SlotRef>(&sent)) held.link = *link;
@@ -115,7 +115,7 @@
   }
   void counted(TimePoint, const CountName&, CountEnd, double, Duration) override {}
   void endpointsUpdated(TimePoint, const config::EndpointList& endpoints) override {
-    if (rule_ == Rule::drain) return;
+    if (rule_ == Invariant::drain) return;
     for (const auto& line : endpoints.entries) {
       std::erase(hosts_, line.address);
       if (line.serving) hosts_.push_back(line.address);
@@ -132,7 +132,7 @@
     std::uint32_t no = 0;
     SlotRef link;
   };
-  const Rule rule_;
+  const Invariant rule_;
   core::DeadlineQueue& deadlines_;
   core::Transport& transport_;
   std::vector<std::string> hosts_;
@@ -143,18 +143,18 @@
 }  // namespace
 
 TEST_CASE("of two things at one instant the older happens first, and nothing happens before now") {
-  Agenda agenda(TimePoint(5s));
+  EventQueue events(TimePoint(5s));
   std::string order;
-  agenda.at(TimePoint(6s), [&] { order += 'a'; });
-  agenda.at(TimePoint(6s), [&] {
+  events.at(TimePoint(6s), [&] { order += 'a'; });
+  events.at(TimePoint(6s), [&] {
     order += 'b';
-    agenda.at(TimePoint(1s), [&] { order += 'd'; });
+    events.at(TimePoint(1s), [&] { order += 'd'; });
   });
-  agenda.at(TimePoint(6s), [&] { order += 'c'; });
-  while (agenda.step(TimePoint(7s))) {
+  events.at(TimePoint(6s), [&] { order += 'c'; });
+  while (events.step(TimePoint(7s))) {
   }
   CHECK(order == "abcd");
-  CHECK(agenda.now() == TimePoint(7s));
+  CHECK(events.now() == TimePoint(7s));
 }
 
 TEST_CASE("parts of a run draw from streams of their own") {
@@ -217,8 +217,8 @@
   const Scenario s = readScenario(kPlain + fault("gateway_restart", "1s", "2s", "steps = 3") +
                                       fault("host_replace", "2s", "1s", "share = 0.5"),
                                   "s.toml");
-  const Tally a = play(s, 1, Policy::module), b = play(s, 1, Policy::module), c = play(s, 2, Policy::module),
-              even = play(s, 1, Policy::even);
+  const Metrics a = play(s, 1, Policy::module), b = play(s, 1, Policy::module),
+                c = play(s, 2, Policy::module), even = play(s, 1, Policy::even);
   CHECK(a.print == b.print);
   CHECK(a.events == b.events);
   CHECK(a.print != c.print);
@@ -231,32 +231,32 @@
 
 TEST_CASE("every breach of a rule is reported, with time, request and rule") {
   struct Case {
-    Rule rule;
+    Invariant rule;
     std::string faults;
     std::vector<std::string> changes{"plan.0.ceiling_rate=0"};
   };
   const std::vector<Case> cases{
-      {Rule::lost, ""},
-      {Rule::twice, fault("host_err", "0s", "6s", "factor = 0.5")},
-      {Rule::drain, fault("host_replace", "1s", "1s", "share = 1")},
-      {Rule::cold,
+      {Invariant::lost, ""},
+      {Invariant::twice, fault("host_err", "0s", "6s", "factor = 0.5")},
+      {Invariant::drain, fault("host_replace", "1s", "1s", "share = 1")},
+      {Invariant::cold,
        fault("host_replace", "1s", "0s", "share = 0.25"),
        {"plan.0.ceiling_rate=0", "clients.rate=900"}},
-      {Rule::ceiling, "", {"clients.skew=2"}},
+      {Invariant::ceiling, "", {"clients.skew=2"}},
   };
   for (const Case& one : cases) {
     INFO(wordOf(one.rule));
     const Scenario s = readScenario(kPlain + one.faults, "s.toml", one.changes);
-    const Tally t = play(s, 1, Policy::module,
-                         [&](const config::GatewayConfig& config, TimePoint, core::DeadlineQueue& deadlines,
-                             core::Transport& transport, const Truth&) {
-                           return std::make_unique<Breaker>(one.rule, config, deadlines, transport);
-                         });
-    CHECK(t.breaches[static_cast<std::size_t>(one.rule)] > 0);
+    const Metrics t = play(s, 1, Policy::module,
+                           [&](const config::GatewayConfig& config, TimePoint, core::DeadlineQueue& deadlines,
+                               core::Transport& transport, const Truth&) {
+                             return std::make_unique<Breaker>(one.rule, config, deadlines, transport);
+                           });
+    CHECK(t.violations[static_cast<std::size_t>(one.rule)] > 0);
     bool named = false;
-    for (const Breach& b : t.first)
+    for (const Violation& b : t.first)
       named = named || (b.rule == one.rule && b.at > TimePoint{} &&
-                        (b.attemptId.value > 0 || one.rule == Rule::cold) && !b.what.empty());
+                        (b.attemptId.value > 0 || one.rule == Invariant::cold) && !b.what.empty());
     CHECK(named);
     CHECK(play(s, 1, Policy::module).broken() == 0);  // who keeps the rules is not blamed
   }
@@ -270,9 +270,9 @@
                    {"fleet.gateways=" + gateways, "clients.spread=" + gateways, "length=8s",
                     "clients.rate=500", "clients.customers=60", "hosts.count=12", "hosts.cores=8",
                     "plan.0.rate=4", "plan.0.burst=12", "plan.0.ceiling_rate=0"});
-  const auto beyond = [](const Tally& t) { return t.unitsBeyond / t.unitsSent; };
-  const Tally module = play(s, 3, Policy::module), all = play(s, 3, Policy::all),
-              truth = play(s, 3, Policy::truth);
+  const auto beyond = [](const Metrics& t) { return t.unitsBeyond / t.unitsSent; };
+  const Metrics module = play(s, 3, Policy::module), all = play(s, 3, Policy::all),
+                truth = play(s, 3, Policy::truth);
   CHECK(beyond(all) > 0.3);  // else it would show nothing
   CHECK(beyond(truth) < 0.02);
   CHECK(beyond(module) < most * beyond(all));
@@ -282,11 +282,11 @@
 
 TEST_CASE("an answer's time counts from when the gateway had the whole of the request") {
   const Scenario s = readScenario(kPlain, "s.toml");  // the slack is 50 ms
-  Ledger ledger(s);
+  InvariantChecker checker(s);
   const auto answeredAfter = [&](std::uint64_t id, TimePoint taken, TimePoint answered) {
-    ledger.taken(taken, {id}, {{0}, 0, 0, 1, 1, TimePoint(2s)});
-    ledger.answered(answered, {id}, Answer::rejected);
-    return ledger.count(Rule::lost);
+    checker.taken(taken, {id}, {{0}, 0, 0, 1, 1, TimePoint(2s)});
+    checker.answered(answered, {id}, Answer::rejected);
+    return checker.count(Invariant::lost);
   };
   CHECK(answeredAfter(1, TimePoint(1s), TimePoint(2s) + 50ms) == 0);
   CHECK(answeredAfter(2, TimePoint(2s) + 80ms, TimePoint(2s) + 80ms) == 0);  // it came late itself
@@ -307,15 +307,15 @@
     const std::string one =
         fault(kind, "1s", "3s", "share = 0.5\nfactor = " + std::string(part ? "0.2" : "3") + "\nsteps = 2");
     INFO(kind);
-    const Tally t = play(readScenario(kPlain + one, "s.toml"), 3, Policy::module);
-    for (const Breach& b : t.first)
+    const Metrics t = play(readScenario(kPlain + one, "s.toml"), 3, Policy::module);
+    for (const Violation& b : t.first)
       UNSCOPED_INFO(seconds(b.at.time_since_epoch()) << " " << wordOf(b.rule) << " " << b.what);
     CHECK(t.broken() == 0);
     CHECK(t.asked == t.inTime + t.late + t.failed + t.left);
     if (kind != "load_burst") together += one;
   }
-  const Tally t = play(readScenario(kPlain + together, "s.toml"), 4, Policy::module);
-  for (const Breach& b : t.first) WARN(wordOf(b.rule) << " " << b.what);
+  const Metrics t = play(readScenario(kPlain + together, "s.toml"), 4, Policy::module);
+  for (const Violation& b : t.first) WARN(wordOf(b.rule) << " " << b.what);
   CHECK(t.broken() == 0);
 }
 
@@ -326,7 +326,7 @@
   CHECK(played({"hosts.count=0"}).inTime == 0);
   CHECK(played({"hosts.count=0"}).broken() == 0);
   CHECK(played({"fleet.gateways=1", "clients.spread=1"}).broken() == 0);
-  const Tally alone = played({"counter.present=false"});
+  const Metrics alone = played({"counter.present=false"});
   CHECK(alone.countCalls == 0);
   CHECK(alone.broken() == 0);
   CHECK(played({"clients.rate=0"}).asked == 0);
@@ -337,7 +337,7 @@
 
 TEST_CASE("what is remembered is bounded by what is in flight") {
   const Scenario s = readScenario(kPlain, "s.toml", {"length=30s", "clients.rate=300"});
-  const Tally t = play(s, 1, Policy::module);
+  const Metrics t = play(s, 1, Policy::module);
   CHECK(t.asked > 8'000);
   CHECK(t.mostInFlight < 200);
 }
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -88,13 +88,13 @@
   s.gateways = 64, s.hosts = 40, s.customers = 1000, s.rate = 512, s.length = std::chrono::seconds(60);
   s.methods.resize(3), s.plans.resize(2);
   for (const auto kind :
-       {emulator::Trouble::hostSlow, emulator::Trouble::zoneCut, emulator::Trouble::counterDown})
+       {emulator::FaultKind::hostSlow, emulator::FaultKind::zoneCut, emulator::FaultKind::counterDown})
     s.faults.push_back({kind, {4, 8}, {1, 1}, 1, 1, 1});
   std::size_t tried = 0;
   const auto shows = [](const emulator::Scenario& each) {
     return each.gateways >= 5 &&
            std::any_of(each.faults.begin(), each.faults.end(),
-                       [](const emulator::Fault& f) { return f.kind == emulator::Trouble::zoneCut; });
+                       [](const emulator::Fault& f) { return f.kind == emulator::FaultKind::zoneCut; });
   };
   const emulator::Scenario least = shrink(s, shows, 1000, tried);
   CHECK(least.gateways == 8);
--- a/tests/standins/reality.cpp
+++ b/tests/standins/reality.cpp
@@ -17,9 +17,9 @@
 namespace merlinbridge::standins {
 namespace {
 
+using emulator::Metrics;
 using emulator::RandomStream;
 using emulator::Scenario;
-using emulator::Tally;
 
 // Part of what is asked, of tries, of attempts; and times, which the kernel's own delays make longer on
 // sockets.
@@ -123,7 +123,7 @@
     for (const auto& p : s.plans) plans_.push_back(sum += p.share);
     schedule();
   }
-  Tally tally;
+  Metrics metrics;
   std::size_t waiting = 0;
   bool over = false;
 
@@ -170,20 +170,20 @@
     arrivals_.bernoulli(s_.leaves);
     w->askedAt = WallClock::now(), w->deadline = w->askedAt + s_.methods[w->method].deadline;
     w->triesLeft = s_.tries;
-    ++tally.asked, ++waiting;
+    ++metrics.asked, ++waiting;
     ask(w);
   }
   void end(const std::shared_ptr<Wish>& w, bool ok) {
     if (std::exchange(w->done, true)) return;
     --waiting;
-    if (!ok) return void(++tally.failed);
+    if (!ok) return void(++metrics.failed);
     const Duration took = WallClock::now() - w->askedAt;
-    took <= s_.methods[w->method].soft ? ++tally.inTime : ++tally.late;
-    tally.latency.add(took);
+    took <= s_.methods[w->method].soft ? ++metrics.inTime : ++metrics.late;
+    metrics.latency.add(took);
   }
   void ask(const std::shared_ptr<Wish>& w) {
     if (w->triesLeft-- <= 0 || WallClock::now() >= w->deadline) return end(w, false);
-    ++w->triesMade, ++tally.tries;
+    ++w->triesMade, ++metrics.tries;
     const std::uint32_t spread = std::min(s_.spread, s_.gateways);
     const auto first = static_cast<std::uint32_t>((w->customer * 0xff51afd7ed558ccdu >> 33) % s_.gateways);
     const auto n = static_cast<std::uint32_t>(spread * std::pow(choices_.uniform01(), 1.5));
@@ -250,13 +250,13 @@
     if (way->message.keepsAlive()) rest_[g].push_back(way);
     if (status == 200) return end(w, true);
     const bool pushed = status == 429 || status == 503;
-    pushed ? ++tally.rejected : ++tally.failedAnswers;
+    pushed ? ++metrics.rejected : ++metrics.failedAnswers;
     again(w, pushed || mayAskAgain(*w), advice);
   }
   void broken(const std::shared_ptr<Wish>& w, const std::shared_ptr<Way>& way) {
     if (std::exchange(way->over, true)) return;
     way->timer.cancel();
-    ++tally.unreached;
+    ++metrics.unreached;
     again(w, mayAskAgain(*w), 0);
   }
   bool mayAskAgain(const Wish& w) const {
@@ -290,7 +290,7 @@
   return Tcp::acceptor(io, Tcp::endpoint(asio::ip::address_v4::loopback(), 0)).local_endpoint().port();
 }
 
-Tally onSockets(const Scenario& s, std::uint64_t seed, const std::string& program) {
+Metrics onSockets(const Scenario& s, std::uint64_t seed, const std::string& program) {
   asio::io_context io;
   RandomStream works(seed, "works");
   std::vector<std::unique_ptr<Host>> hosts;
@@ -323,7 +323,7 @@
   const auto until = WallClock::now() + s.length + s.longestDeadline() + std::chrono::seconds(2);
   while (WallClock::now() < until && !(clients.over && clients.waiting == 0))
     io.run_for(std::chrono::milliseconds(20));
-  Tally t = std::move(clients.tally);
+  Metrics t = std::move(clients.metrics);
   for (const auto& host : hosts)
     t.attempts += host->asked, t.connects += host->connects(), t.unitsSent += host->units;
   t.countCalls = counter.calls;
@@ -339,8 +339,8 @@
   std::cout << "seed,figure,emulated,sockets,may_differ,verdict\n";
   for (std::string word; std::getline(words, word, ',');) {
     const std::uint64_t seed = std::stoull(word);
-    const Tally emulated = emulator::play(s, seed, emulator::Policy::module),
-                real = onSockets(s, seed, program);
+    const Metrics emulated = emulator::play(s, seed, emulator::Policy::module),
+                  real = onSockets(s, seed, program);
     const auto hold = [&](const char* name, double a, double b, double may) {
       const bool near = std::abs(a - b) <= may;
       far += !near;
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -79,11 +79,11 @@
   }
 
   void at(TimePoint when, std::function<void()> what) {
-    agenda_.emplace(std::pair(when, ++order_), std::move(what));
+    events_.emplace(std::pair(when, ++order_), std::move(what));
   }
   void runUntil(TimePoint end) {
-    for (int still = 0; !agenda_.empty() && agenda_.begin()->first.first <= end;) {
-      const auto node = agenda_.extract(agenda_.begin());
+    for (int still = 0; !events_.empty() && events_.begin()->first.first <= end;) {
+      const auto node = events_.extract(events_.begin());
       still = node.key().first > now ? 0 : still + 1;
       if (still > 100'000) throw std::runtime_error("timers due at once, over and over");
       now = std::max(now, node.key().first);
@@ -294,7 +294,7 @@
     std::uint64_t life;
   };
 
-  std::map<std::pair<TimePoint, std::uint64_t>, std::function<void()>> agenda_;
+  std::map<std::pair<TimePoint, std::uint64_t>, std::function<void()>> events_;
   std::uint64_t order_ = 0, lives_ = 0, lastRequest_ = 0;
   std::ranlux24_base random_;
   std::deque<Node> nodes_;
