--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -22,15 +22,15 @@
       d_.pass(below(30) == 0 ? Duration(31s) : Duration(std::chrono::milliseconds(below(20))));
       look();
     }
-    for (Host& host : hosts_) host.far.close();
+    for (Host& host : hosts_) host.remote.close();
     d_.pass(3s);
     d_.settle();
     look();
     for (Client& client : clients_) {
       INFO("the last request of a client that stayed: " << client.asked);
       // Whoever stayed has its answer, or an end in good order before it was heard.
-      if (client.here && client.asked > 0) CHECK((client.answered || (told_ && client.far.over)));
-      client.far.close();
+      if (client.here && client.asked > 0) CHECK((client.answered || (told_ && client.remote.over)));
+      client.remote.close();
     }
     d_.settle();
     CHECK(d_.server.unanswered() == 0);
@@ -39,12 +39,12 @@
 
  private:
   struct Client {
-    Far far;
+    Peer remote;
     int asked = 0;  // the number of its request, 0 where it has none
     bool here = true, answered = true, half = false;
   };
   struct Host {
-    Far far;
+    Peer remote;
     std::size_t seen = 0;  // of what it has got
     int at = 0;            // the request that it has to answer
   };
@@ -85,15 +85,16 @@
   void ask() {
     if (clients_.empty()) return;
     Client& client = clients_[below(static_cast<std::uint32_t>(clients_.size()))];
-    if (!client.here || !client.answered || client.half || client.far.ended()) return;
+    if (!client.here || !client.answered || client.half || client.remote.ended()) return;
     if (below(10) == 0) {
       client.half = true;  // and never the rest of it
-      return client.far.say("POST /pay/a HTTP/1.1\r\nReq-Id: 0001\r\nContent-Length: 9\r\n\r\nha");
+      return client.remote.send("POST /pay/a HTTP/1.1\r\nReq-Id: 0001\r\nContent-Length: 9\r\n\r\nha");
     }
-    client.asked = ++last_, client.answered = false, client.far.got.clear();
-    std::string message = Doorstep::request(below(2) ? "look" : "pay", below(2) ? std::to_string(last_) : "");
+    client.asked = ++last_, client.answered = false, client.remote.got.clear();
+    std::string message =
+        LoopbackGateway::request(below(2) ? "look" : "pay", below(2) ? std::to_string(last_) : "");
     message.replace(message.find("00ff"), 4, std::to_string(last_));
-    client.far.say(message);
+    client.remote.send(message);
   }
 
   void leave() {
@@ -104,11 +105,11 @@
     left_.insert(client.asked);
     switch (below(3)) {
       case 0:
-        return client.far.close();
+        return client.remote.close();
       case 1:
-        return client.far.reset();
+        return client.remote.reset();
       default:
-        return client.far.endSending();
+        return client.remote.shutdownSend();
     }
   }
 
@@ -125,20 +126,21 @@
     const std::string body = "for " + std::to_string(host->at) + ".";
     switch (below(6)) {
       case 0:
-        host->far.say("HTTP/1.1 200 OK\r\n\r\n" + body);  // its length is known by the end only
+        host->remote.send("HTTP/1.1 200 OK\r\n\r\n" + body);  // its length is known by the end only
         return below(2) ? cut(*host) : ended(*host);
       case 1:
-        host->far.say(Doorstep::ok(body, "Connection: close\r\n"));
+        host->remote.send(LoopbackGateway::ok(body, "Connection: close\r\n"));
         return ended(*host);
       case 2:
-        host->far.say("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
+        host->remote.send("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
         break;
       case 3:
-        host->far.say("HTTP/1.1 100 x\r\n\r\n" + Doorstep::ok(body));
+        host->remote.send("HTTP/1.1 100 x\r\n\r\n" + LoopbackGateway::ok(body));
         break;
       default:
-        host->far.say(Doorstep::ok(body));
-        if (below(4) == 0) host->far.say(Doorstep::ok("once more"));  // with it: one more than was asked for
+        host->remote.send(LoopbackGateway::ok(body));
+        if (below(4) == 0)
+          host->remote.send(LoopbackGateway::ok("once more"));  // with it: one more than was asked for
     }
     host->at = 0;
   }
@@ -154,19 +156,19 @@
         return ended(host);
       case 2:
         host.at = 0;  // half an answer, and never the rest of it
-        return host.far.say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nha");
+        return host.remote.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nha");
       default:
-        if (host.at == 0) host.far.say("x");
+        if (host.at == 0) host.remote.send("x");
     }
   }
-  void cut(Host& host) { host.far.reset(), host.at = 0; }
-  void ended(Host& host) { host.far.close(), host.at = 0; }
+  void cut(Host& host) { host.remote.reset(), host.at = 0; }
+  void ended(Host& host) { host.remote.close(), host.at = 0; }
 
   void look() {
-    for (std::optional<Far> fresh; d_.host.accept(fresh); fresh.reset())
+    for (std::optional<Peer> fresh; d_.host.accept(fresh); fresh.reset())
       hosts_.push_back({std::move(*fresh)});
     for (Host& host : hosts_) {
-      const std::string& got = host.far.read();
+      const std::string& got = host.remote.read();
       for (std::size_t at = 0; (at = got.find("Req-Id: ", host.seen)) != std::string::npos;
            host.seen = at + 8) {
         const int requestId = std::stoi(got.substr(at + 8));
@@ -185,9 +187,9 @@
     left_.clear();
     for (Client& client : clients_) {
       if (!client.here) continue;
-      const std::string& got = client.far.read();
-      CHECK_FALSE(client.far.wasReset);
-      if (client.half && client.far.over) client.here = false;
+      const std::string& got = client.remote.read();
+      CHECK_FALSE(client.remote.wasReset);
+      if (client.half && client.remote.over) client.here = false;
       if (client.half || client.answered) continue;
       const auto head = got.find("\r\n\r\n");
       if (head == std::string::npos) continue;
@@ -200,7 +202,7 @@
   }
 
   std::ranlux24_base chance_;
-  Doorstep d_{256};
+  LoopbackGateway d_{256};
   std::vector<Client> clients_;
   std::vector<Host> hosts_;
   std::set<int> left_, gone_, paid_;
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -59,7 +59,7 @@
   const Compared c = compare(a, higher, "worth");
   CHECK(c.difference.n == 4);
   CHECK(c.difference.mean == Approx(0.1025));
-  CHECK(c.verdict().starts_with("higher by"));  // pair by pair, though each table spreads far wider
+  CHECK(c.verdict().starts_with("higher by"));  // pair by pair, though each table spreads remote wider
   const std::vector<Row> noise{row(1, 0.6), row(2, 0.8), row(3, 0.2), row(4, 0.3)};
   CHECK(compare(a, noise, "worth").verdict().starts_with("no difference shown"));
   CHECK(compare({row(1, 1)}, {row(1, 2)}, "worth").verdict().starts_with("no difference shown"));
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -10,14 +10,15 @@
 
 // A client has asked and the host has the whole of it.
 struct Asked {
-  explicit Asked(Doorstep& d, const std::string& message = Doorstep::request("look")) : client(d.client()) {
-    client.say(message);
+  explicit Asked(LoopbackGateway& d, const std::string& message = LoopbackGateway::request("look"))
+      : client(d.client()) {
+    client.send(message);
     const std::string last = message.substr(message.rfind("\r\n\r\n"));
     REQUIRE(d.until([&] { return host || d.host.accept(host); }));
     REQUIRE(d.until([&] { return host->holds(last); }));
   }
-  Far client;
-  std::optional<Far> host;
+  Peer client;
+  std::optional<Peer> host;
 };
 
 // Answers each of what it takes for messages, of three bytes, while it still reads.
@@ -46,23 +47,23 @@
   return n;
 }
 
-std::string statusOf(Far& client) {
+std::string statusOf(Peer& client) {
   return client.read().substr(0, 12);
 }
 
 }  // namespace
 
 TEST_CASE("what passes on passes on unchanged, and the host's answer too") {
-  Doorstep d;
+  LoopbackGateway d;
   const std::string body(60'000, 'q');
-  Asked asked(d, Doorstep::request("pay", body, "Idempotency-Key: k1\r\nContent-Type: t/x\r\n"));
+  Asked asked(d, LoopbackGateway::request("pay", body, "Idempotency-Key: k1\r\nContent-Type: t/x\r\n"));
   const std::string got = asked.host->got;
   CHECK_THAT(got, Catch::StartsWith("POST /pay/a?b=c HTTP/1.1\r\n"));
   for (const char* field : {"Req-Id: 00ff\r\n", "Idempotency-Key: k1\r\n", "Content-Type: t/x\r\n",
                             "Content-Length: 60000\r\n", "Req-Deadline-Ms: 884\r\n"})
     CHECK_THAT(got, Catch::Contains(field));
   CHECK_THAT(got, Catch::EndsWith("\r\n\r\n" + body));
-  asked.host->say(Doorstep::ok(std::string("a\0b", 3) + body));
+  asked.host->send(LoopbackGateway::ok(std::string("a\0b", 3) + body));
   REQUIRE(d.until([&] { return asked.client.holds(std::string("\r\n\r\na\0b", 7) + body); }));
   CHECK(statusOf(asked.client) == "HTTP/1.1 200");
 }
@@ -81,97 +82,97 @@
       {"", true, "502"},
       {"", false, "502"},  // silent until the deadline
   }));
-  Doorstep d;
-  Asked asked(d, Doorstep::request("pay", "x"));
-  if (!answer.empty()) asked.host->say(answer);
+  LoopbackGateway d;
+  Asked asked(d, LoopbackGateway::request("pay", "x"));
+  if (!answer.empty()) asked.host->send(answer);
   if (ends) asked.host->close();
   d.settle();
   d.pass(890ms);
   REQUIRE(d.until([&] { return asked.client.holds("\r\n\r\n"); }));
   CHECK(statusOf(asked.client) == "HTTP/1.1 " + status);
-  std::optional<Far> again;
+  std::optional<Peer> again;
   CHECK_FALSE(d.host.accept(again));  // nothing is sent twice
   if (!ends && answer.empty()) CHECK(d.until([&] { return asked.host->ended(); }));
 }
 
 TEST_CASE("a host that refuses connections has run nothing") {
-  Doorstep d;
+  LoopbackGateway d;
   d.host.close();
-  Far client = d.client();
-  client.say(Doorstep::request("pay", "x"));
+  Peer client = d.client();
+  client.send(LoopbackGateway::request("pay", "x"));
   REQUIRE(d.until([&] { return client.holds("\r\n\r\n"); }));
   CHECK(statusOf(client) == "HTTP/1.1 429");
 }
 
 TEST_CASE("a host's connection is kept for the next request, and dropped before it has rested too long") {
-  Doorstep d;
+  LoopbackGateway d;
   Asked asked(d);
   for (int n = 0; n < 3; ++n) {
-    asked.host->say(Doorstep::ok("one"));
+    asked.host->send(LoopbackGateway::ok("one"));
     REQUIRE(d.until([&] { return asked.client.holds("one"); }));
     d.pass(20ms);
     asked.client.got.clear(), asked.host->got.clear();
-    asked.client.say(Doorstep::request("look"));
+    asked.client.send(LoopbackGateway::request("look"));
     REQUIRE(d.until([&] { return asked.host->holds("\r\n\r\n"); }));
   }
-  asked.host->say(Doorstep::ok("last"));
+  asked.host->send(LoopbackGateway::ok("last"));
   d.settle();
   d.pass(29s);
   CHECK(d.until([&] { return asked.host->ended(); }));
 }
 
 TEST_CASE("a second answer that comes after the next attempt is not taken for its own") {
-  Doorstep d;
+  LoopbackGateway d;
   Asked asked(d);
-  asked.host->say(Doorstep::ok("one"));
+  asked.host->send(LoopbackGateway::ok("one"));
   REQUIRE(d.until([&] { return asked.client.holds("one"); }));
   asked.client.got.clear();
-  asked.client.say(Doorstep::request("look"));
-  std::optional<Far> fresh;
+  asked.client.send(LoopbackGateway::request("look"));
+  std::optional<Peer> fresh;
   REQUIRE(d.until([&] { return asked.host->read(), d.host.accept(fresh) || asked.host->got.size() > 400; }));
   d.pass(3ms);
-  asked.host->say(Doorstep::ok("one"));  // once more
+  asked.host->send(LoopbackGateway::ok("one"));  // once more
   d.settle();
   CHECK_FALSE(asked.client.holds("one"));
   REQUIRE(fresh);
   REQUIRE(d.until([&] { return fresh->holds("\r\n\r\n"); }));
-  fresh->say(Doorstep::ok("two"));
+  fresh->send(LoopbackGateway::ok("two"));
   CHECK(d.until([&] { return asked.client.holds("two"); }));
   CHECK(asked.host->ended());
 }
 
 TEST_CASE("a resting connection whose end, or stray bytes, come in the turn in which it is wanted is left") {
   const bool stray = GENERATE(true, false), hostFirst = GENERATE(true, false);
-  Doorstep d;
-  Asked asked(d, Doorstep::request("pay", "x"));
-  asked.host->say(Doorstep::ok("one"));
+  LoopbackGateway d;
+  Asked asked(d, LoopbackGateway::request("pay", "x"));
+  asked.host->send(LoopbackGateway::ok("one"));
   REQUIRE(d.until([&] { return asked.client.holds("one"); }));
   d.pass(20ms);
   asked.client.got.clear();
-  const auto spoil = [&] { stray ? asked.host->say("x") : asked.host->close(); };
+  const auto spoil = [&] { stray ? asked.host->send("x") : asked.host->close(); };
   if (hostFirst) spoil();
-  asked.client.say(Doorstep::request("pay", "y"));
+  asked.client.send(LoopbackGateway::request("pay", "y"));
   if (!hostFirst) spoil();
-  std::optional<Far> fresh;
+  std::optional<Peer> fresh;
   REQUIRE(d.until([&] { return d.host.accept(fresh); }));
   REQUIRE(d.until([&] { return fresh->holds("\r\n\r\ny"); }));
-  fresh->say(Doorstep::ok("two"));
+  fresh->send(LoopbackGateway::ok("two"));
   CHECK(d.until([&] { return asked.client.holds("two"); }));
 }
 
 TEST_CASE("what is still dialling when its client leaves is never sent, for one client and for many") {
   const std::size_t many = GENERATE(1, 300);
   Unreachable host;
-  Doorstep d(1024, hostLine(host.port, "h1", "in_service"));
+  LoopbackGateway d(1024, hostLine(host.port, "h1", "in_service"));
   d.settle();
-  std::vector<Far> clients;
+  std::vector<Peer> clients;
   for (std::size_t n = 0; n < many; ++n) clients.push_back(d.client());
   d.settle();
   const std::size_t before = descriptors();
-  for (Far& client : clients) client.say(Doorstep::request("look"));
+  for (Peer& client : clients) client.send(LoopbackGateway::request("look"));
   REQUIRE(d.until([&] { return descriptors() > before; }));
   d.settle();
-  for (Far& client : clients) client.close();
+  for (Peer& client : clients) client.close();
   d.settle();
   CHECK(descriptors() == before - 2 * many);  // their own, and the gateway's ends; nothing dials any more
   CHECK(d.server.unanswered() == 0);
@@ -179,19 +180,19 @@
 
 TEST_CASE("a repeat that would come up after the hosts have forgotten the first is not sent") {
   Unreachable hangs;
-  FarListener other;
+  PeerListener other;
   const bool comesUp = GENERATE(true, false);  // in the turn in which its time is over, or never
   const std::uint16_t second = comesUp ? other.port : hangs.port;
-  Doorstep d(128, "");
-  std::optional<Far> watch, first, again;
+  LoopbackGateway d(128, "");
+  std::optional<Peer> watch, first, again;
   REQUIRE(d.until([&] { return d.discovery.accept(watch); }));
-  Asked asked(d, Doorstep::request("save", "x", "Idempotency-Key: k\r\n"));
-  watch->say("HTTP/1.1 200 OK\r\n\r\n{\"generation\":42,\"instances\":[" +
-             hostLine(second, "h2", "in_service") + "]}\n");
+  Asked asked(d, LoopbackGateway::request("save", "x", "Idempotency-Key: k\r\n"));
+  watch->send("HTTP/1.1 200 OK\r\n\r\n{\"generation\":42,\"instances\":[" +
+              hostLine(second, "h2", "in_service") + "]}\n");
   d.settle();
   d.clock.at += 100ms;
   const std::size_t before = descriptors();
-  asked.host->say("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
+  asked.host->send("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
   REQUIRE(d.step([&] { return comesUp ? other.accept(again) : descriptors() > before; }));
   d.clock.at += 60ms;  // 160 ms after the first: its hosts remember it for 150
   if (!comesUp) d.pass(10ms);
@@ -204,42 +205,42 @@
 
 TEST_CASE("a connection with stray bytes, or whose host has closed it, is not used again") {
   const bool stray = GENERATE(true, false);
-  Doorstep d;
+  LoopbackGateway d;
   Asked asked(d);
-  asked.host->say(Doorstep::ok("one"));
+  asked.host->send(LoopbackGateway::ok("one"));
   REQUIRE(d.until([&] { return asked.client.holds("one"); }));
-  stray ? asked.host->say(Doorstep::ok("two")) : asked.host->close();
+  stray ? asked.host->send(LoopbackGateway::ok("two")) : asked.host->close();
   d.settle();
   asked.client.got.clear();
-  asked.client.say(Doorstep::request("look"));
-  std::optional<Far> fresh;
+  asked.client.send(LoopbackGateway::request("look"));
+  std::optional<Peer> fresh;
   REQUIRE(d.until([&] { return d.host.accept(fresh); }));
   REQUIRE(d.until([&] { return fresh->holds("\r\n\r\n"); }));
-  fresh->say(Doorstep::ok("three"));
+  fresh->send(LoopbackGateway::ok("three"));
   CHECK(d.until([&] { return asked.client.holds("three"); }));
 }
 
 TEST_CASE("bytes after an answer spoil the connection, not the answer") {
-  Doorstep d;
+  LoopbackGateway d;
   Asked asked(d);
-  asked.host->say(Doorstep::ok("one") + "HTTP/1.1 200");
+  asked.host->send(LoopbackGateway::ok("one") + "HTTP/1.1 200");
   CHECK(d.until([&] { return asked.client.holds("one"); }));
   CHECK(d.until([&] { return asked.host->ended(); }));
 }
 
 TEST_CASE("an answer that comes with the end of its connection counts") {
-  Doorstep d;
+  LoopbackGateway d;
   Asked asked(d);
-  asked.host->say("HTTP/1.1 200 OK\r\n\r\nto the end");
+  asked.host->send("HTTP/1.1 200 OK\r\n\r\nto the end");
   asked.host->close();
   CHECK(d.until([&] { return asked.client.holds("to the end"); }));
 }
 
 TEST_CASE("an answer without a length that is reset is no answer, be the reset in the same turn or later") {
   const bool atOnce = GENERATE(true, false);
-  Doorstep d;
-  Asked asked(d, Doorstep::request("pay", "x"));
-  asked.host->say("HTTP/1.1 200 OK\r\n\r\nto the e");
+  LoopbackGateway d;
+  Asked asked(d, LoopbackGateway::request("pay", "x"));
+  asked.host->send("HTTP/1.1 200 OK\r\n\r\nto the e");
   if (!atOnce) d.settle();
   asked.host->reset();
   REQUIRE(d.until([&] { return asked.client.holds("\r\n\r\n"); }));
@@ -248,45 +249,46 @@
 }
 
 TEST_CASE("a client that leaves is no reason to end, nor is its answer sent to another") {
-  Doorstep d;
+  LoopbackGateway d;
   Asked asked(d);
   asked.client.close();
   d.settle();
   CHECK(d.server.unanswered() == 0);
-  asked.host->say(Doorstep::ok("one"));
+  asked.host->send(LoopbackGateway::ok("one"));
   d.settle();
-  Far other = d.client();
-  other.say("GET /health/ready HTTP/1.1\r\n\r\n");
+  Peer other = d.client();
+  other.send("GET /health/ready HTTP/1.1\r\n\r\n");
   REQUIRE(d.until([&] { return other.holds("ready\n"); }));
   CHECK_FALSE(other.holds("one"));
 }
 
 TEST_CASE("requests that were sent on ahead are answered one after another") {
-  Doorstep d;
-  Asked asked(d, Doorstep::request("look") + "GET /health/live HTTP/1.1\r\n\r\n" + Doorstep::request("none"));
-  asked.host->say(Doorstep::ok("one"));
+  LoopbackGateway d;
+  Asked asked(d, LoopbackGateway::request("look") + "GET /health/live HTTP/1.1\r\n\r\n" +
+                     LoopbackGateway::request("none"));
+  asked.host->send(LoopbackGateway::ok("one"));
   REQUIRE(d.until([&] { return asked.client.holds("Req-Kind is not known"); }));
   const std::string& got = asked.client.got;
   CHECK(got.find("one") < got.find("live\n"));
 }
 
 TEST_CASE("what a client sends on ahead does not spoil the attempts that are still to come") {
-  FarListener other;
-  Doorstep d(128, "");
-  std::optional<Far> watch, second;
+  PeerListener other;
+  LoopbackGateway d(128, "");
+  std::optional<Peer> watch, second;
   REQUIRE(d.until([&] { return d.discovery.accept(watch); }));
-  watch->say("HTTP/1.1 200 OK\r\n\r\n{\"generation\":42,\"instances\":[" +
-             hostLine(other.port, "h2", "in_service") + "]}\n");
+  watch->send("HTTP/1.1 200 OK\r\n\r\n{\"generation\":42,\"instances\":[" +
+              hostLine(other.port, "h2", "in_service") + "]}\n");
   d.settle();
-  const std::string message = Doorstep::request("pay", std::string(1'500, 'q'));
-  Far client = d.client();
-  client.say(message);
-  std::optional<Far> first;
+  const std::string message = LoopbackGateway::request("pay", std::string(1'500, 'q'));
+  Peer client = d.client();
+  client.send(message);
+  std::optional<Peer> first;
   REQUIRE(d.until([&] { return d.host.accept(first) || other.accept(first); }));
   REQUIRE(d.until([&] { return first->holds("qqq"); }));
-  client.say(std::string(9'000, 'x'));  // the buffer grows and moves
+  client.send(std::string(9'000, 'x'));  // the buffer grows and moves
   d.settle();
-  first->say("HTTP/1.1 503 x\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
+  first->send("HTTP/1.1 503 x\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
   REQUIRE(d.until([&] { return d.host.accept(second) || other.accept(second); }));
   REQUIRE(d.until([&] { return second->holds("qqq"); }));
   CHECK_THAT(second->got, Catch::EndsWith("\r\n\r\n" + std::string(1'500, 'q')));
@@ -294,23 +296,23 @@
 
 TEST_CASE(
     "a client that asks and asks but does not read gets all its answers, whole and in order, once it does") {
-  Doorstep d(1024);
+  LoopbackGateway d(1024);
   const int requests = 150;
   std::string ahead;
-  for (int n = 0; n < requests; ++n) ahead += Doorstep::request("look");
-  Asked asked(d, Doorstep::request("look"));
+  for (int n = 0; n < requests; ++n) ahead += LoopbackGateway::request("look");
+  Asked asked(d, LoopbackGateway::request("look"));
   const auto bodyOf = [](int n) { return std::string(60'000, static_cast<char>('a' + n % 26)); };
   std::size_t sent = 0;
   int answered = 0;
-  std::vector<Far> hosts;
+  std::vector<Peer> hosts;
   hosts.push_back(std::move(*asked.host));
   const auto serve = [&] {  // the host answers each, and the client sends on as it can
-    if (sent < ahead.size()) sent += asked.client.trySay(std::string_view(ahead).substr(sent));
-    for (std::optional<Far> more; d.host.accept(more);) hosts.push_back(std::move(*more));
-    for (Far& host : hosts) {
+    if (sent < ahead.size()) sent += asked.client.trySend(std::string_view(ahead).substr(sent));
+    for (std::optional<Peer> more; d.host.accept(more);) hosts.push_back(std::move(*more));
+    for (Peer& host : hosts) {
       if (!host.holds("\r\n\r\n")) continue;
       host.got.clear();
-      host.say(Doorstep::ok(bodyOf(answered++)));
+      host.send(LoopbackGateway::ok(bodyOf(answered++)));
     }
   };
   d.until([&, idle = 0, last = 0]() mutable {
@@ -325,7 +327,7 @@
     asked.client.read();
     return answered == requests + 1 && asked.client.got.ends_with(bodyOf(requests));
   }));
-  for (int n = 0; n <= requests; ++n) wanted += Doorstep::ok(bodyOf(n));
+  for (int n = 0; n <= requests; ++n) wanted += LoopbackGateway::ok(bodyOf(n));
   CHECK((asked.client.got == wanted));
 }
 
@@ -337,21 +339,21 @@
       {"GET / HTTP/1.1\r\nN: " + std::string(17'000, 'x'), "431"},
       {"\x16\x03\x01\r\n\r\n", "400"},
   }));
-  Doorstep d;
-  Far client = d.client();
-  client.say(bytes);
+  LoopbackGateway d;
+  Peer client = d.client();
+  client.send(bytes);
   CHECK(d.until([&] { return client.ended(); }));
   CHECK(statusOf(client) == "HTTP/1.1 " + status);
   client.close();
   Asked asked(d);
-  asked.host->say(Doorstep::ok("one"));
+  asked.host->send(LoopbackGateway::ok("one"));
   CHECK(d.until([&] { return asked.client.holds("one"); }));
 }
 
 TEST_CASE("half a request, or a client that rests for ever, is not waited for") {
-  Doorstep d;
-  Far half = d.client(), resting = d.client();
-  half.say("GET / HTTP/1.1\r\nN");
+  LoopbackGateway d;
+  Peer half = d.client(), resting = d.client();
+  half.send("GET / HTTP/1.1\r\nN");
   d.settle();
   d.pass(3s);
   CHECK(d.until([&] { return half.ended(); }));
@@ -361,46 +363,46 @@
 }
 
 TEST_CASE("out of descriptors, who rests longest makes room, else accepting pauses") {
-  Doorstep d(32 + 2 * 2);  // two clients, two connections to hosts
-  Far a = d.client(), b = d.client();
-  a.say("GET /health/live HTTP/1.1\r\n\r\n");
+  LoopbackGateway d(32 + 2 * 2);  // two clients, two connections to hosts
+  Peer a = d.client(), b = d.client();
+  a.send("GET /health/live HTTP/1.1\r\n\r\n");
   REQUIRE(d.until([&] { return a.holds("live"); }));
-  a.say(Doorstep::request("look"));
-  b.say(Doorstep::request("look"));
-  std::optional<Far> one, two;
+  a.send(LoopbackGateway::request("look"));
+  b.send(LoopbackGateway::request("look"));
+  std::optional<Peer> one, two;
   REQUIRE(d.until([&] { return d.host.accept(one); }));
   REQUIRE(d.until([&] { return d.host.accept(two); }));
-  Far c = d.client();
-  c.say("GET /health/live HTTP/1.1\r\n\r\n");
+  Peer c = d.client();
+  c.send("GET /health/live HTTP/1.1\r\n\r\n");
   d.settle();
   CHECK(c.read().empty());
   REQUIRE(d.until([&] { return one->holds("\r\n\r\n"); }));
-  one->say(Doorstep::ok("one")), two->say(Doorstep::ok("two"));
+  one->send(LoopbackGateway::ok("one")), two->send(LoopbackGateway::ok("two"));
   d.settle();
-  Far& left = a.holds("one") ? a : b;
+  Peer& left = a.holds("one") ? a : b;
   left.close();
   CHECK(d.until([&] { return c.holds("live"); }));
-  Far* const stay[] = {&left == &a ? &b : &a, &c};
-  Far e = d.client();
-  e.say("GET /health/live HTTP/1.1\r\n\r\n");
+  Peer* const stay[] = {&left == &a ? &b : &a, &c};
+  Peer e = d.client();
+  e.send("GET /health/live HTTP/1.1\r\n\r\n");
   const bool closes = GENERATE(true, false);
   REQUIRE(d.until([&] { return stay[0]->ended() || stay[1]->ended(); }));  // in good order
   CHECK_FALSE((a.wasReset || b.wasReset || c.wasReset));
   if (closes)
-    for (Far* rested : stay)
+    for (Peer* rested : stay)
       if (rested->over) rested->close();
   if (!closes) d.pass(260ms);  // an eighth of the longest deadline
   CHECK(d.until([&] { return e.holds("live"); }));
 }
 
 TEST_CASE("who comes while all places are taken by requests gets one once they rest, though nobody leaves") {
-  Doorstep d(32 + 2 * 2);
+  LoopbackGateway d(32 + 2 * 2);
   Asked a(d), b(d);
-  Far c = d.client();
-  c.say("GET /health/live HTTP/1.1\r\n\r\n");
+  Peer c = d.client();
+  c.send("GET /health/live HTTP/1.1\r\n\r\n");
   d.settle();
   CHECK(c.read().empty());
-  a.host->say(Doorstep::ok("one")), b.host->say(Doorstep::ok("two"));
+  a.host->send(LoopbackGateway::ok("one")), b.host->send(LoopbackGateway::ok("two"));
   d.settle();
   d.pass(260ms);  // an eighth of the longest deadline: so long the one that is parted with may take to close
   CHECK(d.until([&] { return c.holds("live"); }));
@@ -411,33 +413,33 @@
 }
 
 TEST_CASE("the counter's calls share a connection, one that is stuck is replaced") {
-  Doorstep d;
-  Far client = d.client();
-  client.say(Doorstep::metered(1));
-  std::optional<Far> first, second;
+  LoopbackGateway d;
+  Peer client = d.client();
+  client.send(LoopbackGateway::metered(1));
+  std::optional<Peer> first, second;
   REQUIRE(d.until([&] { return d.counter.accept(first); }));
   REQUIRE(d.until([&] { return first->holds("POST /tally/u1."); }));
   CHECK_THAT(first->got, Catch::Contains("?n=0&keep_ms=30000") || Catch::Contains("?n=1&keep_ms=30000"));
   for (int n = 2; n < 6; ++n) {
-    Far other = d.client();
-    other.say(Doorstep::metered(n));
+    Peer other = d.client();
+    other.send(LoopbackGateway::metered(n));
     d.settle();
   }
   CHECK_FALSE(first->ended());
   d.pass(1s);  // nothing comes
   CHECK(d.until([&] { return first->ended(); }));
-  std::optional<Far> third;
+  std::optional<Peer> third;
   REQUIRE(d.until([&] { return d.counter.accept(second) || (second && d.counter.accept(third)); }));
 }
 
 TEST_CASE("a counter that cannot be reached has added nothing, and is tried again") {
-  Doorstep d;
+  LoopbackGateway d;
   d.counter.close();
-  std::string message = Doorstep::request("look");
+  std::string message = LoopbackGateway::request("look");
   message.replace(message.find("Plan: free"), 10, "Plan: metered");
   for (int n = 0; n < 5; ++n) {
-    Far client = d.client();
-    client.say(message);
+    Peer client = d.client();
+    client.send(message);
     d.settle();
     d.pass(1s);
   }
@@ -448,28 +450,28 @@
     "a counter that ends as a call is on its way, or about to be written, is told of those units again") {
   const int end =
       GENERATE(0, 1, 2, 3);  // after the call; resets after it; in its turn, before or behind the request
-  Doorstep d;
-  std::optional<Far> count, again, host;
-  Far client = d.client();
-  client.say(Doorstep::metered(1));
+  LoopbackGateway d;
+  std::optional<Peer> count, again, host;
+  Peer client = d.client();
+  client.send(LoopbackGateway::metered(1));
   REQUIRE(d.until([&] { return d.counter.accept(count); }));
   REQUIRE(d.until([&] { return count->holds("POST /tally/u1."); }));
   REQUIRE(d.until([&] { return d.host.accept(host); }));
   REQUIRE(d.until([&] { return host->holds("\r\n\r\n"); }));
-  host->say(Doorstep::ok("one"));
+  host->send(LoopbackGateway::ok("one"));
   REQUIRE(d.until([&] { return client.holds("one"); }));
   if (end == 0) count->close();
   if (end == 1) count->reset();
   if (end > 1) {
-    count->say(Doorstep::ok("1"));
+    count->send(LoopbackGateway::ok("1"));
     d.settle();
     d.pass(200ms);
     client.got.clear();
     if (end == 2) count->close();
-    client.say(Doorstep::metered(1));
+    client.send(LoopbackGateway::metered(1));
     if (end == 3) count->close();
     REQUIRE(d.until([&] { return host->read(), d.host.accept(host) || host->got.rfind("GET ") > 0; }));
-    host->say(Doorstep::ok("two"));
+    host->send(LoopbackGateway::ok("two"));
     REQUIRE(d.until([&] { return client.holds("two"); }));
   }
   for (int n = 0; n < 40 && !(d.counter.accept(again) && again); ++n) d.pass(20ms), d.settle();
@@ -480,42 +482,42 @@
 }
 
 TEST_CASE("what waits to be written is not taken for what has come") {
-  Doorstep d;
-  FarListener far;
+  LoopbackGateway d;
+  PeerListener remote;
   auto& answering = d.loop.open<Answering>();
-  answering.connect(net::parseAddress(far.address()));
-  std::optional<Far> peer;
-  REQUIRE(d.until([&] { return far.accept(peer); }));
-  peer->say(
+  answering.connect(net::parseAddress(remote.address()));
+  std::optional<Peer> peer;
+  REQUIRE(d.until([&] { return remote.accept(peer); }));
+  peer->send(
       "one"
       "two"
       "th");
   REQUIRE(d.until([&] { return peer->holds("yesyes"); }));
-  peer->say("r");
+  peer->send("r");
   REQUIRE(d.until([&] { return peer->holds("yesyesyes"); }));
   CHECK(answering.taken == "onetwothr");
 }
 
 TEST_CASE("a watch that falls silent is opened again from the last list that was told") {
-  Doorstep d;
-  std::optional<Far> watch, again;
+  LoopbackGateway d;
+  std::optional<Peer> watch, again;
   REQUIRE(d.until([&] { return d.discovery.accept(watch); }));
   REQUIRE(d.until([&] { return watch->holds("watch=1&from=41 "); }));
   const std::string lines = "\n{\"generation\":43,\"reset\":false,\"instances\":[" +
                             hostLine(d.host.port, "h1", "terminating") + "]}\n";
   const std::size_t half = lines.size() / 2;
-  watch->say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+  watch->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   for (const std::string& part : {lines.substr(0, half), lines.substr(half)}) {
     std::ostringstream chunk;
     chunk << std::hex << part.size() << "\r\n" << part << "\r\n";
-    watch->say(chunk.str());
+    watch->send(chunk.str());
     d.settle();
   }
-  Far client = d.client();
-  client.say(Doorstep::request("look"));
+  Peer client = d.client();
+  client.send(LoopbackGateway::request("look"));
   REQUIRE(d.until([&] { return client.holds("HTTP/1.1 429"); }));  // it was the only host
   d.pass(1900ms);
-  watch->say("1\r\n\n\r\n");  // the beat
+  watch->send("1\r\n\n\r\n");  // the beat
   d.settle();
   d.pass(1900ms);
   CHECK_FALSE(watch->ended());
@@ -530,81 +532,81 @@
       GENERATE(as<std::string>(), "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", "nonsense\r\n\r\n",
                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"a\"}\r\n",
                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
-  Doorstep d;
-  std::optional<Far> watch, again;
+  LoopbackGateway d;
+  std::optional<Peer> watch, again;
   REQUIRE(d.until([&] { return d.discovery.accept(watch); }));
-  watch->say(bytes);
+  watch->send(bytes);
   CHECK(d.until([&] { return watch->ended(); }));
   d.pass(300ms);
   CHECK(d.until([&] { return d.discovery.accept(again); }));
 }
 
 TEST_CASE("where watches are rejected, whole lists are asked for, ever more seldom, then a watch again") {
-  Doorstep d;
+  LoopbackGateway d;
   std::vector<std::string> asked;
   int waits = 0;
   const auto turnAway = [&] {
-    std::optional<Far> far;
-    for (; !far && waits < 6000; ++waits) {
+    std::optional<Peer> remote;
+    for (; !remote && waits < 6000; ++waits) {
       d.pass(10ms);
-      d.until([&, turns = 0]() mutable { return d.discovery.accept(far) || ++turns > 20; });
+      d.until([&, turns = 0]() mutable { return d.discovery.accept(remote) || ++turns > 20; });
     }
-    REQUIRE(far);
-    REQUIRE(d.until([&] { return far->holds("\r\n\r\n"); }));
-    asked.push_back(far->got.substr(0, far->got.find(" HTTP")));
-    return far;
+    REQUIRE(remote);
+    REQUIRE(d.until([&] { return remote->holds("\r\n\r\n"); }));
+    asked.push_back(remote->got.substr(0, remote->got.find(" HTTP")));
+    return remote;
   };
   for (int n = 0; n < 9; ++n) {
-    auto far = turnAway();
-    far->say("HTTP/1.1 503 x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-    REQUIRE(d.until([&] { return far->ended(); }));
+    auto remote = turnAway();
+    remote->send("HTTP/1.1 503 x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+    REQUIRE(d.until([&] { return remote->ended(); }));
   }
   CHECK(asked[0] == "GET /registry/instances?watch=1&from=41");
   CHECK(asked[1] == "GET /registry/instances");
   CHECK(asked[4] == asked[0]);
   CHECK(waits > 600);  // at the connect timeout each time it would be some 200
-  auto far = turnAway();
+  auto remote = turnAway();
   const std::string list =
       "{\"generation\":50,\"reset\":true,\"instances\":[" + hostLine(d.host.port, "h1", "terminating") + "]}";
-  far->say(Doorstep::ok(list));
+  remote->send(LoopbackGateway::ok(list));
   d.settle();
-  Far client = d.client();
-  client.say(Doorstep::request("look"));
+  Peer client = d.client();
+  client.send(LoopbackGateway::request("look"));
   CHECK(d.until([&] { return client.holds("HTTP/1.1 429"); }));  // it was the only host
 }
 
 TEST_CASE("a list indented over many lines is taken, in whatever chunks it comes") {
   const std::size_t size = GENERATE(1, 2, 7, 64, 4096);
-  Doorstep d;
-  std::optional<Far> watch, again;
+  LoopbackGateway d;
+  std::optional<Peer> watch, again;
   REQUIRE(d.until([&] { return d.discovery.accept(watch); }));
-  watch->say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+  watch->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   std::string list = "\n{\n  \"generation\": 43,\n  \"unknown\": {\"a\": [1]},\n  \"instances\": [\n    " +
                      hostLine(d.host.port, "h1", "terminating") + "\n  ]\n}\n\n";
   for (std::size_t at = 0; at < list.size(); at += size) {
     const std::string part = list.substr(at, size);
     std::ostringstream chunk;
     chunk << std::hex << part.size() << "\r\n" << part << "\r\n";
-    watch->say(chunk.str());
+    watch->send(chunk.str());
     d.loop.io.poll();
     d.loop.io.restart();
   }
   d.settle();
-  Far client = d.client();
-  client.say(Doorstep::request("look"));
+  Peer client = d.client();
+  client.send(LoopbackGateway::request("look"));
   CHECK(d.until([&] { return client.holds("HTTP/1.1 429"); }));  // it was the only host
   CHECK_FALSE(watch->ended());
 }
 
 TEST_CASE("a list that is begun and never ended is given up, though beats come all the while") {
-  Doorstep d;
-  std::optional<Far> watch, again;
+  LoopbackGateway d;
+  std::optional<Peer> watch, again;
   REQUIRE(d.until([&] { return d.discovery.accept(watch); }));
-  watch->say("HTTP/1.1 200 OK\r\n\r\n\n{\"generation\":43,\"instances\":[");
+  watch->send("HTTP/1.1 200 OK\r\n\r\n\n{\"generation\":43,\"instances\":[");
   for (int n = 0; n < 4; ++n) {
     d.settle();
     d.pass(800ms);
-    watch->say("\n");
+    watch->send("\n");
   }
   CHECK(d.until([&] { return watch->ended(); }));
   d.pass(1s);
@@ -613,45 +615,45 @@
 }
 
 TEST_CASE("a whole list may be longer than any request's body") {
-  Doorstep d;
-  std::optional<Far> far;
-  REQUIRE(d.until([&] { return d.discovery.accept(far); }));
-  far->say("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
+  LoopbackGateway d;
+  std::optional<Peer> remote;
+  REQUIRE(d.until([&] { return d.discovery.accept(remote); }));
+  remote->send("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
   d.settle();
-  std::optional<Far> asked;
+  std::optional<Peer> asked;
   d.pass(500ms);
   REQUIRE(d.until([&] { return d.discovery.accept(asked); }));
   REQUIRE(d.until([&] { return asked->holds("GET /registry/instances HTTP"); }));
   std::string list =
       "{\"generation\":50,\"reset\":true,\"instances\":[" + hostLine(d.host.port, "h1", "terminating");
   for (int n = 0; n < 1024; ++n) list += ",\n" + hostLine(1, "other" + std::to_string(n), "terminating");
-  const std::string answer = Doorstep::ok(list + "]}");
+  const std::string answer = LoopbackGateway::ok(list + "]}");
   for (std::size_t at = 0; at < answer.size(); at += 32'768) {
-    asked->say(std::string_view(answer).substr(at, 32'768));
+    asked->send(std::string_view(answer).substr(at, 32'768));
     d.settle();
   }
-  Far client = d.client();
-  client.say(Doorstep::request("look"));
+  Peer client = d.client();
+  client.send(LoopbackGateway::request("look"));
   CHECK(d.until([&] { return client.holds("HTTP/1.1 429"); }));  // it was the only host
 }
 
 TEST_CASE("moved to another counter, calls on their way end where they were made") {
-  Doorstep d;
-  FarListener moved;
-  Far client = d.client();
-  client.say(Doorstep::metered(1));
-  std::optional<Far> old, fresh, host;
+  LoopbackGateway d;
+  PeerListener moved;
+  Peer client = d.client();
+  client.send(LoopbackGateway::metered(1));
+  std::optional<Peer> old, fresh, host;
   REQUIRE(d.until([&] { return d.counter.accept(old); }));
   REQUIRE(d.until([&] { return old->holds("POST /tally/u1."); }));
   d.server.moveTo(d.discovery.address(), moved.address());
   d.loop.endTurn();
   d.settle();
   CHECK_FALSE(old->ended());
-  old->say(Doorstep::ok("4"));
+  old->send(LoopbackGateway::ok("4"));
   CHECK(d.until([&] { return old->ended(); }));
   d.pass(1s);
-  Far other = d.client();
-  other.say(Doorstep::metered(2));
+  Peer other = d.client();
+  other.send(LoopbackGateway::metered(2));
   REQUIRE(d.until([&] { return moved.accept(fresh); }));
   CHECK(d.until([&] { return fresh->holds("POST /tally/u2."); }));
   CHECK_THROWS_AS(d.server.moveTo(moved.address(), "nowhere"), std::invalid_argument);
@@ -660,11 +662,11 @@
 }
 
 TEST_CASE("moved while nothing answers, nothing is waited for at the old addresses") {
-  Doorstep d;
-  FarListener discovery, counter;
-  Far client = d.client();
-  client.say(Doorstep::metered(1));
-  std::optional<Far> watch, old, fresh;
+  LoopbackGateway d;
+  PeerListener discovery, counter;
+  Peer client = d.client();
+  client.send(LoopbackGateway::metered(1));
+  std::optional<Peer> watch, old, fresh;
   REQUIRE(d.until([&] { return d.counter.accept(old); }));
   REQUIRE(d.until([&] { return d.discovery.accept(watch); }));
   d.discovery.close();
@@ -674,7 +676,7 @@
   d.server.moveTo(discovery.address(), counter.address());
   d.loop.endTurn();
   REQUIRE(d.until([&] { return discovery.accept(fresh); }));
-  std::optional<Far> second;
+  std::optional<Peer> second;
   d.settle();
   CHECK_FALSE(discovery.accept(second));
   d.pass(1100ms);
@@ -682,19 +684,19 @@
 }
 
 TEST_CASE("told to end, it answers what comes, closes between requests and keeps what it has taken") {
-  Doorstep d;
-  Far resting = d.client();
+  LoopbackGateway d;
+  Peer resting = d.client();
   Asked asked(d);
-  Far fresh = d.client();
+  Peer fresh = d.client();
   d.server.leave(TimePoint::max());
-  fresh.say("GET /health/ready HTTP/1.1\r\n\r\n");
+  fresh.send("GET /health/ready HTTP/1.1\r\n\r\n");
   REQUIRE(d.until([&] { return fresh.ended(); }));
   CHECK_THAT(fresh.got, Catch::StartsWith("HTTP/1.1 503") && Catch::Contains("Connection: close"));
   CHECK_FALSE(resting.ended());
   d.server.closeIdle();
   CHECK(d.until([&] { return resting.ended(); }));
   CHECK_FALSE(d.server.quiet());
-  asked.host->say(Doorstep::ok("one"));
+  asked.host->send(LoopbackGateway::ok("one"));
   CHECK(d.until([&] { return asked.client.ended(); }));
   CHECK(asked.client.holds("one"));
   CHECK(d.server.quiet());
@@ -702,42 +704,42 @@
 
 TEST_CASE("a request that crosses the end of a rest is neither sent on nor met by a reset") {
   const int end = GENERATE(0, 1, 2);  // told to end, rested too long, its place is wanted
-  Doorstep d(32 + 2 * 2);
+  LoopbackGateway d(32 + 2 * 2);
   Asked asked(d);
-  asked.host->say(Doorstep::ok("one"));
+  asked.host->send(LoopbackGateway::ok("one"));
   REQUIRE(d.until([&] { return asked.client.holds("one"); }));
   asked.client.got.clear();
   asked.host->got.clear();
   d.pass(30ms);
-  std::vector<Far> others;
+  std::vector<Peer> others;
   for (int n = 0; end == 2 && n < 2; ++n) others.push_back(d.client());
   d.settle();
   if (end == 0) d.server.leave(TimePoint::max()), d.server.closeIdle();
   if (end == 1) d.pass(29'980ms);
   if (end == 2) REQUIRE(d.until([&] { return asked.client.ended(); }));
-  asked.client.say(Doorstep::request("look"));  // before it has seen the end
+  asked.client.send(LoopbackGateway::request("look"));  // before it has seen the end
   d.settle();
   CHECK(asked.client.ended());
   CHECK_FALSE(asked.client.wasReset);
   CHECK_FALSE(asked.client.resetCame());
   CHECK(asked.client.got.empty());
-  std::optional<Far> host;
+  std::optional<Peer> host;
   CHECK_FALSE(d.host.accept(host));
   CHECK(asked.host->read().empty());
 }
 
 TEST_CASE("told to end, a request that was read behind another is answered before the end, not dropped") {
   const bool inOne = GENERATE(true, false);  // read already, or still with the system
-  Doorstep d;
-  Asked asked(d, Doorstep::request("look") + (inOne ? Doorstep::request("look") : ""));
+  LoopbackGateway d;
+  Asked asked(d, LoopbackGateway::request("look") + (inOne ? LoopbackGateway::request("look") : ""));
   d.server.leave(d.clock.at + 3s);
   d.server.closeIdle();
-  asked.host->say(Doorstep::ok("one"));
-  if (!inOne) asked.client.say(Doorstep::request("look"));
-  std::optional<Far> host;
+  asked.host->send(LoopbackGateway::ok("one"));
+  if (!inOne) asked.client.send(LoopbackGateway::request("look"));
+  std::optional<Peer> host;
   REQUIRE(d.until([&] { return d.host.accept(host); }));
   REQUIRE(d.until([&] { return host->holds("\r\n\r\n"); }));
-  host->say(Doorstep::ok("two"));
+  host->send(LoopbackGateway::ok("two"));
   REQUIRE(d.until([&] { return asked.client.ended(); }));
   CHECK_THAT(asked.client.got, Catch::Contains("one") && Catch::EndsWith("two"));
   CHECK(asked.client.got.find("Connection: close") > asked.client.got.find("one"));
@@ -745,30 +747,30 @@
 }
 
 TEST_CASE("told to end, the last look at the door takes who has come to it, and then there is none") {
-  Doorstep d;
+  LoopbackGateway d;
   d.server.leave(d.clock.at + 3s);
-  Far late = d.client();
+  Peer late = d.client();
   CHECK_FALSE(d.server.shut());
-  late.say(Doorstep::request("look"));
-  std::optional<Far> host;
+  late.send(LoopbackGateway::request("look"));
+  std::optional<Peer> host;
   REQUIRE(d.until([&] { return d.host.accept(host); }));
   CHECK_FALSE(d.server.quiet());
-  host->say(Doorstep::ok("one"));
+  host->send(LoopbackGateway::ok("one"));
   REQUIRE(d.until([&] { return late.ended(); }));
   CHECK(late.holds("one"));
   CHECK(d.server.shut());
-  Far refused = d.client();
-  refused.say("GET /health/live HTTP/1.1\r\n\r\n");
+  Peer refused = d.client();
+  refused.send("GET /health/live HTTP/1.1\r\n\r\n");
   d.settle();
   CHECK(refused.read().empty());
 }
 
 TEST_CASE("at the very end, what has come and nobody reads any more resets nobody") {
-  std::optional<Doorstep> d(std::in_place);
+  std::optional<LoopbackGateway> d(std::in_place);
   Asked asked(*d);
-  asked.host->say(Doorstep::ok("one"));
+  asked.host->send(LoopbackGateway::ok("one"));
   d->settle();
-  asked.client.say(Doorstep::request("look"));  // with the system, and never read
+  asked.client.send(LoopbackGateway::request("look"));  // with the system, and never read
   d->server.discard();
   d.reset();  // as the exit does
   CHECK(asked.client.ended());
@@ -779,12 +781,12 @@
 TEST_CASE(
     "a client that sends much on ahead and goes is seen to have gone, and nothing more is sent on for it") {
   const bool resets = GENERATE(true, false);
-  Doorstep d(1024);
+  LoopbackGateway d(1024);
   Asked asked(d);
   std::string ahead;
-  while (ahead.size() < 400'000) ahead += Doorstep::request("look");
+  while (ahead.size() < 400'000) ahead += LoopbackGateway::request("look");
   for (std::size_t sent = 0; sent < ahead.size();) {
-    const std::size_t n = asked.client.trySay(std::string_view(ahead).substr(sent));
+    const std::size_t n = asked.client.trySend(std::string_view(ahead).substr(sent));
     if (n == 0) break;
     sent += n;
   }
@@ -795,71 +797,72 @@
   d.settle();
   CHECK(descriptors() < before - 1);  // the gateway's end has gone, too
   CHECK(d.server.unanswered() == 0);
-  asked.host->say(Doorstep::ok("one"));
+  asked.host->send(LoopbackGateway::ok("one"));
   d.settle();
-  std::optional<Far> host;
+  std::optional<Peer> host;
   CHECK_FALSE(d.host.accept(host));
 }
 
 TEST_CASE("a request that is first read together with its client's end is not sent on") {
   const bool half = GENERATE(true, false);  // the end of its sending is all that there is to see of a close
-  Doorstep d;
+  LoopbackGateway d;
   d.settle();
-  std::vector<Far> clients;
+  std::vector<Peer> clients;
   for (int n = 0; n < 20; ++n) {
     clients.push_back(d.client());
-    clients.back().say(Doorstep::request(n % 2 ? "look" : "pay", n % 2 ? "" : std::string(30'000, 'x')));
-    half ? clients.back().endSending() : clients.back().close();
+    clients.back().send(
+        LoopbackGateway::request(n % 2 ? "look" : "pay", n % 2 ? "" : std::string(30'000, 'x')));
+    half ? clients.back().shutdownSend() : clients.back().close();
   }
   d.settle();
-  std::optional<Far> host;
+  std::optional<Peer> host;
   CHECK_FALSE(d.host.accept(host));
   CHECK(d.server.unanswered() == 0);
 }
 
 TEST_CASE("a request that comes in the turn in which its connection has rested too long is served") {
-  Doorstep d;
+  LoopbackGateway d;
   Asked asked(d);
-  asked.host->say(Doorstep::ok("one"));
+  asked.host->send(LoopbackGateway::ok("one"));
   REQUIRE(d.until([&] { return asked.client.holds("one"); }));
   asked.client.got.clear();
   d.pass(29'990ms);
-  asked.client.say(Doorstep::request("look"));  // with the system, and not read yet
+  asked.client.send(LoopbackGateway::request("look"));  // with the system, and not read yet
   d.clock.at += 10ms;
   d.loop.endTurn();  // the time-out goes first
-  std::optional<Far> host;
+  std::optional<Peer> host;
   REQUIRE(d.until([&] { return d.host.accept(host); }));
   REQUIRE(d.until([&] { return host->holds("\r\n\r\n"); }));
-  host->say(Doorstep::ok("two"));
+  host->send(LoopbackGateway::ok("two"));
   CHECK(d.until([&] { return asked.client.holds("two"); }));
   CHECK_FALSE(asked.client.ended());
 }
 
 TEST_CASE("a request that is there when its rest is ended, or its place wanted, is served") {
   const bool wanted = GENERATE(true, false);
-  Doorstep d(32 + 2 * 2);
-  Far a = d.client(), b = d.client();
-  for (Far* client : {&a, &b}) {
-    client->say("GET /health/live HTTP/1.1\r\n\r\n");
+  LoopbackGateway d(32 + 2 * 2);
+  Peer a = d.client(), b = d.client();
+  for (Peer* client : {&a, &b}) {
+    client->send("GET /health/live HTTP/1.1\r\n\r\n");
     REQUIRE(d.until([&] { return client->holds("live"); }));
     client->got.clear();
   }
-  std::optional<Far> c;
+  std::optional<Peer> c;
   if (wanted) c.emplace(d.client());  // with the system, like the two requests
-  a.say(Doorstep::request("look")), b.say(Doorstep::request("look"));
+  a.send(LoopbackGateway::request("look")), b.send(LoopbackGateway::request("look"));
   if (!wanted) {
     d.server.leave(d.clock.at + 3s);
     d.server.closeIdle();
   }
-  std::vector<Far> hosts;
+  std::vector<Peer> hosts;
   REQUIRE(d.until([&] {
-    std::optional<Far> host;
+    std::optional<Peer> host;
     if (d.host.accept(host)) hosts.push_back(std::move(*host));
     return hosts.size() == 2;
   }));
-  for (Far& host : hosts) {
+  for (Peer& host : hosts) {
     REQUIRE(d.until([&] { return host.holds("\r\n\r\n"); }));
-    host.say(Doorstep::ok("one"));
+    host.send(LoopbackGateway::ok("one"));
   }
   CHECK(d.until([&] { return a.holds("one") && b.holds("one"); }));
   CHECK_FALSE((a.wasReset || b.wasReset));
@@ -868,9 +871,9 @@
 TEST_CASE("half a request is answered 408 once its time is over, and closed in good order") {
   const std::string bytes = GENERATE(as<std::string>(), "GET", "GET / HTTP/1.1\r\nN",
                                      "POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf");
-  Doorstep d;
-  Far half = d.client();
-  half.say(bytes);
+  LoopbackGateway d;
+  Peer half = d.client();
+  half.send(bytes);
   d.settle();
   d.pass(2100ms);
   CHECK(d.until([&] { return half.ended(); }));
@@ -879,12 +882,12 @@
 }
 
 TEST_CASE("told to end, it answers all before it may be killed, though a host hangs and time is left") {
-  Doorstep d;
-  Asked before(d, Doorstep::request("pay", "x", "", 5000));
+  LoopbackGateway d;
+  Asked before(d, LoopbackGateway::request("pay", "x", "", 5000));
   d.server.leave(d.clock.at + 2s);
-  Far after = d.client();
-  after.say(Doorstep::request("pay", "x", "", 5000));
-  std::optional<Far> host;
+  Peer after = d.client();
+  after.send(LoopbackGateway::request("pay", "x", "", 5000));
+  std::optional<Peer> host;
   REQUIRE(d.until([&] { return d.host.accept(host); }));
   REQUIRE(d.until([&] { return host->holds("\r\n\r\nx"); }));
   d.pass(1900ms);
@@ -897,23 +900,23 @@
 }
 
 TEST_CASE("told to end, what has come and was not read yet is taken, on old connections and new ones") {
-  Doorstep d;
-  Far old = d.client();
-  old.say("GET /health/live HTTP/1.1\r\n\r\n");
+  LoopbackGateway d;
+  Peer old = d.client();
+  old.send("GET /health/live HTTP/1.1\r\n\r\n");
   REQUIRE(d.until([&] { return old.holds("live"); }));
   old.got.clear();
-  Far silent = d.client();
+  Peer silent = d.client();
   d.settle();
   d.server.leave(TimePoint::max());
-  Far fresh = d.client();
-  old.say(Doorstep::request("look"));
-  fresh.say(Doorstep::request("look"));
+  Peer fresh = d.client();
+  old.send(LoopbackGateway::request("look"));
+  fresh.send(LoopbackGateway::request("look"));
   d.server.closeIdle();
   for (int n = 0; n < 2; ++n) {
-    std::optional<Far> host;
+    std::optional<Peer> host;
     REQUIRE(d.until([&] { return d.host.accept(host); }));
     REQUIRE(d.until([&] { return host->holds("\r\n\r\n"); }));
-    host->say(Doorstep::ok("one"));
+    host->send(LoopbackGateway::ok("one"));
   }
   CHECK(d.until([&] { return old.ended() && fresh.ended() && silent.ended(); }));
   CHECK(old.holds("one"));
@@ -922,10 +925,10 @@
 }
 
 TEST_CASE("discovery that is silent is asked again before what it may have told has to be heeded") {
-  Doorstep d;
-  std::optional<Far> watch;
+  LoopbackGateway d;
+  std::optional<Peer> watch;
   REQUIRE(d.until([&] { return d.discovery.accept(watch); }));
-  watch->say("HTTP/1.1 200 OK\r\n\r\n\n");
+  watch->send("HTTP/1.1 200 OK\r\n\r\n\n");
   d.settle();
   for (int n = 0; n < 6; ++n) {  // each is held for more than a beat, and then at once another comes
     d.pass(2300ms);
@@ -938,24 +941,25 @@
 }
 
 TEST_CASE("settings that leave no time for drains make nobody ask discovery without a pause") {
-  Doorstep d(128, "", "\"rules\":{", "\"rules\":{\"drainGrace\":0,");
+  LoopbackGateway d(128, "", "\"rules\":{", "\"rules\":{\"drainGrace\":0,");
   std::size_t asks = 0;
   for (int n = 0; n < 20; ++n) {
     d.settle();
-    for (std::optional<Far> watch; d.discovery.accept(watch); ++asks) watch->close();
+    for (std::optional<Peer> watch; d.discovery.accept(watch); ++asks) watch->close();
   }
   CHECK(asks == 1);  // by a clock that stands still
   d.pass(300ms);
   d.settle();
-  std::optional<Far> watch;
+  std::optional<Peer> watch;
   CHECK(d.discovery.accept(watch));
 }
 
 TEST_CASE("settings that name no time for dials, or none at all, have the operators' own") {
   const std::string is = GENERATE(as<std::string>(), "", "\"connectTimeout\":0,", "\"connectTimeout\":-5,");
-  Doorstep d;
-  const config::GatewayConfig config = config::readGatewayConfig(Doorstep::replaced(
-      Doorstep::replaced(d.config(""), "\"connectTimeout\":250000,", is), "\"countLimit\":50000,", ""));
+  LoopbackGateway d;
+  const config::GatewayConfig config = config::readGatewayConfig(
+      LoopbackGateway::replaced(LoopbackGateway::replaced(d.config(""), "\"connectTimeout\":250000,", is),
+                                "\"countLimit\":50000,", ""));
   CHECK(config.settings.connectTimeout == 250ms);
   CHECK(config.settings.counterTimeout == 250ms);
   CHECK(config.drainGrace == 250ms);
@@ -972,11 +976,11 @@
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk + "\r\n",
                     "HTTP/1.1 200 OK\r\n\r\n" + list.substr(0, 60));
   const bool reset = GENERATE(true, false);
-  Doorstep d;
-  std::optional<Far> watch, again;
+  LoopbackGateway d;
+  std::optional<Peer> watch, again;
   REQUIRE(d.until([&] { return d.discovery.accept(watch); }));
   REQUIRE(d.until([&] { return watch->holds("from=41 "); }));
-  if (!bytes.empty()) watch->say(bytes);
+  if (!bytes.empty()) watch->send(bytes);
   d.settle();
   if (reset) watch->reset();
   if (!reset) {
@@ -986,14 +990,14 @@
   d.pass(200ms);  // in all well under the 6 s after which what was missed counts as told
   REQUIRE(d.until([&] { return d.discovery.accept(again); }));
   REQUIRE(d.until([&] { return again->holds("from=41 "); }));
-  again->say("HTTP/1.1 200 OK\r\n\r\n" + list);
+  again->send("HTTP/1.1 200 OK\r\n\r\n" + list);
   d.settle();
   d.server.moveTo(d.discovery.address(), d.counter.address());  // told the same place: nothing moves
   d.settle();
   CHECK_FALSE(again->ended());
   again->reset();
   d.pass(400ms);
-  std::optional<Far> third;
+  std::optional<Peer> third;
   REQUIRE(d.until([&] { return d.discovery.accept(third); }));
   CHECK(d.until([&] { return third->holds("from=43 "); }));
 }
@@ -1001,44 +1005,45 @@
 TEST_CASE(
     "moved in the middle of a list, or while it waits to ask again, the new place tells from the last one") {
   const int when = GENERATE(0, 1, 2);
-  Doorstep d;
-  FarListener moved;
-  std::optional<Far> watch, again;
+  LoopbackGateway d;
+  PeerListener moved;
+  std::optional<Peer> watch, again;
   REQUIRE(d.until([&] { return d.discovery.accept(watch); }));
-  if (when == 0) watch->say("HTTP/1.1 200 OK\r\n\r\n{\"generation\":44,\"instances\":[");
+  if (when == 0) watch->send("HTTP/1.1 200 OK\r\n\r\n{\"generation\":44,\"instances\":[");
   if (when == 1) watch->close();
   d.settle();
   if (when == 2)
-    watch->say("HTTP/1.1 200 OK\r\n\r\n{\"generation\":44,\"instances\":[]}\n");  // in this very turn
+    watch->send("HTTP/1.1 200 OK\r\n\r\n{\"generation\":44,\"instances\":[]}\n");  // in this very turn
   d.server.moveTo(moved.address(), d.counter.address());
   d.loop.endTurn();
   REQUIRE(d.until([&] { return moved.accept(again); }));
   CHECK(d.until([&] { return again->holds("watch=1&from=41 "); }));
   d.pass(1s);
   d.settle();
-  std::optional<Far> old;
+  std::optional<Peer> old;
   CHECK_FALSE(d.discovery.accept(old));
 }
 
 TEST_CASE("what is no number, and settings without plans, do no harm") {
-  Doorstep d;
-  Far client = d.client();
+  LoopbackGateway d;
+  Peer client = d.client();
   for (const char* total : {"nan", "inf", "-inf", "1e999", "x", ""}) {
     client.got.clear();
-    client.say(Doorstep::metered(1));
-    std::optional<Far> host, count;
+    client.send(LoopbackGateway::metered(1));
+    std::optional<Peer> host, count;
     REQUIRE(d.until([&] { return d.counter.accept(count) || d.host.accept(host) || client.holds("429"); }));
     d.settle();
     if (!count) d.counter.accept(count);
     if (!host) d.host.accept(host);
-    if (count) count->say(Doorstep::ok(total));
-    if (host) host->say(Doorstep::ok("one", "Billed-Units: inf\r\nSrv-Load: inflight=nan,qps=inf\r\n"));
+    if (count) count->send(LoopbackGateway::ok(total));
+    if (host)
+      host->send(LoopbackGateway::ok("one", "Billed-Units: inf\r\nSrv-Load: inflight=nan,qps=inf\r\n"));
     d.settle();
     d.pass(1s);
   }
   client.got.clear();
-  client.say(Doorstep::metered(2));
-  std::optional<Far> host;
+  client.send(LoopbackGateway::metered(2));
+  std::optional<Peer> host;
   REQUIRE(d.until([&] { return d.host.accept(host) || client.holds("HTTP/1.1"); }));
 
   std::string bare = d.config("");
@@ -1051,7 +1056,7 @@
 }
 
 TEST_CASE("a bad file of configuration is named with its field") {
-  Doorstep d;
+  LoopbackGateway d;
   const std::string good = d.config("");
   CHECK(config::readGatewayConfig(good).sockets == 128);
   const auto [was, is, named] = GENERATE(table<std::string, std::string, std::string>({
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -1,4 +1,4 @@
-// The program itself, started, signalled and ended, against far ends on loopback.
+// The program itself, started, signalled and ended, against remote ends on loopback.
 #include <spawn.h>
 #include <sys/resource.h>
 #include <sys/stat.h>
@@ -39,7 +39,7 @@
     char folder[] = "/tmp/merlinbridge-test-XXXXXX";
     REQUIRE(mkdtemp(folder));
     folder_ = folder;
-    listenPort = FarListener().port;
+    listenPort = PeerListener().port;
   }
   Program(const Program&) = delete;
   Program& operator=(const Program&) = delete;
@@ -122,9 +122,9 @@
     if (!within([&] { return !runs(); })) return -1;
     return WIFEXITED(status_) ? WEXITSTATUS(status_) : -1;
   }
-  Far client() const { return Far::to(listenPort); }
+  Peer client() const { return Peer::to(listenPort); }
 
-  FarListener host, counter, discovery;
+  PeerListener host, counter, discovery;
   std::uint16_t listenPort = 0;
 
  private:
@@ -139,27 +139,27 @@
 TEST_CASE("SIGHUP moves discovery and the counter, and ends neither the process nor a request") {
   Program p;
   p.startReady();
-  std::optional<Far> watch, host, moved, count;
+  std::optional<Peer> watch, host, moved, count;
   REQUIRE(within([&] { return p.discovery.accept(watch); }));
   REQUIRE(within([&] { return watch->holds("watch=1&from=41 "); }));
-  watch->say(
+  watch->send(
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: "
       "chunked\r\n\r\n24\r\n{\"generation\":45,\n\"instances\":[]}\n\n\n\r\n");
-  Far client = p.client();
-  client.say(Doorstep::request("look"));
+  Peer client = p.client();
+  client.send(LoopbackGateway::request("look"));
   REQUIRE(within([&] { return p.host.accept(host); }));
   REQUIRE(within([&] { return host->holds("\r\n\r\n"); }));
-  FarListener discovery, counter;
+  PeerListener discovery, counter;
   p.write(configText("127.0.0.1:" + std::to_string(p.listenPort), discovery.address(), counter.address(),
                      hostLine(p.host.port, "h1", "in_service"), 128));
   for (int n = 0; n < 5; ++n) p.signal(SIGHUP);
   REQUIRE(within([&] { return discovery.accept(moved); }));
   CHECK(within([&] { return moved->holds("watch=1&from=45 "); }));
   CHECK(within([&] { return watch->ended(); }));
-  host->say(Doorstep::ok("one"));
+  host->send(LoopbackGateway::ok("one"));
   CHECK(within([&] { return client.holds("one"); }));
   client.got.clear();
-  client.say(Doorstep::metered(1));
+  client.send(LoopbackGateway::metered(1));
   CHECK(within([&] { return counter.accept(count); }));
   CHECK(within([&] { return count->holds("POST /tally/u1."); }));
   CHECK(p.runs());
@@ -168,7 +168,7 @@
 TEST_CASE("a file that is missing, half written or wrong is kept out, once whole it is taken") {
   Program p;
   p.startReady();
-  FarListener discovery;
+  PeerListener discovery;
   const std::string good = configText("127.0.0.1:" + std::to_string(p.listenPort), discovery.address(),
                                       p.counter.address(), hostLine(p.host.port, "h1", "in_service"), 128);
   std::string bad = good;
@@ -186,7 +186,7 @@
   p.write(bad);
   for (int n = 0; n < 3; ++n) p.signal(SIGHUP);
   REQUIRE(p.logHolds("warning: configuration not taken, the old ones stay in force: "));
-  std::optional<Far> watch, moved;
+  std::optional<Peer> watch, moved;
   CHECK(p.discovery.accept(watch));
   CHECK_FALSE(watch->ended());
   p.write(good);  // whoever was at it has come to the end
@@ -199,9 +199,9 @@
 TEST_CASE("SIGHUP during the end does not cut it short") {
   Program p;
   p.startReady();
-  std::optional<Far> host;
-  Far client = p.client();
-  client.say(Doorstep::request("look", "", "", 1900));
+  std::optional<Peer> host;
+  Peer client = p.client();
+  client.send(LoopbackGateway::request("look", "", "", 1900));
   REQUIRE(within([&] { return p.host.accept(host); }));
   REQUIRE(within([&] { return host->holds("\r\n\r\n"); }));
   p.signal(SIGTERM);
@@ -211,7 +211,7 @@
   REQUIRE(p.logHolds("ends what rests"));
   p.signal(SIGHUP);
   p.signal(SIGTERM);
-  host->say(Doorstep::ok("one"));
+  host->send(LoopbackGateway::ok("one"));
   CHECK(within([&] { return client.holds("one"); }));
   CHECK(p.exitStatus() == 0);
 }
@@ -219,26 +219,26 @@
 TEST_CASE("SIGTERM under clients that keep sending: all taken in time is answered, and it ends by itself") {
   Program p;
   p.startReady();
-  std::vector<std::pair<Far, int>> clients;  // and how many requests are out on each
-  std::vector<Far> hosts;
-  const std::string hang = Doorstep::request("pay", "x", "", 5000);
-  Far hanging = p.client();
-  hanging.say(hang);
+  std::vector<std::pair<Peer, int>> clients;  // and how many requests are out on each
+  std::vector<Peer> hosts;
+  const std::string hang = LoopbackGateway::request("pay", "x", "", 5000);
+  Peer hanging = p.client();
+  hanging.send(hang);
   clients.reserve(8);
   for (int n = 0; n < 8; ++n) clients.emplace_back(p.client(), 0);
   int answered = 0, unanswered = 0;
   const auto serve = [&] {
-    std::optional<Far> host;
+    std::optional<Peer> host;
     while (p.host.accept(host)) hosts.push_back(std::move(*host));
-    for (Far& h : hosts) {
+    for (Peer& h : hosts) {
       if (!h.holds("\r\n\r\n") || h.got.starts_with("POST")) continue;
       h.got.clear();
-      h.say(Doorstep::ok("one"));
+      h.send(LoopbackGateway::ok("one"));
     }
     for (auto& [client, out] : clients) {
       if (out > 0 && client.holds("one")) client.got.clear(), --out, ++answered;
       if (client.ended() && out > 0) out = 0, ++unanswered;
-      if (!client.over && out == 0) client.say(Doorstep::request("look")), ++out;
+      if (!client.over && out == 0) client.send(LoopbackGateway::request("look")), ++out;
     }
   };
   REQUIRE(within([&] { return serve(), answered > 100; }));
@@ -272,24 +272,24 @@
 TEST_CASE("SIGTERM, whatever clients do with their connections: gone before SIGKILL may come, with 0") {
   Program p;
   p.startReady();
-  std::optional<Far> host;
-  Far rests = p.client(), silent = p.client(), half = p.client(), deaf = p.client(), waits = p.client();
-  rests.say("GET /health/live HTTP/1.1\r\n\r\n");
+  std::optional<Peer> host;
+  Peer rests = p.client(), silent = p.client(), half = p.client(), deaf = p.client(), waits = p.client();
+  rests.send("GET /health/live HTTP/1.1\r\n\r\n");
   REQUIRE(within([&] { return rests.holds("live"); }));
-  half.say("POST /pay HTTP/1.1\r\nReq-Id: 1\r\nContent-Length: 10\r\n\r\nhalf");
+  half.send("POST /pay HTTP/1.1\r\nReq-Id: 1\r\nContent-Length: 10\r\n\r\nhalf");
   const std::string live = "GET /health/live HTTP/1.1\r\n\r\n";
   std::string many;
   for (int n = 0; n < 60'000; ++n) many += live;
   std::size_t sent = 0;
-  const auto more = [&] { sent += deaf.trySay(std::string_view(many).substr(sent % live.size())); };
+  const auto more = [&] { sent += deaf.trySend(std::string_view(many).substr(sent % live.size())); };
   for (int n = 0; n < 50; ++n) more();  // and reads none of the answers
-  waits.say(Doorstep::request("pay", "x", "", 5000));
+  waits.send(LoopbackGateway::request("pay", "x", "", 5000));
   REQUIRE(within([&] { return p.host.accept(host); }));
   REQUIRE(within([&] { return host->holds("\r\n\r\nx"); }));
   p.signal(SIGTERM);
   const auto told = std::chrono::steady_clock::now();
   REQUIRE(p.logHolds("ends what rests"));
-  rests.say(Doorstep::request("look"));  // crosses the end of its rest
+  rests.send(LoopbackGateway::request("look"));  // crosses the end of its rest
   REQUIRE(p.logHolds("info: ends"));
   CHECK(std::chrono::steady_clock::now() - told < 2700ms);  // the longest deadline, and 0.7 s
   CHECK(p.exitStatus() == 0);
@@ -302,11 +302,11 @@
   Program p;
   std::string hosts = hostLine(p.host.port, "h0", "in_service");
   for (int h = 1; h < 600; ++h) hosts += "," + hostLine(p.host.port, "h" + std::to_string(h), "in_service");
-  const std::string text = Doorstep::replaced(p.config(hosts), "\"siblings\":1", "\"siblings\":350");
-  std::vector<std::optional<Far>> reached;
+  const std::string text = LoopbackGateway::replaced(p.config(hosts), "\"siblings\":1", "\"siblings\":350");
+  std::vector<std::optional<Peer>> reached;
   std::size_t paid = 0;
   const auto take = [&] {
-    for (std::optional<Far> host; p.host.accept(host); host.reset())
+    for (std::optional<Peer> host; p.host.accept(host); host.reset())
       reached.push_back(std::exchange(host, std::nullopt));
     paid = 0;
     for (auto& host : reached) paid += host->holds("POST /pay");
@@ -314,27 +314,27 @@
   };
   p.start(text);
   REQUIRE(p.logHolds("info: ready"));
-  Far before = p.client();
-  before.say(Doorstep::request("pay", "x", "", 1500));
+  Peer before = p.client();
+  before.send(LoopbackGateway::request("pay", "x", "", 1500));
   REQUIRE(within([&] { return take() == 1; }));
   p.signal(SIGTERM);
   REQUIRE(p.logHolds("ends what rests"));
   for (auto& host : reached)
-    if (host->holds("POST /pay")) host->say(Doorstep::ok("one"));
+    if (host->holds("POST /pay")) host->send(LoopbackGateway::ok("one"));
   CHECK(p.exitStatus() == 0);
   REQUIRE(within([&] { return before.ended(); }));
   CHECK_THAT(before.got, Catch::StartsWith("HTTP/1.1 200") && Catch::EndsWith("one"));
   const auto began = std::chrono::steady_clock::now();
   p.start(text);  // nobody has waited for the old one's connections to be forgotten
-  Far after = p.client();
+  Peer after = p.client();
   REQUIRE(within([&] {
     if (after.ended()) after = p.client();
-    after.say("GET /health/ready HTTP/1.1\r\n\r\n");
+    after.send("GET /health/ready HTTP/1.1\r\n\r\n");
     return after.holds("HTTP/1.1 200");
   }));
   CHECK(std::chrono::steady_clock::now() - began < 10s);
   after.got.clear();
-  after.say(Doorstep::request("pay", "y", "", 1500));
+  after.send(LoopbackGateway::request("pay", "y", "", 1500));
   CHECK(within([&] { return take() == 2; }));  // that of the old life is not sent on again
 }
 
@@ -380,39 +380,39 @@
   Program p;
   p.startReady();
   p.limitDescriptors(128);
-  std::optional<Far> watch;
+  std::optional<Peer> watch;
   REQUIRE(within([&] { return p.discovery.accept(watch); }));
-  watch->say("HTTP/1.1 200 OK\r\n\r\n\n");
+  watch->send("HTTP/1.1 200 OK\r\n\r\n\n");
   p.discovery.close();
   watch->reset();
   REQUIRE(p.logHolds("discovery lost"));
-  std::vector<Far> crowd;
+  std::vector<Peer> crowd;
   for (int n = 0; n < kCrowd; ++n) {
     crowd.push_back(p.client());
-    if (n % 2 == 0) crowd.back().say("GET /health/live HTTP/1.1\r\n\r\n");
-    if (n % 10 == 1) crowd.back().say("GET /health/li");
+    if (n % 2 == 0) crowd.back().send("GET /health/live HTTP/1.1\r\n\r\n");
+    if (n % 10 == 1) crowd.back().send("GET /health/li");
   }
   std::this_thread::sleep_for(700ms);  // asks of discovery fail meanwhile
   // A newcomer is let in, its attempt has a descriptor, and so has the counter.
-  Far client = p.client();
-  client.say(Doorstep::metered(1));
-  std::optional<Far> host, counter;
+  Peer client = p.client();
+  client.send(LoopbackGateway::metered(1));
+  std::optional<Peer> host, counter;
   REQUIRE(within([&] { return p.host.accept(host); }));
   REQUIRE(within([&] { return host->holds("\r\n\r\n"); }));
-  host->say(Doorstep::ok("served"));
+  host->send(LoopbackGateway::ok("served"));
   CHECK(within([&] { return client.holds("served"); }));
   CHECK(
       within([&] { return p.counter.accept(counter) && within([&] { return counter->holds("/tally/"); }); }));
-  const FarListener back(p.discovery.port);
-  std::optional<Far> ask, next;
+  const PeerListener back(p.discovery.port);
+  std::optional<Peer> ask, next;
   // The longest wait after silence is 0.375 s by these settings; the rest is a busy machine's.
   REQUIRE(within([&] { return back.accept(ask); }, 1s));
   REQUIRE(within([&] { return ask->holds("from=41 "); }));
-  ask->say("HTTP/1.1 200 OK\r\n\r\n{\"generation\":60,\"reset\":true,\"instances\":[" +
-           hostLine(p.host.port, "h1", "terminating") + "]}\n");
+  ask->send("HTTP/1.1 200 OK\r\n\r\n{\"generation\":60,\"reset\":true,\"instances\":[" +
+            hostLine(p.host.port, "h1", "terminating") + "]}\n");
   CHECK(p.logHolds("discovery back"));
   client.got.clear();
-  client.say(Doorstep::metered(2));
+  client.send(LoopbackGateway::metered(2));
   CHECK(within([&] { return client.holds("HTTP/1.1 429"); }));  // the only host drains
   ask->reset();
   REQUIRE(within([&] { return back.accept(next); }));
--- a/tests/watch_bound_test.cpp
+++ b/tests/watch_bound_test.cpp
@@ -20,33 +20,34 @@
 
 // Discovery played by hand: one ask after the other.
 struct Asks {
-  Asks(Doorstep& door, FarListener& at) : d(door), place(at) {}
+  Asks(LoopbackGateway& door, PeerListener& at) : d(door), place(at) {}
 
   // The next ask, once it has come whole; how long that took.
   Duration next(Duration most = 20s) {
     const TimePoint from = d.clock.at;
-    for (far.reset(); d.clock.at - from < most; d.pass(10ms)) {
-      d.until([&, turns = 0]() mutable { return place.accept(far) || ++turns > 5; });
-      if (far && d.until([&, turns = 0]() mutable { return far->holds("\r\n\r\n") || ++turns > 50; })) break;
+    for (remote.reset(); d.clock.at - from < most; d.pass(10ms)) {
+      d.until([&, turns = 0]() mutable { return place.accept(remote) || ++turns > 5; });
+      if (remote && d.until([&, turns = 0]() mutable { return remote->holds("\r\n\r\n") || ++turns > 50; }))
+        break;
     }
-    REQUIRE(far);
+    REQUIRE(remote);
     return d.clock.at - from;
   }
-  bool watch() { return far->got.find("watch=1") != std::string::npos; }
+  bool watch() { return remote->got.find("watch=1") != std::string::npos; }
   void refuse() {
-    far->say(kRefusal);
+    remote->send(kRefusal);
     d.settle();
   }
   void tell(int generation, const std::string& state) {
     const std::string list = R"({"generation":)" + std::to_string(generation) +
                              R"(,"reset":true,"instances":[)" + hostLine(d.host.port, "h1", state) + "]}\n";
-    far->say(watch() ? "HTTP/1.1 200 OK\r\n\r\n" + list : Doorstep::ok(list));
+    remote->send(watch() ? "HTTP/1.1 200 OK\r\n\r\n" + list : LoopbackGateway::ok(list));
     d.settle();
   }
 
-  Doorstep& d;
-  FarListener& place;
-  std::optional<Far> far;
+  LoopbackGateway& d;
+  PeerListener& place;
+  std::optional<Peer> remote;
 };
 
 enum class Left {
@@ -65,7 +66,7 @@
 
 // Brings the watch into that state; when it returns, discovery can be reached and has something to tell.
 void leaveIn(Left state, Asks& asks) {
-  Doorstep& d = asks.d;
+  LoopbackGateway& d = asks.d;
   switch (state) {
     case Left::dialling:
       break;
@@ -73,13 +74,13 @@
       asks.next();
       break;
     case Left::halfHead:
-      asks.next(), asks.far->say("HTTP/1.1 2");
+      asks.next(), asks.remote->send("HTTP/1.1 2");
       break;
     case Left::halfList:
-      asks.next(), asks.far->say(kOpenHead + "20\r\n{\"generation\":43,\"ins");
+      asks.next(), asks.remote->send(kOpenHead + "20\r\n{\"generation\":43,\"ins");
       break;
     case Left::fellSilent:
-      asks.next(), asks.far->say(kOpenHead + "1\r\n\n\r\n");
+      asks.next(), asks.remote->send(kOpenHead + "1\r\n\n\r\n");
       break;
     case Left::refusedOnce:
       asks.next(), asks.refuse();
@@ -94,10 +95,10 @@
       asks.next(), asks.refuse(), asks.next(), asks.tell(50, "in_service");
       break;
     case Left::listBad:
-      asks.next(), asks.refuse(), asks.next(), asks.far->say(Doorstep::ok("{\"generation\":5"));
+      asks.next(), asks.refuse(), asks.next(), asks.remote->send(LoopbackGateway::ok("{\"generation\":5"));
       break;
     case Left::ended:
-      for (int n = 0; n < 8; ++n) asks.next(), asks.far->say(kOpenHead), d.settle(), asks.far->close();
+      for (int n = 0; n < 8; ++n) asks.next(), asks.remote->send(kOpenHead), d.settle(), asks.remote->close();
       break;
   }
   d.settle();
@@ -111,21 +112,21 @@
   const bool hangsFirst = refusals == 0 && GENERATE(true, false);
   for (unsigned seed = 0; seed < 6; ++seed) {
     Unreachable hung;
-    Doorstep d(128, "", "\"seed\":\"8c1f\"", seeded(seed));
+    LoopbackGateway d(128, "", "\"seed\":\"8c1f\"", seeded(seed));
     if (state == Left::dialling) d.server.moveTo(hung.address(), d.counter.address()), d.settle();
     Asks asks(d, state == Left::dialling ? hung : d.discovery);
     leaveIn(state, asks);
     if (state == Left::dialling) hung.open();
     Duration took{0};
-    std::vector<Far> hanging;
+    std::vector<Peer> hanging;
     for (int n = 0; n < refusals; ++n) took += asks.next(), asks.refuse();
-    if (hangsFirst) took += asks.next(), hanging.push_back(std::move(*asks.far));
+    if (hangsFirst) took += asks.next(), hanging.push_back(std::move(*asks.remote));
     took += asks.next();
     asks.tell(60, "terminating");
     INFO("state " << int(state) << " refusals " << refusals << " hangs " << hangsFirst << " seed " << seed);
     CHECK(seconds(took) < seconds(kTold));
-    Far client = d.client();
-    client.say(Doorstep::request("look"));
+    Peer client = d.client();
+    client.send(LoopbackGateway::request("look"));
     CHECK(d.until([&] { return client.holds("HTTP/1.1 429"); }));  // it was the only host, and it drains
   }
 }
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -301,7 +301,7 @@
   std::map<std::uint64_t, Ceiling> ceilings_;
 };
 
-// ---- the far ends of the daemon's sockets ----
+// ---- the remote ends of the daemon's sockets ----
 
 inline sockaddr_in loopback(std::uint16_t port) {
   sockaddr_in at{};
@@ -309,28 +309,28 @@
   return at;
 }
 
-class Far {
+class Peer {
  public:
-  explicit Far(int fd) : fd_(fd) { fcntl(fd_, F_SETFL, O_NONBLOCK); }
-  Far(const Far&) = delete;
-  Far& operator=(const Far&) = delete;
-  Far(Far&& other) noexcept
+  explicit Peer(int fd) : fd_(fd) { fcntl(fd_, F_SETFL, O_NONBLOCK); }
+  Peer(const Peer&) = delete;
+  Peer& operator=(const Peer&) = delete;
+  Peer(Peer&& other) noexcept
       : got(std::move(other.got)),
         over(other.over),
         wasReset(other.wasReset),
         fd_(std::exchange(other.fd_, -1)) {}
-  Far& operator=(Far&& other) noexcept {
+  Peer& operator=(Peer&& other) noexcept {
     std::swap(fd_, other.fd_), std::swap(got, other.got), std::swap(over, other.over);
     std::swap(wasReset, other.wasReset);
     return *this;
   }
-  ~Far() { close(); }
-  static Far to(std::uint16_t port) {
+  ~Peer() { close(); }
+  static Peer to(std::uint16_t port) {
     const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     const sockaddr_in at = loopback(port);
     (void)::connect(fd, reinterpret_cast<const sockaddr*>(&at),
                     sizeof at);  // its end shows at the first write
-    return Far(fd);
+    return Peer(fd);
   }
   void close() {
     if (fd_ >= 0) ::close(std::exchange(fd_, -1));
@@ -341,17 +341,17 @@
     ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
     close();
   }
-  void endSending() const { ::shutdown(fd_, SHUT_WR); }
+  void shutdownSend() const { ::shutdown(fd_, SHUT_WR); }
   // A reset has come, be it behind an end that was read already.
   bool resetCame() const {
     pollfd at{fd_, 0, 0};
     return fd_ >= 0 && ::poll(&at, 1, 0) > 0 && (at.revents & (POLLERR | POLLHUP)) != 0;
   }
-  std::size_t trySay(std::string_view text) const {
+  std::size_t trySend(std::string_view text) const {
     return static_cast<std::size_t>(
         std::max<ssize_t>(0, ::send(fd_, text.data(), text.size(), MSG_NOSIGNAL)));
   }
-  void say(std::string_view text) const { (void)!::send(fd_, text.data(), text.size(), MSG_NOSIGNAL); }
+  void send(std::string_view text) const { (void)!::send(fd_, text.data(), text.size(), MSG_NOSIGNAL); }
   // All that has come; `over` once the other end has closed.
   std::string& read() {
     char bytes[4096];
@@ -369,10 +369,10 @@
   int fd_;
 };
 
-class FarListener {
+class PeerListener {
  public:
   // DecisionSink 0: any that is free.
-  explicit FarListener(std::uint16_t wanted = 0) : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+  explicit PeerListener(std::uint16_t wanted = 0) : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     const int yes = 1;
     ::setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
     sockaddr_in at = loopback(wanted);
@@ -383,13 +383,13 @@
     ::getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &size);
     port = ntohs(at.sin_port);
   }
-  FarListener(const FarListener&) = delete;
-  FarListener& operator=(const FarListener&) = delete;
-  ~FarListener() { close(); }
+  PeerListener(const PeerListener&) = delete;
+  PeerListener& operator=(const PeerListener&) = delete;
+  ~PeerListener() { close(); }
   void close() {
     if (fd_ >= 0) ::close(std::exchange(fd_, -1));
   }
-  bool accept(std::optional<Far>& into) const {
+  bool accept(std::optional<Peer>& into) const {
     const int fd = ::accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC);
     if (fd >= 0) into.emplace(fd);
     return fd >= 0;
@@ -403,21 +403,21 @@
 };
 
 // Where new connections neither come up nor are refused: its one place is taken.
-class Unreachable : public FarListener {
+class Unreachable : public PeerListener {
  public:
-  Unreachable() : taken_((again(0), Far::to(port))) {}
+  Unreachable() : taken_((again(0), Peer::to(port))) {}
   // From here on they come up, once their end asks again.
   void open() {
-    std::optional<Far> first;
+    std::optional<Peer> first;
     accept(first);
     again(64);
   }
 
  private:
-  Far taken_;
+  Peer taken_;
 };
 
-struct HandClock final : net::Clock {
+struct ManualClock final : net::Clock {
   TimePoint now() const override { return at; }
   TimePoint at{1'700'000'000s};
 };
@@ -445,10 +445,10 @@
 }
 
 // A whole gateway on loopback, with a clock set by hand; the test plays everybody else.
-class Doorstep {
+class LoopbackGateway {
  public:
-  explicit Doorstep(std::size_t sockets = 128, const std::string& hostList = "", const std::string& was = "",
-                    const std::string& is = "")
+  explicit LoopbackGateway(std::size_t sockets = 128, const std::string& hostList = "",
+                           const std::string& was = "", const std::string& is = "")
       : sockets_(sockets),
         loop(log, clock),
         server(loop, config::readGatewayConfig(replaced(config(hostList), was, is))) {
@@ -487,7 +487,7 @@
       loop.io.restart();
     }
   }
-  Far client() { return Far::to(listenPort); }
+  Peer client() { return Peer::to(listenPort); }
   static std::string request(const std::string& kind, const std::string& body = "",
                              const std::string& more = "", int ms = 900) {
     return (body.empty() ? "GET /" : "POST /") + kind +
@@ -517,14 +517,14 @@
   }
 
  private:
-  static std::uint16_t freePort() { return FarListener().port; }
+  static std::uint16_t freePort() { return PeerListener().port; }
   std::size_t sockets_;
 
  public:
-  HandClock clock;
+  ManualClock clock;
   std::ostringstream lines;
   Log log{lines, Level::info};
-  FarListener host, counter, discovery;
+  PeerListener host, counter, discovery;
   std::uint16_t listenPort = freePort();
   net::EventLoop loop;
   net::Server server;
