--- a/src/config/json_stream_splitter.cpp
+++ b/src/config/json_stream_splitter.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-Pieces::End Pieces::take(std::string_view text) {
+JsonStreamSplitter::End JsonStreamSplitter::take(std::string_view text) {
   while (at_ < text.size()) {
     const char c = text[at_];
     if (depth_ == 0) {
@@ -27,12 +27,12 @@
     }
     if (!look(c)) return End::bad;
     ++at_;
-    if (depth_ == 0) return End::piece;
+    if (depth_ == 0) return End::object;
   }
   return End::more;
 }
 
-bool Pieces::look(char c) {
+bool JsonStreamSplitter::look(char c) {
   if (inText_) {
     if (static_cast<unsigned char>(c) < 0x20) return false;
     if (escaped_)
@@ -76,7 +76,7 @@
   }
 }
 
-bool Pieces::open(bool object) {
+bool JsonStreamSplitter::open(bool object) {
   if (depth_ == kDeepest) return false;
   const std::uint64_t bit = std::uint64_t{1} << depth_++;
   objects_ = object ? objects_ | bit : objects_ & ~bit;
@@ -84,7 +84,7 @@
   return true;
 }
 
-bool Pieces::close(bool object) {
+bool JsonStreamSplitter::close(bool object) {
   if (inObject() != object) return false;
   if (want_ != Want::comma && want_ != (object ? Want::firstKey : Want::firstValue)) return false;
   --depth_;
--- a/src/config/json_stream_splitter.hpp
+++ b/src/config/json_stream_splitter.hpp
@@ -9,11 +9,11 @@
 // Finds where JSON objects end that come one after another, bit by bit, be each on a line of its own or
 // indented over many. It looks at what holds the text together and leaves the rest to the reader of the
 // whole: guards against a list cut short, whose open brackets would swallow all the lists after it.
-class Pieces {
+class JsonStreamSplitter {
  public:
-  enum class End { more, piece, bad };
+  enum class End { more, object, bad };
 
-  // Reads on from where it stopped. `piece`: one object ends right before `at()`, and what follows it is not
+  // Reads on from where it stopped. `object`: one object ends right before `at()`, and what follows it is not
   // looked at until the next call.
   End take(std::string_view text);
   std::size_t at() const { return at_; }      // bytes of the text that have been looked at
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -678,15 +678,16 @@
     for (auto at = changes.rbegin(); at != changes.rend() && at->first > process.told; ++at)
       changed.insert(at->second);
     std::string text = listText(changed);
-    config::Pieces pieces;
+    config::JsonStreamSplitter splitter;
     if (any(FaultKind::discoveryMangle, [](const Active&) { return true; }) && lists.bernoulli(0.5))
       text.resize(1 + lists.below(text.size() - 1));
     // It comes in two parts, cut anywhere, and goes the way that the daemon's bytes go.
     const std::string half = text.substr(0, lists.below(text.size() + 1));
-    auto end = pieces.take(half);
-    if (end == config::Pieces::End::more) end = pieces.take(text);
-    if (end != config::Pieces::End::piece) return later(scaled(sc.connectTimeout, 0.5 + lists.uniform01()));
-    std::string line = text.substr(pieces.from(), pieces.at() - pieces.from());
+    auto end = splitter.take(half);
+    if (end == config::JsonStreamSplitter::End::more) end = splitter.take(text);
+    if (end != config::JsonStreamSplitter::End::object)
+      return later(scaled(sc.connectTimeout, 0.5 + lists.uniform01()));
+    std::string line = text.substr(splitter.from(), splitter.at() - splitter.from());
     line.reserve(line.size() + simdjson::SIMDJSON_PADDING);
     simdjson::dom::parser parser;
     config::element root;
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -163,11 +163,11 @@
 void Connection::send(std::initializer_list<std::string_view> parts) {
   std::size_t done = 0;
   if (up_ && unsent_ == 0) {
-    std::array<asio::const_buffer, 4> pieces;
+    std::array<asio::const_buffer, 4> splitter;
     std::size_t n = 0;
-    for (const std::string_view part : parts) pieces[n++] = asio::buffer(part);
+    for (const std::string_view part : parts) splitter[n++] = asio::buffer(part);
     Error error;
-    done = socket_.write_some(pieces, error);
+    done = socket_.write_some(splitter, error);
     if (error && !mustWait(error)) return broken();
   }
   for (std::string_view part : parts) {
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -48,25 +48,26 @@
 
 void WatchConnection::takeLists() {
   while (isUp()) {
-    const std::size_t seen = pieces_.at();
-    const bool waited = pieces_.begun();
-    const auto end = pieces_.take(buffer_.view().substr(0, decoded_));
-    if (end == config::Pieces::End::bad) return broken();
+    const std::size_t seen = splitter_.at();
+    const bool waited = splitter_.begun();
+    const auto end = splitter_.take(buffer_.view().substr(0, decoded_));
+    if (end == config::JsonStreamSplitter::End::bad) return broken();
     // Guards against a list that is begun and never ended, though beats come all the while.
-    if (!waited && (pieces_.begun() || end == config::Pieces::End::piece)) begunAt_ = loop_.now();
-    if (pieces_.begun() ? pieces_.from() > seen : pieces_.at() > seen) {
+    if (!waited && (splitter_.begun() || end == config::JsonStreamSplitter::End::object))
+      begunAt_ = loop_.now();
+    if (splitter_.begun() ? splitter_.from() > seen : splitter_.at() > seen) {
       watch_.lists_ = -1;  // a watch that was had is asked for again first
       watch_.heard();
     }
     std::string list;
-    if (end == config::Pieces::End::piece)
-      list = buffer_.view().substr(pieces_.from(), pieces_.at() - pieces_.from());
-    if (const std::size_t done = pieces_.begun() ? pieces_.from() : pieces_.at(); done > 0) {
+    if (end == config::JsonStreamSplitter::End::object)
+      list = buffer_.view().substr(splitter_.from(), splitter_.at() - splitter_.from());
+    if (const std::size_t done = splitter_.begun() ? splitter_.from() : splitter_.at(); done > 0) {
       buffer_.drop(done);
       decoded_ -= done;
-      pieces_.dropped(done);
+      splitter_.dropped(done);
     }
-    if (end == config::Pieces::End::more) return;
+    if (end == config::JsonStreamSplitter::End::more) return;
     if (!watch_.take(std::move(list))) return broken();
   }
 }
@@ -80,7 +81,7 @@
 
 // Guards against a watch that is silent for ever, be its machine or the way to it gone.
 TimePoint WatchConnection::waitEnds() const {
-  const TimePoint from = pieces_.begun() ? std::min(begunAt_, heard_) : heard_;
+  const TimePoint from = splitter_.begun() ? std::min(begunAt_, heard_) : heard_;
   return from + (isUp() ? kBeat + watch_.connectTimeout_ : watch_.connectTimeout_);
 }
 
--- a/src/net/discovery_watch.hpp
+++ b/src/net/discovery_watch.hpp
@@ -34,7 +34,7 @@
   http::Chunks chunks_;
   bool inBody_ = false;
   std::size_t decoded_ = 0;
-  config::Pieces pieces_;
+  config::JsonStreamSplitter splitter_;
   TimePoint heard_, begunAt_{};
 };
 
--- a/src/benchlink/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,13 +1,13 @@
 #include <exception>
 #include <iostream>
 
-#include "benchlink/link.hpp"
+#include "simulator_adapter/simulator_adapter.hpp"
 
 int main() {
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
   try {
-    merlinbridge::benchlink::serve(std::cin, std::cout);
+    merlinbridge::simulator_adapter::serve(std::cin, std::cout);
   } catch (const std::exception& e) {
     std::cerr << "merlinbridge_benchlink: " << e.what() << '\n';
     return 1;
--- a/src/benchlink/link.cpp
+++ b/src/simulator_adapter/simulator_adapter.cpp
@@ -1,4 +1,4 @@
-#include "benchlink/link.hpp"
+#include "simulator_adapter/simulator_adapter.hpp"
 
 #include <fmt/format.h>
 
@@ -15,7 +15,7 @@
 #include "config/policy_settings_reader.hpp"
 #include "gateway_core/gateway_core.hpp"
 
-namespace merlinbridge::benchlink {
+namespace merlinbridge::simulator_adapter {
 namespace {
 
 using config::ConfigError;
@@ -324,4 +324,4 @@
   session.end();
 }
 
-}  // namespace merlinbridge::benchlink
+}  // namespace merlinbridge::simulator_adapter
--- a/tests/pieces_test.cpp
+++ b/tests/json_stream_splitter_test.cpp
@@ -1,10 +1,10 @@
+#include "config/json_stream_splitter.hpp"
+
 #include <catch2/catch.hpp>
 #include <string>
 #include <vector>
 
-#include "config/json_stream_splitter.hpp"
-
-using merlinbridge::config::Pieces;
+using merlinbridge::config::JsonStreamSplitter;
 
 namespace {
 
@@ -15,18 +15,19 @@
 
 // All pieces of a text that comes in parts, and what came of it.
 struct Read {
-  std::vector<std::string> pieces;
+  std::vector<std::string> splitter;
   bool bad = false, begun = false;
 
   explicit Read(const std::vector<std::string>& parts) {
-    Pieces p;
+    JsonStreamSplitter p;
     std::string held;
     for (const std::string& part : parts) {
       held += part;
-      for (auto end = Pieces::End::piece; end == Pieces::End::piece && !bad;) {
+      for (auto end = JsonStreamSplitter::End::object; end == JsonStreamSplitter::End::object && !bad;) {
         end = p.take(held);
-        bad = end == Pieces::End::bad;
-        if (end == Pieces::End::piece) pieces.push_back(held.substr(p.from(), p.at() - p.from()));
+        bad = end == JsonStreamSplitter::End::bad;
+        if (end == JsonStreamSplitter::End::object)
+          splitter.push_back(held.substr(p.from(), p.at() - p.from()));
         const std::size_t done = p.begun() ? p.from() : p.at();
         held.erase(0, done);
         p.dropped(done);
@@ -42,10 +43,10 @@
   const std::string text = std::string("\n\r\n") + kPlain + "\n\n" + kIndented + kPlain + "\n";
   const std::vector<std::string> wanted{kPlain, kIndented, kPlain};
   for (std::size_t cut = 0; cut <= text.size(); ++cut)
-    CHECK(Read({text.substr(0, cut), text.substr(cut)}).pieces == wanted);
+    CHECK(Read({text.substr(0, cut), text.substr(cut)}).splitter == wanted);
   std::vector<std::string> bytes;
   for (const char c : text) bytes.emplace_back(1, c);
-  CHECK(Read(bytes).pieces == wanted);
+  CHECK(Read(bytes).splitter == wanted);
 }
 
 TEST_CASE("a list that is cut short is bad as soon as the next begins, wherever it was cut") {
@@ -55,7 +56,7 @@
     // In an array, the next list could be one more entry; what follows it could not.
     INFO(whole.substr(0, cut));
     CHECK(read.bad);
-    CHECK(read.pieces.empty());
+    CHECK(read.splitter.empty());
   }
 }
 
--- a/tests/link_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -1,12 +1,12 @@
-#include "benchlink/link.hpp"
+#include "simulator_adapter/simulator_adapter.hpp"
 
 #include <catch2/catch.hpp>
 #include <sstream>
 
 #include "config/json_fields.hpp"
 
-using merlinbridge::benchlink::serve;
 using merlinbridge::config::ConfigError;
+using merlinbridge::simulator_adapter::serve;
 
 namespace {
 
