--- a/src/emulator/metrics.cpp
+++ b/src/emulator/metrics.cpp
@@ -23,7 +23,7 @@
       {"failed", part(double(t.failed), asked)},
       {"tries", part(double(t.tries), asked)},
       {"pushed_back", part(double(t.rejected), double(t.tries))},
-      {"failed", part(double(t.failedAnswers), double(t.tries))},
+      {"aborted", part(double(t.failedAnswers), double(t.tries))},
       {"unreached", part(double(t.unreached), double(t.tries))},
       {"call_outs", part(double(t.attempts), double(t.tries))},
       {"further", part(double(t.further), double(t.attempts))},
