--- a/scripts/check_policy.sh
+++ b/scripts/check_policy.sh
@@ -13,15 +13,17 @@
 
 mapfile -t listed < <(sed -n 's/^policy = \[\(.*\)\]$/\1/p' deploy/balancer.toml | tr -d '" ' | tr ',' '\n')
 mapfile -t sources < <(find src/policy -name '*.cpp' | sort)
+mapfile -t helpers < <(find src/util -name '*.?pp' ! -name 'log.hpp' | sort)  # the log writes lines
 mapfile -t headers < <(find src/policy src/policy_api -name '*.hpp' | sort)
 [[ "${listed[*]}" == "${sources[*]}" ]] || blame "deploy/balancer.toml lists other files than src/policy/*.cpp"
 
-# What may be included: the module's own folders, and headers of the standard library that do no I/O.
-allowed='"(policy|policy_api|util)/[a-z_]+\.hpp"|<(algorithm|array|chrono|cmath|compare|cstddef|cstdint|deque'
+# What may be included: the module's own folders, helpers without I/O, and headers of the standard library that do no I/O.
+allowed='"(policy|policy_api)/[a-z_]+\.hpp"|"util/(call_pacer|decaying_counter|host_table|random_source|timer_table)\.hpp"|<(algorithm|array|chrono|cmath|compare|cstddef|cstdint|deque'
 allowed+='|functional|map|memory|optional|random|string|string_view|unordered_map|utility|variant|vector)>'
 while IFS= read -r line; do
   blame "$line may not be included"
-done < <(grep -HE '^ *# *include' "${sources[@]}" "${headers[@]}" src/util/*.?pp | grep -vE "include ($allowed)" || true)
+done < <(grep -HE '^ *# *include' "${sources[@]}" "${headers[@]}" "${helpers[@]}" |
+  grep -vE "include ($allowed)" || true)
 while IFS= read -r line; do
   blame "reads a clock: $line"
 done < <(grep -HnE '(system|steady|high_resolution)_clock|\btime\(' "${sources[@]}" "${headers[@]}" || true)
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -1,6 +1,7 @@
 #include "config/operator_config.hpp"
 
 #include <array>
+#include <utility>
 
 #include "config/toml_table.hpp"
 
@@ -11,27 +12,48 @@
     {{"text", Log::Form::text}, {"json", Log::Form::json}});
 constexpr std::array kLevels = std::to_array<std::pair<std::string_view, Level>>(
     {{"debug", Level::debug}, {"info", Level::info}, {"warning", Level::warning}, {"error", Level::error}});
+constexpr int kMaxReloadRetries = 12;
+
+void readLog(TomlTable log, OperatorConfig& config) {
+  config.form = log.oneOf<Log::Form>("form", config.form, kForms);
+  config.level = log.oneOf<Level>("level", config.level, kLevels);
+  log.done();
+}
+
+void readShutdown(TomlTable shutdown, const std::string& acceptKey, const std::string& killedKey,
+                  OperatorConfig& config) {
+  config.acceptFor = shutdown.duration(acceptKey, config.acceptFor);
+  config.killedAfter = shutdown.duration(killedKey, config.killedAfter);
+  if (config.killedAfter < config.acceptFor) shutdown.blame(killedKey, "a time no shorter than " + acceptKey);
+  shutdown.done();
+}
+
+void readReload(TomlTable reload, OperatorConfig& config) {
+  const bool oldName = reload.has("looks");
+  const std::string key = oldName ? "looks" : "retries";
+  if (oldName) config.warnings.emplace_back("key reload.looks is now called reload.retries");
+  config.reloadRetries = reload.whole<int>(key, config.reloadRetries, 0, kMaxReloadRetries);
+  reload.done();
+}
 
 }  // namespace
 
 OperatorConfig readOperatorConfig(const std::string& text, const std::string& file) {
-  const toml::table root = config::parse(text, file);
-  config::TomlTable t(root, "", file);
-  OperatorConfig own;
-  config::TomlTable log = t.part("log");
-  own.form = log.oneOf<Log::Form>("form", own.form, kForms);
-  own.level = log.oneOf<Level>("level", own.level, kLevels);
-  log.done();
-  config::TomlTable end = t.part("end");
-  own.stillComing = end.duration("still_coming", own.stillComing);
-  own.mostLife = end.duration("most_life", own.mostLife);
-  if (own.mostLife < own.stillComing) end.blame("most_life", "a time no shorter than still_coming");
-  end.done();
-  config::TomlTable reload = t.part("reload");
-  own.looks = reload.whole<int>("looks", own.looks, 0, 12);
-  reload.done();
-  t.done();
-  return own;
+  const toml::table root = parse(text, file);
+  TomlTable table(root, "", file);
+  OperatorConfig config;
+  readLog(table.part("log"), config);
+  if (table.has("end")) {
+    if (table.has("shutdown")) table.blame("end", "no table beside [shutdown], which is its new name");
+    config.warnings.emplace_back(
+        "table end with still_coming and most_life is now called shutdown with accept_for and killed_after");
+    readShutdown(table.part("end"), "still_coming", "most_life", config);
+  } else {
+    readShutdown(table.part("shutdown"), "accept_for", "killed_after", config);
+  }
+  readReload(table.part("reload"), config);
+  table.done();
+  return config;
 }
 
 }  // namespace merlinbridge::config
--- a/src/config/operator_config.hpp
+++ b/src/config/operator_config.hpp
@@ -1,24 +1,28 @@
 #pragma once
 
-#include <optional>
 #include <string>
+#include <vector>
 
-#include "log.hpp"
 #include "policy_api/time.hpp"
+#include "util/log.hpp"
 
 namespace merlinbridge::config {
 
-// What the operators settle themselves, beside what the platform tells. Every key may be missing.
+/// What the operators set themselves, beside what the platform sets. Every key may be missing.
 struct OperatorConfig {
   Log::Form form = Log::Form::text;
   Level level = Level::info;
-  Duration stillComing =
-      std::chrono::milliseconds(700);  // after SIGTERM: for so long all that comes is answered
-  Duration mostLife = std::chrono::milliseconds(3700);  // and after so long the process may be killed
-  int looks = 5;                                        // at a file of configuration that cannot be read
+  /// After SIGTERM, all that comes is answered for so long.
+  Duration acceptFor = std::chrono::milliseconds(700);
+  /// After SIGTERM, the process may be killed after so long; at least `acceptFor`.
+  Duration killedAfter = std::chrono::milliseconds(3700);
+  /// After SIGHUP, how often a file that cannot be read is tried again; 0 to 12.
+  int reloadRetries = 5;
+  /// One line for each key that stands under an earlier name, with both names.
+  std::vector<std::string> warnings;
 };
 
-// The whole of it is checked before anything is used. Throws tables::TomlError.
+/// Checks the whole text before anything of it is used. `file` is named in errors. Throws TomlError.
 OperatorConfig readOperatorConfig(const std::string& text, const std::string& file);
 
 }  // namespace merlinbridge::config
--- a/src/config/toml_table.hpp
+++ b/src/config/toml_table.hpp
@@ -102,6 +102,8 @@
                          return {};
                        });
   }
+  /// Whether the key is there, under which it may then be read.
+  bool has(std::string_view key) const { return table_.contains(key); }
   TomlTable part(std::string_view key) {
     used_.emplace(key);
     static const toml::table kNone;
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -11,7 +11,7 @@
 
 #include "gateway_core/deadline_queue.hpp"
 #include "gateway_core/slot_table.hpp"
-#include "log.hpp"
+#include "util/log.hpp"
 #include "net/clock.hpp"
 
 namespace merlinbridge::net {
--- a/tests/check_policy_test.sh
+++ b/tests/check_policy_test.sh
@@ -24,7 +24,7 @@
 
 fresh
 expect 0 'no I/O'
-for header in '<fstream>' '<iostream>' '<sys/socket.h>' '<simdjson.h>' '<thread>' '"net/connection.hpp"' '<boost/asio.hpp>'; do
+for header in '<fstream>' '<iostream>' '<sys/socket.h>' '<simdjson.h>' '<thread>' '"util/log.hpp"' '"net/connection.hpp"' '<boost/asio.hpp>'; do
   echo "#include $header" >>"$folder/tree/src/policy/slow_start.cpp"
   expect 1 "include $header may not be included"
 done
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -185,7 +185,7 @@
   }
   p.write(bad);
   for (int n = 0; n < 3; ++n) p.signal(SIGHUP);
-  REQUIRE(p.logHolds("warning: configuration not taken, the old ones stay in force: "));
+  REQUIRE(p.logHolds("warning: configuration rejected, the old one stays in force: "));
   std::optional<Peer> watch, moved;
   CHECK(p.discovery.accept(watch));
   CHECK_FALSE(watch->ended());
@@ -193,7 +193,7 @@
   CHECK(within([&] { return discovery.accept(moved); }));
   CHECK(p.runs());
   const std::string log = p.log();
-  CHECK(log.find("configuration not taken") == log.rfind("configuration not taken"));
+  CHECK(log.find("configuration rejected") == log.rfind("configuration rejected"));
 }
 
 TEST_CASE("SIGHUP during the end does not cut it short") {
@@ -205,10 +205,10 @@
   REQUIRE(within([&] { return p.host.accept(host); }));
   REQUIRE(within([&] { return host->holds("\r\n\r\n"); }));
   p.signal(SIGTERM);
-  REQUIRE(p.logHolds("told to end"));
+  REQUIRE(p.logHolds("shutting down"));
   p.signal(SIGHUP);
   REQUIRE(p.logHolds("configuration read again"));
-  REQUIRE(p.logHolds("ends what rests"));
+  REQUIRE(p.logHolds("closing idle connections"));
   p.signal(SIGHUP);
   p.signal(SIGTERM);
   host->send(LoopbackGateway::ok("one"));
@@ -264,9 +264,9 @@
     p.replacePipe();
     pipe << p.config();
   }
-  CHECK(p.logHolds("told to end"));
+  CHECK(p.logHolds("shutting down"));
   CHECK(p.exitStatus() == 0);
-  CHECK(p.log().find("info: ready") < p.log().find("told to end"));
+  CHECK(p.log().find("info: ready") < p.log().find("shutting down"));
 }
 
 TEST_CASE("SIGTERM, whatever clients do with their connections: gone before SIGKILL may come, with 0") {
@@ -288,9 +288,9 @@
   REQUIRE(within([&] { return host->holds("\r\n\r\nx"); }));
   p.signal(SIGTERM);
   const auto told = std::chrono::steady_clock::now();
-  REQUIRE(p.logHolds("ends what rests"));
+  REQUIRE(p.logHolds("closing idle connections"));
   rests.send(LoopbackGateway::request("look"));  // crosses the end of its rest
-  REQUIRE(p.logHolds("info: ends"));
+  REQUIRE(p.logHolds("info: stopped"));
   CHECK(std::chrono::steady_clock::now() - told < 2700ms);  // the longest deadline, and 0.7 s
   CHECK(p.exitStatus() == 0);
   CHECK(within([&] { return rests.ended() && silent.ended() && waits.ended(); }));
@@ -318,7 +318,7 @@
   before.send(LoopbackGateway::request("pay", "x", "", 1500));
   REQUIRE(within([&] { return take() == 1; }));
   p.signal(SIGTERM);
-  REQUIRE(p.logHolds("ends what rests"));
+  REQUIRE(p.logHolds("closing idle connections"));
   for (auto& host : reached)
     if (host->holds("POST /pay")) host->send(LoopbackGateway::ok("one"));
   CHECK(p.exitStatus() == 0);
@@ -342,7 +342,7 @@
   Program p;
   const std::string config = p.file("orders.json", p.config());
   const auto checked = [&](const std::string& own) {
-    return p.response({"check", "--orders", config, "--own", p.file("own.toml", own)});
+    return p.response({"check", "--config", config, "--operator-config", p.file("own.toml", own)});
   };
   auto [text, status] = checked("[log]\nform = \"json\"\n[end]\nstill_coming = \"1s\"\n");
   CHECK(status == 0);
@@ -355,7 +355,7 @@
         std::string::npos);
   CHECK(checked("[end]\nstill_coming = \"9s\"\nmost_life = \"1s\"\n").second == 2);
   CHECK(checked("[end\n").second == 2);
-  CHECK(p.response({"check", "--orders", p.file("orders.json", "{")}).second == 2);
+  CHECK(p.response({"check", "--config", p.file("orders.json", "{")}).second == 2);
   CHECK(p.response({"check"}).second == 2);
   CHECK(p.response({"serve"}).second == 2);
   CHECK(p.response({"dance"}).second == 2);
@@ -363,11 +363,41 @@
   CHECK(p.response({"version"}).first.starts_with("merlinbridge "));
 }
 
+TEST_CASE("earlier names of options and keys are read, each with one warning that names both") {
+  Program p;
+  const std::string config = p.file("orders.json", p.config());
+  const auto checked = [&](const std::string& option, const std::string& own) {
+    return p.response({"check", option, config, "--operator-config", p.file("own.toml", own)});
+  };
+  const auto count = [](const std::string& text, const std::string& what) {
+    int n = 0;
+    for (auto at = text.find(what); at != std::string::npos; at = text.find(what, at + 1)) ++n;
+    return n;
+  };
+  auto [text, status] = checked("--config", "[shutdown]\naccept_for = \"1s\"\n[reload]\nretries = 2\n");
+  CHECK(status == 0);
+  CHECK(count(text, "warning") == 0);
+  std::tie(text, status) = checked("--orders", "[end]\nmost_life = \"2s\"\n[reload]\nlooks = 2\n");
+  CHECK(status == 0);
+  CHECK(count(text, "warning: ") == 3);
+  CHECK(count(text, "--orders is now called --config") == 1);
+  CHECK(count(text, "table end with still_coming and most_life is now called shutdown") == 1);
+  CHECK(count(text, "key reload.looks is now called reload.retries") == 1);
+  std::tie(text, status) = p.response({"check", "--config", config, "--own", p.file("own.toml", "")});
+  CHECK(status == 0);
+  CHECK(count(text, "--own is now called --operator-config") == 1);
+  CHECK(checked("--config", "[end]\n[shutdown]\n").second == 2);  // both at once
+  CHECK(checked("--config", "[reload]\nlooks = 1\nretries = 1\n").second == 2);
+  CHECK(checked("--config", "[shutdown]\naccept_for = \"9s\"\nkilled_after = \"1s\"\n").second == 2);
+  CHECK(checked("--config", "[shutdown]\nstill_coming = \"1s\"\n").second == 2);
+  CHECK(checked("--config", "[reload]\nretries = 13\n").second == 2);
+}
+
 TEST_CASE("an address that is taken ends the start with 1, and lines come as JSON where that is asked for") {
   Program p;
   p.start(p.config(), p.file("own.toml", "[log]\nform = \"json\"\n"));
   REQUIRE(p.logHolds(R"({"level":"info","event":"ready","text":"ready"})"));
-  CHECK(p.response({"serve", "--orders", p.file("orders.json", p.config())}).second == 1);
+  CHECK(p.response({"serve", "--config", p.file("orders.json", p.config())}).second == 1);
   p.signal(SIGTERM);
   CHECK(p.exitStatus() == 0);
   CHECK(p.log().find(R"("event":"ended")") != std::string::npos);
