--- a/src/gateway_core/gateway_core.hpp
+++ b/src/gateway_core/gateway_core.hpp
@@ -54,7 +54,7 @@
   GatewayCore(const config::GatewayConfig&, TimePoint now, DeadlineQueue&, Transport&,
               Timekeeper = Timekeeper::core);
 
-  const NameTables& words() const { return names_; }
+  const NameTables& names() const { return names_; }
   const PolicySettings& settings() const { return settings_; }
   const std::string& addressOf(HostId host) const { return addresses_[host.value]; }
   const std::string& nameOf(HostId host) const { return hosts_.word(host); }
--- a/src/gateway_core/name_table.hpp
+++ b/src/gateway_core/name_table.hpp
@@ -9,7 +9,7 @@
 
 namespace merlinbridge::core {
 
-// NameTable to dense ids, in the order in which they were first heard.
+// Names to dense ids, in the order in which they were first heard.
 template <class Key>
 class NameTable {
  public:
--- a/src/net/buffer.hpp
+++ b/src/net/buffer.hpp
@@ -23,7 +23,7 @@
     if (capacity_ - held >= n && from_ >= held) {
       std::memmove(bytes_.get(), bytes_.get() + from_, held);
     } else {
-      capacity_ = std::max({held + n, capacity_ / 2 * 3, kFirst});
+      capacity_ = std::max({held + n, capacity_ / 2 * 3, kInitialCapacity});
       auto grown = std::make_unique_for_overwrite<char[]>(capacity_);
       if (held > 0) std::memcpy(grown.get(), bytes_.get() + from_, held);
       bytes_ = std::move(grown);
@@ -41,7 +41,7 @@
   void drop(std::size_t n) {
     from_ += n;
     if (from_ == to_) from_ = to_ = 0;
-    if (to_ == 0 && capacity_ > kKept) bytes_.reset(), capacity_ = 0;
+    if (to_ == 0 && capacity_ > kRetainedCapacity) bytes_.reset(), capacity_ = 0;
   }
   // Takes out what lies between two places, both counted from the start.
   void cut(std::size_t from, std::size_t to) {
@@ -51,7 +51,7 @@
   }
 
  private:
-  static constexpr std::size_t kFirst = 2048, kKept = 8192;
+  static constexpr std::size_t kInitialCapacity = 2048, kRetainedCapacity = 8192;
   std::unique_ptr<char[]> bytes_;
   std::size_t capacity_ = 0, from_ = 0, to_ = 0;
 };
--- a/src/net/client_listener.hpp
+++ b/src/net/client_listener.hpp
@@ -1,95 +1,71 @@
 #pragma once
 
 #include <boost/asio/basic_socket_acceptor.hpp>
-#include <optional>
+#include <boost/asio/coroutine.hpp>
+#include <vector>
 
 #include "gateway_core/gateway_core.hpp"
-#include "http/message.hpp"
-#include "net/connection.hpp"
+#include "net/event_loop.hpp"
 
 namespace merlinbridge::net {
 
-class ClientListener;
+class ClientConnection;
 
-// A client's connection: one request at a time, whose message stays in the buffer until it has its answer.
-class ClientConnection final : public Connection {
- public:
-  ClientConnection(EventLoop&, Socket, ClientListener&);
-
-  // Guards against views into a buffer that has moved since, as what the client sends on ahead makes it do.
-  const http::Message& asked() {
-    message_.movedTo(buffer_.data());
-    return message_;
-  }
-  void answer(int status, std::string_view fields, std::string_view body);
-  bool resting() const { return !requestId_ && !message_.begun() && allWritten() && !lingering_; }
-  TimePoint since() const { return since_; }
-  bool lingering() const { return lingering_; }
-  std::size_t held() const { return buffer_.size(); }
-  void halfClose(
-      Duration patience);  // ends in good order: nothing more is sent, what still comes is read for nobody
-
- private:
-  void bytesCame() override;
-  void broken() override;
-  void written() override;
-  bool full() const override;
-  std::size_t readsOnTo() const override;
-  TimePoint waitEnds() const override;
-  void waitedTooLong() override;
-
-  void readOn();
-  void readOnSoon();
-  void take();
-  void refuse(int status, std::string_view why);
-  void watchEnd();
-
-  ClientListener& clients_;
-  http::Message message_{http::Message::Kind::request};
-  std::optional<RequestId> requestId_;
-  bool reading_ = false, asking_ = false, lastAnswer_ = false, lingering_ = false;
-  bool watchingEnd_ = false;
-  std::size_t mayHold_ = 0;     // where it may send on more ahead than others
-  TimePoint since_;             // the present wait began
-  TimePoint lingerUntil_ = {};  // while it lingers
-};
-
-// The listener and all clients' connections, within their share of the descriptors.
+/// Accepts clients and owns the limit on their connections: their share of the descriptors.
 class ClientListener {
  public:
-  ClientListener(EventLoop&, const SocketAddress& at, std::size_t most, Duration idle,
-                 Duration longestDeadline);
+  /// Binds and listens at once; accepts from serve() on. `idleTimeout`: a connection between two requests is
+  /// closed after so long. `maxDeadline`: the longest that a request waits for its answer.
+  ClientListener(EventLoop&, const SocketAddress& address, std::size_t maxConnections, Duration idleTimeout,
+                 Duration maxDeadline);
 
-  void serve(core::GatewayCore& core);  // from here on clients are accepted
+  void serve(core::GatewayCore& core);
+  /// What `/health/ready` answers.
   void setReady(bool ready) { ready_ = ready; }
-  // Every answer is a connection's last, unless more has come on it already; from that time on, each.
-  void leave(TimePoint by);
-  void closeIdle(Duration since = Duration{0});  // ends what has rested for so long
-  bool shut();         // accepts what has come; true: nothing had, and nothing is any more
-  void discard();      // what is unread at the very end
-  std::size_t held();  // bytes of all clients
-  bool allClosed() const { return all_.empty(); }
-  bool quiet();  // no client is in the middle of a request or of an answer
+  /// Not ready any more. Every answer is its connection's last, unless more has come on it already; from that
+  /// time on, each is.
+  void drain(TimePoint lastAnswerBy);
+  /// Closes, in good order, the connections that have been idle for so long.
+  void closeIdle(Duration idleFor = Duration{0});
+  /// Takes the connections that the system has accepted already. True: there were none, and nobody is
+  /// accepted any more.
+  bool stopAccepting();
+  /// Reads what is unread, for nobody, so that the exit resets no connection.
+  void discardUnread();
+  bool allClosed() const { return connections_.empty(); }
+  /// No client is in the middle of a request or of an answer.
+  bool quiet();
+
+  // What a connection asks of the listener, and tells it.
+  core::GatewayCore& core() { return *core_; }
+  bool ready() const { return ready_; }
+  bool draining() const { return draining_; }
+  TimePoint lastAnswerBy() const { return lastAnswerBy_; }
+  Duration idleTimeout() const { return idleTimeout_; }
+  Duration maxDeadline() const { return maxDeadline_; }
+  /// In the buffers of all clients.
+  std::size_t bufferedBytes();
+  void connectionIdle();
+  void connectionClosed(SlotRef);
 
  private:
-  friend class ClientConnection;
   void acceptStep(Error error);
-  void goOnAccepting();
-  void goOnAcceptingSoon();
-  void welcome(Socket);
-  void closed(SlotRef);
-  void rested();
-  void makeRoom();
+  void resumeAccepting();
+  void resumeAcceptingLater();
+  void add(Socket);
+  void evictIdle();
+  bool full() const { return connections_.size() >= maxConnections_; }
 
   EventLoop& loop_;
   core::GatewayCore* core_ = nullptr;
   asio::basic_socket_acceptor<asio::ip::tcp, Strand> acceptor_;
   asio::coroutine accepting_;
-  bool paused_ = false, ready_ = false, leaving_ = false;
-  std::size_t most_, roomWanted_ = 1;
-  Duration idle_, maxDeadline_;
-  TimePoint lastBy_ = TimePoint::max();
-  std::vector<SlotRef> all_;
+  bool paused_ = false, ready_ = false, draining_ = false;
+  const std::size_t maxConnections_;
+  std::size_t evictionsWanted_ = 1;
+  const Duration idleTimeout_, maxDeadline_;
+  TimePoint lastAnswerBy_ = TimePoint::max();
+  std::vector<SlotRef> connections_;
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 // The least room that a read is given.
-constexpr std::size_t kRead = 2048;
+constexpr std::size_t kMinReadSize = 2048;
 // Reads for nobody at one end: a peer that sends and sends has no claim to more.
-constexpr int kMostDiscards = 64;
+constexpr int kMaxDiscardReads = 64;
 
 bool mustWait(const Error& error) {
   return error == asio::error::would_block || error == asio::error::try_again ||
@@ -28,7 +28,7 @@
 
 void Connection::connect(const SocketAddress& peer) {
   peer_ = peer;
-  watchWait();
+  updateWaitTimer();
   readStep({});
 }
 
@@ -37,7 +37,7 @@
   socket_.non_blocking(true, error);
   socket_.set_option(asio::ip::tcp::no_delay(true), error);
   up_ = true;
-  watchWait();
+  updateWaitTimer();
   readStep({});
 }
 
@@ -48,12 +48,12 @@
   socket_.close(error);
 }
 
-bool Connection::unread() const {
+bool Connection::hasUnread() const {
   Error error;
   return up_ && socket_.available(error) > 0 && !error;
 }
 
-bool Connection::untouched() const {
+bool Connection::nothingReceived() const {
   Error error;
   char byte = 0;
   socket_.receive(asio::buffer(&byte, 1), Socket::message_peek, error);
@@ -70,10 +70,10 @@
 void Connection::discard() {
   Error error;
   std::array<char, 4096> bytes{};
-  for (int n = 0; n < kMostDiscards && up_ && !error; ++n) socket_.read_some(asio::buffer(bytes), error);
+  for (int n = 0; n < kMaxDiscardReads && up_ && !error; ++n) socket_.read_some(asio::buffer(bytes), error);
 }
 
-bool Connection::hungUp() const {
+bool Connection::peerHungUp() const {
   pollfd at{socket_.native_handle(), POLLRDHUP, 0};
   return up_ && ::poll(&at, 1, 0) > 0 && (at.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
@@ -83,35 +83,35 @@
   reenter(reader_) {
     if (!up_) {
       yield socket_.async_connect(peer_, resume);
-      if (error) return broken();
+      if (error) return onClosed();
       socket_.non_blocking(true, error);
       socket_.set_option(asio::ip::tcp::no_delay(true), error);
       up_ = true;
-      connected();
+      onConnected();
       if (up_ && unsent_ > 0) flush();
     }
     while (up_) {
-      if (unsent_ > 0 || full()) {
+      if (unsent_ > 0 || mustPause()) {
         readPaused_ = true;
         yield return;
       }
       yield socket_.async_wait(Socket::wait_read, resume);
       if (!up_) return;
-      if (error) return broken();
+      if (error) return onClosed();
       if (unsent_ > 0) continue;
       {
         const std::size_t before = buffer_.size();
         do {
-          char* const into = buffer_.room(buffer_.size() == before ? kRead : 1);
+          char* const into = buffer_.room(buffer_.size() == before ? kMinReadSize : 1);
           const std::size_t n = socket_.read_some(asio::buffer(into, buffer_.spare()), error);
           if (mustWait(error)) break;
           peerEnded_ = error == asio::error::eof;
-          if (error) return broken();
+          if (error) return onClosed();
           buffer_.filled(n);
-        } while (buffer_.size() < readsOnTo());
+        } while (buffer_.size() < readAheadLimit());
         if (buffer_.size() == before) continue;
       }
-      bytesCame();
+      onData();
     }
   }
 }
@@ -121,12 +121,12 @@
     do {
       yield socket_.async_wait(Socket::wait_write, Resume{&loop_, ref_, &Connection::writeStep});
       if (!up_) return;
-      if (error || !pushOut()) return broken();
+      if (error || !pushOut()) return onClosed();
     } while (unsent_ > 0);
   }
   if (!writer_.is_complete() || !up_ || !std::exchange(writing_, false)) return;
-  written();
-  goOnReading();
+  onAllWritten();
+  resumeReading();
 }
 
 // Writes what the socket takes now. False: it has broken.
@@ -146,18 +146,18 @@
 void Connection::flush() {
   later_ = false;
   if (!up_ || unsent_ == 0 || writing_) return;
-  if (!pushOut()) return broken();
+  if (!pushOut()) return onClosed();
   if (unsent_ == 0) {
-    written();
-    return goOnReading();
+    onAllWritten();
+    return resumeReading();
   }
   writing_ = true;
   writer_ = {};
   writeStep({});
 }
 
-void Connection::goOnReading() {
-  if (up_ && unsent_ == 0 && !full() && std::exchange(readPaused_, false)) readStep({});
+void Connection::resumeReading() {
+  if (up_ && unsent_ == 0 && !mustPause() && std::exchange(readPaused_, false)) readStep({});
 }
 
 void Connection::send(std::initializer_list<std::string_view> parts) {
@@ -168,7 +168,7 @@
     for (const std::string_view part : parts) splitter[n++] = asio::buffer(part);
     Error error;
     done = socket_.write_some(splitter, error);
-    if (error && !mustWait(error)) return broken();
+    if (error && !mustWait(error)) return onClosed();
   }
   for (std::string_view part : parts) {
     const std::size_t gone = std::min(done, part.size());
@@ -180,8 +180,8 @@
   if (unsent_ > 0)
     flush();
   else
-    written();
-  goOnReading();
+    onAllWritten();
+  resumeReading();
 }
 
 void Connection::sendLater(std::string_view part) {
@@ -190,8 +190,8 @@
   if (!std::exchange(later_, true)) loop_.flushLater(ref_);
 }
 
-void Connection::watchWait() {
-  const TimePoint at = waitEnds();
+void Connection::updateWaitTimer() {
+  const TimePoint at = waitDeadline();
   if (at >= waitTimerAt_) return;
   if (waitTimer_.second) loop_.deadlines.drop(waitTimer_);
   waitTimerAt_ = at;
@@ -202,8 +202,8 @@
 
 void Connection::checkWait(TimePoint now) {
   waitTimerAt_ = TimePoint::max(), waitTimer_ = {};
-  if (waitEnds() <= now) return waitedTooLong();
-  watchWait();
+  if (waitDeadline() <= now) return onTimeout();
+  updateWaitTimer();
 }
 
 }  // namespace merlinbridge::net
--- a/src/net/counter_client.cpp
+++ b/src/net/counter_client.cpp
@@ -11,7 +11,7 @@
 
 // Of the connect timeout: how long a connection to an old address may still wait for its answers. The
 // address closes it a second and a half after the move, or later.
-constexpr int kOldFor = 4;
+constexpr int kRetireTimeouts = 4;
 
 SocketAddress counterAt(const std::string& address) {
   return address.empty() ? SocketAddress() : parseAddress(address);
@@ -20,15 +20,15 @@
 }  // namespace
 
 CounterConnection::CounterConnection(EventLoop& loop, CounterClient& counter, std::size_t number)
-    : Connection(loop), counter_(counter), number_(number), heard_(loop.now()) {}
+    : Connection(loop), counter_(counter), number_(number), lastHeardAt_(loop.now()) {}
 
 void CounterConnection::call(const CountName& name, std::string_view message) {
   const TimePoint now = loop_.now();
-  if (calls_.empty()) heard_ = now;
+  if (calls_.empty()) lastHeardAt_ = now;
   const std::uint64_t number = first_ + calls_.size();
   calls_.push_back({name, now, {}, false});
-  calls_.back().patience =
-      loop_.deadlines.add(now + counter_.patience_, [&loop = loop_, mine = ref(), number](TimePoint at) {
+  calls_.back().timeout =
+      loop_.deadlines.add(now + counter_.timeout_, [&loop = loop_, mine = ref(), number](TimePoint at) {
         if (auto* const link = loop.find<CounterConnection>(mine)) link->unanswered(at, number);
       });
   sendLater(message);
@@ -38,37 +38,37 @@
 void CounterConnection::unanswered(TimePoint now, std::uint64_t number) {
   if (number < first_ || number - first_ >= calls_.size()) return;
   Call& call = calls_[number - first_];
-  if (std::exchange(call.told, true)) return;
+  if (std::exchange(call.reported, true)) return;
   const CountName name = call.name;
   const Duration took = now - call.madeAt;
   // Not one byte of it has been written, nor must be any more: nothing was added.
   const bool never = !isUp();
-  if (never || now - heard_ >= counter_.connectTimeout_) broken();
+  if (never || now - lastHeardAt_ >= counter_.connectTimeout_) onClosed();
   counter_.core_->counted(now, name, never ? CountEnd::notAdded : CountEnd::unknown, 0, took);
-  if (mayEnd()) broken();
+  if (mayEnd()) onClosed();
 }
 
 // Guards against a connection that the old address closes under calls, and against calls told to have failed
 // though they will be added: those on their way end by the protocol's table, none is made any more.
 void CounterConnection::retire() {
   retired_ = true;
-  if (!isUp() || mayEnd()) return broken();
-  loop_.deadlines.add(loop_.now() + kOldFor * counter_.connectTimeout_,
+  if (!isUp() || mayEnd()) return onClosed();
+  loop_.deadlines.add(loop_.now() + kRetireTimeouts * counter_.connectTimeout_,
                       [&loop = loop_, mine = ref()](TimePoint) {
-                        if (auto* const link = loop.find<CounterConnection>(mine)) link->broken();
+                        if (auto* const link = loop.find<CounterConnection>(mine)) link->onClosed();
                       });
 }
 
 bool CounterConnection::mayEnd() const {
-  return retired_ && std::all_of(calls_.begin(), calls_.end(), [](const Call& c) { return c.told; });
+  return retired_ && std::all_of(calls_.begin(), calls_.end(), [](const Call& c) { return c.reported; });
 }
 
-void CounterConnection::bytesCame() {
-  heard_ = loop_.now();
+void CounterConnection::onData() {
+  lastHeardAt_ = loop_.now();
   // Guards against reading as answers the calls that what is told here leads to: they wait behind.
-  while (isUp() && came() > 0) {
-    const auto stage = message_.advance(buffer_.data(), came());
-    if (stage == http::Message::Stage::bad || calls_.empty()) return broken();
+  while (isUp() && received() > 0) {
+    const auto stage = message_.advance(buffer_.data(), received());
+    if (stage == http::Message::Stage::bad || calls_.empty()) return onClosed();
     if (stage != http::Message::Stage::done) return;
     const Call call = calls_.front();
     calls_.pop_front();
@@ -86,15 +86,16 @@
     const bool last = !message_.keepsAlive();
     buffer_.drop(message_.size());
     message_.clear();
-    if (!call.told) {
-      loop_.deadlines.drop(call.patience);
-      counter_.core_->counted(heard_, call.name, end, end == CountEnd::ok ? total : 0, heard_ - call.madeAt);
+    if (!call.reported) {
+      loop_.deadlines.drop(call.timeout);
+      counter_.core_->counted(lastHeardAt_, call.name, end, end == CountEnd::ok ? total : 0,
+                              lastHeardAt_ - call.madeAt);
     }
-    if (last || mayEnd()) return broken();
+    if (last || mayEnd()) return onClosed();
   }
 }
 
-void CounterConnection::broken() {
+void CounterConnection::onClosed() {
   if (loop_.find(ref()) != this) return;
   if (counter_.links_[number_] == ref()) counter_.links_[number_] = {};
   const bool never = !isUp();
@@ -102,24 +103,24 @@
   loop_.closeDeferred(ref());
   const TimePoint now = loop_.now();
   for (const Call& call : calls) {
-    if (call.told) continue;
-    loop_.deadlines.drop(call.patience);
+    if (call.reported) continue;
+    loop_.deadlines.drop(call.timeout);
     counter_.core_->counted(now, call.name, never ? CountEnd::notAdded : CountEnd::unknown, 0,
                             now - call.madeAt);
   }
 }
 
-TimePoint CounterConnection::waitEnds() const {
-  if (!isUp()) return heard_ + counter_.connectTimeout_;
-  return calls_.empty() ? heard_ + counter_.idle_ : loop_.now() + counter_.idle_;
+TimePoint CounterConnection::waitDeadline() const {
+  if (!isUp()) return lastHeardAt_ + counter_.connectTimeout_;
+  return calls_.empty() ? lastHeardAt_ + counter_.idle_ : loop_.now() + counter_.idle_;
 }
 
-CounterClient::CounterClient(EventLoop& loop, std::string address, Duration patience, Duration connectTimeout,
+CounterClient::CounterClient(EventLoop& loop, std::string address, Duration timeout, Duration connectTimeout,
                              Duration idle)
     : loop_(loop),
       address_(std::move(address)),
       peer_(counterAt(address_)),
-      patience_(patience),
+      timeout_(timeout),
       connectTimeout_(connectTimeout),
       idle_(idle) {}
 
--- a/src/net/counter_client.hpp
+++ b/src/net/counter_client.hpp
@@ -25,14 +25,14 @@
   struct Call {
     CountName name;
     TimePoint madeAt;
-    core::DeadlineQueue::Ticket patience;
-    bool told;  // the module has been told how it ended
+    core::DeadlineQueue::Ticket timeout;
+    bool reported;  // the module has been told how it ended
   };
 
-  void bytesCame() override;
-  void broken() override;
-  TimePoint waitEnds() const override;
-  void waitedTooLong() override { broken(); }
+  void onData() override;
+  void onClosed() override;
+  TimePoint waitDeadline() const override;
+  void onTimeout() override { onClosed(); }
   void unanswered(TimePoint now, std::uint64_t number);
   bool mayEnd() const;
 
@@ -41,14 +41,14 @@
   http::Message message_{http::Message::Kind::answer};
   std::deque<Call> calls_;
   std::uint64_t first_ = 0;  // number of the first of them, counted from when the connection was made
-  TimePoint heard_;
+  TimePoint lastHeardAt_;
   bool retired_ = false;
 };
 
 // The counter service, over few connections.
 class CounterClient {
  public:
-  CounterClient(EventLoop&, std::string address, Duration patience, Duration connectTimeout, Duration idle);
+  CounterClient(EventLoop&, std::string address, Duration timeout, Duration connectTimeout, Duration idle);
 
   void serve(core::GatewayCore& core) { core_ = &core; }
   void add(const CountName&, double units, Duration keptFor);
@@ -61,7 +61,7 @@
   core::GatewayCore* core_ = nullptr;
   std::string address_;
   SocketAddress peer_;
-  Duration patience_, connectTimeout_, idle_;
+  Duration timeout_, connectTimeout_, idle_;
   std::array<SlotRef, 2> links_{};
 };
 
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -6,31 +6,31 @@
 namespace {
 
 // The protocol's: while nothing changes, an empty line comes so often.
-constexpr Duration kBeat = std::chrono::seconds(2);
+constexpr Duration kHeartbeatInterval = std::chrono::seconds(2);
 // No list is longer: some thousands of hosts, indented.
-constexpr std::size_t kMostList = 2 * 1024 * 1024;
+constexpr std::size_t kMaxListBytes = 2 * 1024 * 1024;
 // Of a beat, on the mean: the longest wait after a refusal, and how long a list that was told is good for.
 // With two refusals, or one ask that hangs, before the one that is answered, a change is known well within
 // the 6 s after which it counts as told: the sum stands in docs/crossings.md.
-constexpr double kRefusedMost = 0.5, kToldFor = 0.75;
+constexpr double kMaxRejectedBackoff = 0.5, kPollInterval = 0.75;
 // Of the connect timeout: the least wait, where the settings leave drains no time at all.
-constexpr int kLeastWait = 8;
+constexpr int kMinBackoffParts = 8;
 // While watches are rejected, one is asked for again each so many asks.
-constexpr int kWatchEvery = 4;
+constexpr int kWatchEveryPolls = 4;
 
 }  // namespace
 
 WatchConnection::WatchConnection(EventLoop& loop, DiscoveryWatch& watch, std::string_view message)
-    : Connection(loop), watch_(watch), heard_(loop.now()) {
+    : Connection(loop), watch_(watch), lastHeardAt_(loop.now()) {
   send({message});
 }
 
-void WatchConnection::bytesCame() {
-  heard_ = loop_.now();
+void WatchConnection::onData() {
+  lastHeardAt_ = loop_.now();
   if (!inBody_) {
     const auto stage = head_.advance(buffer_.data(), buffer_.size());
     if (stage == http::Message::Stage::head) return;
-    if (stage == http::Message::Stage::bad || head_.status() != 200) return broken();
+    if (stage == http::Message::Stage::bad || head_.status() != 200) return onClosed();
     inBody_ = true;
     buffer_.drop(head_.bodyAt());
   }
@@ -43,7 +43,7 @@
     decoded_ = buffer_.size();
   }
   takeLists();
-  if (isUp() && (end != http::Chunks::End::more || decoded_ > kMostList)) broken();
+  if (isUp() && (end != http::Chunks::End::more || decoded_ > kMaxListBytes)) onClosed();
 }
 
 void WatchConnection::takeLists() {
@@ -51,13 +51,13 @@
     const std::size_t seen = splitter_.at();
     const bool waited = splitter_.begun();
     const auto end = splitter_.take(buffer_.view().substr(0, decoded_));
-    if (end == config::JsonStreamSplitter::End::bad) return broken();
+    if (end == config::JsonStreamSplitter::End::bad) return onClosed();
     // Guards against a list that is begun and never ended, though beats come all the while.
     if (!waited && (splitter_.begun() || end == config::JsonStreamSplitter::End::object))
-      begunAt_ = loop_.now();
+      objectBegunAt_ = loop_.now();
     if (splitter_.begun() ? splitter_.from() > seen : splitter_.at() > seen) {
-      watch_.lists_ = -1;  // a watch that was had is asked for again first
-      watch_.heard();
+      watch_.pollsSinceWatch_ = -1;  // a watch that was had is asked for again first
+      watch_.markHealthy();
     }
     std::string list;
     if (end == config::JsonStreamSplitter::End::object)
@@ -68,47 +68,47 @@
       splitter_.dropped(done);
     }
     if (end == config::JsonStreamSplitter::End::more) return;
-    if (!watch_.take(std::move(list))) return broken();
+    if (!watch_.take(std::move(list))) return onClosed();
   }
 }
 
-void WatchConnection::broken() {
+void WatchConnection::onClosed() {
   if (watch_.link_ != ref()) return;
   const bool refused = head_.stage() == http::Message::Stage::done && head_.status() != 200;
   loop_.closeDeferred(ref());
-  watch_.lost(refused ? PollResult::refused : PollResult::silent);
+  watch_.scheduleNext(refused ? PollResult::refused : PollResult::silent);
 }
 
 // Guards against a watch that is silent for ever, be its machine or the way to it gone.
-TimePoint WatchConnection::waitEnds() const {
-  const TimePoint from = splitter_.begun() ? std::min(begunAt_, heard_) : heard_;
-  return from + (isUp() ? kBeat + watch_.connectTimeout_ : watch_.connectTimeout_);
+TimePoint WatchConnection::waitDeadline() const {
+  const TimePoint from = splitter_.begun() ? std::min(objectBegunAt_, lastHeardAt_) : lastHeardAt_;
+  return from + (isUp() ? kHeartbeatInterval + watch_.connectTimeout_ : watch_.connectTimeout_);
 }
 
 PollConnection::PollConnection(EventLoop& loop, DiscoveryWatch& watch, std::string_view message)
     : Connection(loop),
       watch_(watch),
-      message_(http::Message::Kind::answer, http::Message::Body::whole, kMostList),
+      message_(http::Message::Kind::answer, http::Message::Body::whole, kMaxListBytes),
       since_(loop.now()) {
   send({message});
 }
 
-void PollConnection::bytesCame() {
-  const auto stage = message_.advance(buffer_.data(), came());
+void PollConnection::onData() {
+  const auto stage = message_.advance(buffer_.data(), received());
   if (stage == http::Message::Stage::bad) return over(PollResult::silent);
   if (stage != http::Message::Stage::done) return;
   if (message_.status() != 200) return over(PollResult::refused);
-  over(watch_.take(std::string(message_.body())) ? PollResult::told : PollResult::silent);
+  over(watch_.take(std::string(message_.body())) ? PollResult::updated : PollResult::silent);
 }
 
 void PollConnection::over(PollResult how) {
   if (watch_.link_ != ref()) return;
   loop_.closeDeferred(ref());
-  watch_.lost(how);
+  watch_.scheduleNext(how);
 }
 
-TimePoint PollConnection::waitEnds() const {
-  return since_ + kBeat + watch_.connectTimeout_;
+TimePoint PollConnection::waitDeadline() const {
+  return since_ + kHeartbeatInterval + watch_.connectTimeout_;
 }
 
 DiscoveryWatch::DiscoveryWatch(EventLoop& loop, std::string address, std::uint64_t from,
@@ -129,12 +129,12 @@
 // Guards against discovery that rejects watches, as where it bears no more of them: the whole list is told
 // to whoever asks, and every fourth time a watch is asked for once more.
 void DiscoveryWatch::open() {
-  again_ = {};
+  nextPoll_ = {};
   const auto ask = [this](std::string_view what) {
     return fmt::format("GET /registry/instances{} HTTP/1.1\r\nHost: {}\r\n\r\n", what, address_);
   };
   Connection* link = nullptr;
-  if (lists_ % kWatchEvery == 0) {
+  if (pollsSinceWatch_ % kWatchEveryPolls == 0) {
     link = &loop_.open<WatchConnection>(*this, ask(fmt::format("?watch=1&from={}", generation_)));
   } else {
     link = &loop_.open<PollConnection>(*this, ask(""));
@@ -152,7 +152,7 @@
       throw config::ConfigError("a line is not a JSON object");
     const config::EndpointList endpoints = config::readEndpointList(config::Fields("discovery", root));
     generation_ = endpoints.generation;
-    heard();
+    markHealthy();
     core_->endpointsUpdated(loop_.now(), endpoints);
     return true;
   } catch (const config::ConfigError& e) {
@@ -161,9 +161,9 @@
   }
 }
 
-void DiscoveryWatch::heard() {
-  failures_ = 0;
-  if (std::exchange(silent_, false))
+void DiscoveryWatch::markHealthy() {
+  failuresInRow_ = 0;
+  if (std::exchange(lost_, false))
     loop_.log(Level::info, "discovery_back", "discovery back, last list ", generation_);
 }
 
@@ -171,22 +171,22 @@
 // it rejects them, the wait doubles up to a few beats, and each draws its own; a list that was told is
 // good for a beat. Where nothing was said at all, the agent may be told of changes the moment after, and
 // these count as told: then the wait stays well under the time in which a drain has to be heeded.
-void DiscoveryWatch::lost(PollResult how) {
+void DiscoveryWatch::scheduleNext(PollResult how) {
   link_ = {};
-  const bool wasWatch = lists_ % kWatchEvery == 0;
-  lists_ = wasWatch && how == PollResult::silent ? 0 : lists_ + 1;
-  if (how != PollResult::told && !std::exchange(silent_, true))
+  const bool wasWatch = pollsSinceWatch_ % kWatchEveryPolls == 0;
+  pollsSinceWatch_ = wasWatch && how == PollResult::silent ? 0 : pollsSinceWatch_ + 1;
+  if (how != PollResult::updated && !std::exchange(lost_, true))
     loop_.log(Level::warning, "discovery_lost", "discovery lost: list ", generation_, " stays in force");
-  const Duration longest = scaled(kBeat, kRefusedMost);
+  const Duration longest = scaled(kHeartbeatInterval, kMaxRejectedBackoff);
   const Duration most =
       how == PollResult::refused
           ? longest
-          : std::clamp(drainGrace_ / 2, std::min(connectTimeout_ / kLeastWait, longest), longest);
-  const Duration wait = how == PollResult::told
-                            ? scaled(kBeat, kToldFor)
-                            : std::min(most, connectTimeout_ * (1 << std::min(failures_++, 8)));
+          : std::clamp(drainGrace_ / 2, std::min(connectTimeout_ / kMinBackoffParts, longest), longest);
+  const Duration wait = how == PollResult::updated
+                            ? scaled(kHeartbeatInterval, kPollInterval)
+                            : std::min(most, connectTimeout_ * (1 << std::min(failuresInRow_++, 8)));
   const double drawn = 0.5 + double(chance_()) / double(chance_.max());
-  again_ = loop_.deadlines.add(loop_.now() + scaled(wait, drawn), [this](TimePoint) { open(); });
+  nextPoll_ = loop_.deadlines.add(loop_.now() + scaled(wait, drawn), [this](TimePoint) { open(); });
 }
 
 // Guards against a watch that the old address ends in its own time, with what was told meanwhile missed: the
@@ -197,8 +197,8 @@
   if (address == address_ && link_) return;
   address_ = address, peer_ = peer;
   if (link_) loop_.closeDeferred(std::exchange(link_, {}));
-  if (again_.second) loop_.deadlines.drop(again_);
-  failures_ = lists_ = 0;
+  if (nextPoll_.second) loop_.deadlines.drop(nextPoll_);
+  failuresInRow_ = pollsSinceWatch_ = 0;
   open();
 }
 
--- a/src/net/discovery_watch.hpp
+++ b/src/net/discovery_watch.hpp
@@ -14,7 +14,7 @@
 class DiscoveryWatch;
 
 // How an ask ended: with a list; rejected; or with nothing that could be used.
-enum class PollResult { told, refused, silent };
+enum class PollResult { updated, refused, silent };
 
 // One watch: a chunked answer without end, a line of JSON for each change.
 class WatchConnection final : public Connection {
@@ -22,11 +22,11 @@
   WatchConnection(EventLoop&, DiscoveryWatch&, std::string_view message);
 
  private:
-  void connected() override { heard_ = loop_.now(); }
-  void bytesCame() override;
-  void broken() override;
-  TimePoint waitEnds() const override;
-  void waitedTooLong() override { broken(); }
+  void onConnected() override { lastHeardAt_ = loop_.now(); }
+  void onData() override;
+  void onClosed() override;
+  TimePoint waitDeadline() const override;
+  void onTimeout() override { onClosed(); }
   void takeLists();
 
   DiscoveryWatch& watch_;
@@ -35,7 +35,7 @@
   bool inBody_ = false;
   std::size_t decoded_ = 0;
   config::JsonStreamSplitter splitter_;
-  TimePoint heard_, begunAt_{};
+  TimePoint lastHeardAt_, objectBegunAt_{};
 };
 
 // One whole list, asked for where a watch is not to be had.
@@ -44,10 +44,10 @@
   PollConnection(EventLoop&, DiscoveryWatch&, std::string_view message);
 
  private:
-  void bytesCame() override;
-  void broken() override { over(PollResult::silent); }
-  TimePoint waitEnds() const override;
-  void waitedTooLong() override { over(PollResult::silent); }
+  void onData() override;
+  void onClosed() override { over(PollResult::silent); }
+  TimePoint waitDeadline() const override;
+  void onTimeout() override { over(PollResult::silent); }
   void over(PollResult);
 
   DiscoveryWatch& watch_;
@@ -70,8 +70,8 @@
   friend class WatchConnection;
   friend class PollConnection;
   void open();
-  void heard();
-  void lost(PollResult);
+  void markHealthy();
+  void scheduleNext(PollResult);
   bool take(std::string line);
 
   EventLoop& loop_;
@@ -81,9 +81,9 @@
   std::uint64_t generation_;
   Duration connectTimeout_, drainGrace_;
   SlotRef link_{};
-  core::DeadlineQueue::Ticket again_{};
-  bool silent_ = false;
-  int failures_ = 0, lists_ = 0;  // in a row; lists asked for since a watch was
+  core::DeadlineQueue::Ticket nextPoll_{};
+  bool lost_ = false;
+  int failuresInRow_ = 0, pollsSinceWatch_ = 0;  // in a row; lists asked for since a watch was
   std::ranlux24_base chance_;
 };
 
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -11,8 +11,8 @@
 
 #include "gateway_core/deadline_queue.hpp"
 #include "gateway_core/slot_table.hpp"
-#include "util/log.hpp"
 #include "net/clock.hpp"
+#include "util/log.hpp"
 
 namespace merlinbridge::net {
 
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -5,17 +5,19 @@
 
 #include <iterator>
 
+#include "net/client_connection.hpp"
+
 namespace merlinbridge::net {
 namespace {
 
 // Kept for the log, the loop, the listener, the counter and discovery.
-constexpr std::size_t kOwnDescriptors = 32;
+constexpr std::size_t kReservedDescriptors = 32;
 
 // Clients and hosts share evenly what is left: a request needs one of each.
 std::size_t shareOf(std::size_t descriptors) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) == 0) descriptors = std::min<std::size_t>(descriptors, limit.rlim_cur);
-  return std::max<std::size_t>(1, (std::max(descriptors, kOwnDescriptors) - kOwnDescriptors) / 2);
+  return std::max<std::size_t>(1, (std::max(descriptors, kReservedDescriptors) - kReservedDescriptors) / 2);
 }
 
 // What is between two neighbours only does not pass on, nor what is written anew.
@@ -56,7 +58,7 @@
 
 void Server::leave(TimePoint by) {
   core_.endBy(by);
-  clients_.leave(by);
+  clients_.drain(by);
 }
 
 void Server::answerOk(SlotRef ref, std::string_view body, std::string_view type) {
@@ -81,7 +83,7 @@
                                                     HostId host, AttemptDeadline deadline) {
   ClientConnection* const client = loop_.find<ClientConnection>(ref);
   if (!client) return Outcome::notSent;
-  const http::Message& asked = client->asked();
+  const http::Message& asked = client->message();
   const std::string_view hop = asked.get("Connection");
   message_.clear();
   fmt::format_to(std::back_inserter(message_), FMT_COMPILE("{} {} HTTP/1.1\r\nHost: {}{}{}\r\n"),
@@ -100,7 +102,7 @@
 
 bool Server::clientThere(SlotRef ref) {
   const ClientConnection* const client = loop_.find<ClientConnection>(ref);
-  return client && !client->hungUp();
+  return client && !client->peerHungUp();
 }
 
 void Server::count(const CountName& name, double units, Duration keptFor) {
--- a/src/net/server.hpp
+++ b/src/net/server.hpp
@@ -21,8 +21,8 @@
   void moveTo(const std::string& discovery, const std::string& counter);
   void leave(TimePoint by);  // not ready; answers what comes, all of it by then
   void closeIdle(Duration since = Duration{0}) { clients_.closeIdle(since); }
-  bool shut() { return clients_.shut(); }
-  void discard() { clients_.discard(); }
+  bool shut() { return clients_.stopAccepting(); }
+  void discard() { clients_.discardUnread(); }
   std::size_t unanswered() const { return core_.unanswered(); }
   bool quiet() { return unanswered() == 0 && clients_.quiet(); }  // all that was taken has its answer
   bool allClosed() { return clients_.allClosed(); }               // and every client has seen it
@@ -37,7 +37,7 @@
   bool unwritten(SlotRef link) override { return hosts_.unwritten(link); }
   bool clientThere(SlotRef client) override;
   void count(const CountName& name, double units, Duration keptFor) override;
-  void hostUnavailable(HostId host) override { hosts_.gone(host); }
+  void hostUnavailable(HostId host) override { hosts_.closeIdle(host); }
   void note(const std::string& line) override { loop_.log(Level::info, "decisions", line); }
 
   EventLoop& loop_;
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -1,6 +1,5 @@
 #include "net/upstream_pool.hpp"
 
-
 #include <charconv>
 #include <cmath>
 
@@ -24,27 +23,27 @@
 UpstreamConnection::UpstreamConnection(EventLoop& loop, UpstreamPool& hosts, HostId host)
     : Connection(loop), hosts_(hosts), host_(host), since_(loop.now()) {}
 
-std::optional<Outcome> UpstreamConnection::carry(std::string_view message, RequestId requestId,
+std::optional<Outcome> UpstreamConnection::start(std::string_view message, RequestId requestId,
                                                  AttemptNumber no, AttemptDeadline deadline) {
-  doing_ = Doing::attempt, requestId_ = requestId, no_ = no;
+  state_ = State::attempt, requestId_ = requestId, no_ = no;
   writtenBy_ = deadline.writeBy, giveUp_ = deadline.abandonAt;
   if (!isUp()) {
-    waiting_ = message;
-    watchWait();
+    queuedRequest_ = message;
+    updateWaitTimer();
     return std::nullopt;
   }
   starting_ = true;
   send({message});
   if (std::exchange(starting_, false)) {
-    if (!allWritten()) watchWait();
+    if (!allWritten()) updateWaitTimer();
     return std::nullopt;
   }
   return Outcome::noConnection;  // it broke before the last byte was written
 }
 
-void UpstreamConnection::bytesCame() {
-  if (doing_ == Doing::nothing) return hosts_.close(ref());  // nothing was asked: stray bytes
-  const auto stage = message_.advance(buffer_.data(), came());
+void UpstreamConnection::onData() {
+  if (state_ == State::idle) return hosts_.close(ref());  // nothing was asked: stray bytes
+  const auto stage = message_.advance(buffer_.data(), received());
   // An answer that cannot be read is no answer that this was kept from: it may have run.
   if (stage == http::Message::Stage::bad) return ended(Outcome::error);
   if (stage == http::Message::Stage::done) ended(outcomeOf(), readResponse());
@@ -52,9 +51,9 @@
 
 // Guards against a host that is told of time that has passed while the connection came up: the client no
 // longer has it.
-void UpstreamConnection::connected() {
-  if (waiting_.empty()) return;
-  std::string message = std::exchange(waiting_, {});
+void UpstreamConnection::onConnected() {
+  if (queuedRequest_.empty()) return;
+  std::string message = std::exchange(queuedRequest_, {});
   const std::size_t from = message.find(kDeadlineField) + kDeadlineField.size();
   message.replace(from, message.find('\r', from) - from,
                   std::to_string(millisecondsLeft(giveUp_ - loop_.now())));
@@ -64,13 +63,13 @@
   // It broke before the last byte was written: it never ran.
   if (!std::exchange(starting_, false))
     return hosts_.core_->attemptEnded(loop_.now(), requestId_, no_, Outcome::noConnection);
-  if (!allWritten()) watchWait();
+  if (!allWritten()) updateWaitTimer();
 }
 
 // Guards against an attempt whose connection comes up after its window, or once its client has gone.
 bool UpstreamConnection::mayWrite() const {
   return loop_.now() < writtenBy_ &&
-         (doing_ != Doing::attempt || starting_ || hosts_.core_->wants(requestId_));
+         (state_ != State::attempt || starting_ || hosts_.core_->wants(requestId_));
 }
 
 // By the protocol's table.
@@ -101,10 +100,10 @@
 }
 
 // Guards against an answer without a length that a reset cuts short: only the end of the stream ends it.
-void UpstreamConnection::broken() {
+void UpstreamConnection::onClosed() {
   message_.movedTo(buffer_.data());  // room was made for what did not come
   const bool answered = peerEnded() && message_.begun() && message_.ended() == http::Message::Stage::done;
-  if (doing_ == Doing::nothing) return hosts_.close(ref());
+  if (state_ == State::idle) return hosts_.close(ref());
   if (answered) return ended(outcomeOf(), readResponse());
   if (unwritten() && !mayWrite()) return ended(Outcome::notSent);
   ended(isUp() && allWritten() ? Outcome::lost : Outcome::noConnection);
@@ -112,53 +111,54 @@
 
 void UpstreamConnection::ended(Outcome outcome, const core::UpstreamResponse& response) {
   const TimePoint now = loop_.now();
-  const auto doing = std::exchange(doing_, Doing::nothing);
+  const auto doing = std::exchange(state_, State::idle);
   if (std::exchange(starting_, false)) return hosts_.close(ref());  // carry() says so
   const bool keeps = message_.stage() == http::Message::Stage::done && message_.keepsAlive() && isUp() &&
                      allWritten() && message_.size() == buffer_.size();
   // An answer that goes to the client stays in the buffer until it is written; whatever else comes of the
   // end may use this connection again.
   if (!keeps) hosts_.close(ref());
-  if (keeps && outcome != Outcome::ok) leaveAndRest();
+  if (keeps && outcome != Outcome::ok) becomeIdle();
   const SlotRef mine = ref();
-  if (doing == Doing::attempt) hosts_.core_->attemptEnded(now, requestId_, no_, outcome, response);
-  if (keeps && outcome == Outcome::ok && loop_.find(mine)) leaveAndRest();
+  if (doing == State::attempt) hosts_.core_->attemptEnded(now, requestId_, no_, outcome, response);
+  if (keeps && outcome == Outcome::ok && loop_.find(mine)) becomeIdle();
 }
 
-void UpstreamConnection::leaveAndRest() {
+void UpstreamConnection::becomeIdle() {
   buffer_.drop(buffer_.size());
   message_.clear();
   since_ = loop_.now();
-  auto& resting = hosts_.resting_;
+  auto& resting = hosts_.idleConnections_;
   if (resting.size() <= host_.value) resting.resize(host_.value + 1);
   resting[host_.value].push_back(ref());
 }
 
-TimePoint UpstreamConnection::waitEnds() const {
+TimePoint UpstreamConnection::waitDeadline() const {
   if (!isUp()) return std::min(since_ + hosts_.connectTimeout_, writtenBy_);
   // The attempt has a deadline of its own.
-  if (doing_ == Doing::attempt) return allWritten() ? loop_.now() + hosts_.idle_ : writtenBy_;
+  if (state_ == State::attempt) return allWritten() ? loop_.now() + hosts_.idle_ : writtenBy_;
   return since_ + hosts_.idle_;
 }
 
-void UpstreamConnection::waitedTooLong() {
-  if (doing_ == Doing::nothing) return hosts_.close(ref());
+void UpstreamConnection::onTimeout() {
+  if (state_ == State::idle) return hosts_.close(ref());
   if (unwritten() && !mayWrite()) return ended(Outcome::notSent);
   // Guards against resting connections to a machine that has vanished: its silence says nothing of theirs.
-  if (!isUp()) hosts_.gone(host_);
+  if (!isUp()) hosts_.closeIdle(host_);
   ended(isUp() ? Outcome::noAnswer : Outcome::noConnection);
 }
 
 // Of the connect timeout: a connection is taken again only when nothing has come on it for so long.
-constexpr int kProving = 25;
+constexpr int kReuseDelayParts = 25;
 
 // A host closes what has rested for the stated time: half of it is on the safe side, and costs nothing.
-UpstreamPool::UpstreamPool(EventLoop& loop, std::size_t most, Duration idle, Duration connectTimeout)
+UpstreamPool::UpstreamPool(EventLoop& loop, std::size_t maxConnections, Duration idle,
+                           Duration connectTimeout)
     : loop_(loop),
-      most_(most),
+      maxConnections_(maxConnections),
       idle_(idle / 2),
       connectTimeout_(connectTimeout),
-      proving_(connectTimeout / kProving) {}
+      reuseDelay_(connectTimeout / kReuseDelayParts) {}
 
 std::variant<SlotRef, Outcome> UpstreamPool::startAttempt(HostId host, std::string_view message,
                                                           RequestId requestId, AttemptNumber no,
@@ -166,7 +166,7 @@
   UpstreamConnection* const link = connectionTo(host);
   if (!link) return Outcome::notSent;
   const SlotRef ref = link->ref();
-  if (const auto ended = link->carry(message, requestId, no, deadline)) return *ended;
+  if (const auto ended = link->start(message, requestId, no, deadline)) return *ended;
   return ref;
 }
 
@@ -174,16 +174,16 @@
 // answer to the next attempt; and against stray bytes, or an end, that came in this very turn. Hurts a host
 // that is asked again at once: it gets a further connection.
 UpstreamConnection* UpstreamPool::connectionTo(HostId host) {
-  if (resting_.size() <= host.value) resting_.resize(host.value + 1);
-  for (std::size_t n = resting_[host.value].size(); n-- > 0;) {
-    const SlotRef ref = resting_[host.value][n];
+  if (idleConnections_.size() <= host.value) idleConnections_.resize(host.value + 1);
+  for (std::size_t n = idleConnections_[host.value].size(); n-- > 0;) {
+    const SlotRef ref = idleConnections_[host.value][n];
     auto* const link = loop_.find<UpstreamConnection>(ref);
-    if (link && loop_.now() - link->since() < proving_) continue;
-    resting_[host.value].erase(resting_[host.value].begin() + static_cast<std::ptrdiff_t>(n));
-    if (link && link->untouched()) return link;
+    if (link && loop_.now() - link->idleSince() < reuseDelay_) continue;
+    idleConnections_[host.value].erase(idleConnections_[host.value].begin() + static_cast<std::ptrdiff_t>(n));
+    if (link && link->nothingReceived()) return link;
     if (link) close(ref);
   }
-  if (all_.size() >= most_ && !closeOldest()) return nullptr;
+  if (all_.size() >= maxConnections_ && !evictIdle()) return nullptr;
   try {
     const SocketAddress at = parseAddress(core_->addressOf(host));
     UpstreamConnection& link = loop_.open<UpstreamConnection>(*this, host);
@@ -196,11 +196,11 @@
   }
 }
 
-bool UpstreamPool::closeOldest() {
+bool UpstreamPool::evictIdle() {
   UpstreamConnection* oldest = nullptr;
   for (const SlotRef ref : all_) {
     auto* const link = loop_.find<UpstreamConnection>(ref);
-    if (link && link->resting() && (!oldest || link->since() < oldest->since())) oldest = link;
+    if (link && link->idle() && (!oldest || link->idleSince() < oldest->idleSince())) oldest = link;
   }
   if (oldest) close(oldest->ref());
   return oldest != nullptr;
@@ -208,8 +208,8 @@
 
 void UpstreamPool::close(SlotRef ref) {
   std::erase(all_, ref);
-  if (const auto* const link = loop_.find<UpstreamConnection>(ref); link && link->resting())
-    std::erase(resting_[link->host().value], ref);
+  if (const auto* const link = loop_.find<UpstreamConnection>(ref); link && link->idle())
+    std::erase(idleConnections_[link->host().value], ref);
   loop_.closeDeferred(ref);
 }
 
@@ -222,9 +222,9 @@
   return link && link->unwritten();
 }
 
-void UpstreamPool::gone(HostId host) {
-  if (resting_.size() <= host.value) return;
-  for (const SlotRef ref : std::exchange(resting_[host.value], {})) close(ref);
+void UpstreamPool::closeIdle(HostId host) {
+  if (idleConnections_.size() <= host.value) return;
+  for (const SlotRef ref : std::exchange(idleConnections_[host.value], {})) close(ref);
 }
 
 }  // namespace merlinbridge::net
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -22,62 +22,64 @@
   UpstreamConnection(EventLoop&, UpstreamPool&, HostId);
 
   // What it is to carry, or the outcome that this had at once.
-  std::optional<Outcome> carry(std::string_view message, RequestId, AttemptNumber, AttemptDeadline);
+  std::optional<Outcome> start(std::string_view message, RequestId, AttemptNumber, AttemptDeadline);
   HostId host() const { return host_; }
-  bool resting() const { return doing_ == Doing::nothing; }
-  bool unwritten() const { return doing_ == Doing::attempt && !(isUp() && allWritten() && waiting_.empty()); }
-  TimePoint since() const { return since_; }
+  bool idle() const { return state_ == State::idle; }
+  bool unwritten() const {
+    return state_ == State::attempt && !(isUp() && allWritten() && queuedRequest_.empty());
+  }
+  TimePoint idleSince() const { return since_; }
 
  private:
-  enum class Doing { nothing, attempt };
+  enum class State { idle, attempt };
 
-  void bytesCame() override;
-  void broken() override;
-  void connected() override;
+  void onData() override;
+  void onClosed() override;
+  void onConnected() override;
   bool mayWrite() const override;
-  TimePoint waitEnds() const override;
-  void waitedTooLong() override;
+  TimePoint waitDeadline() const override;
+  void onTimeout() override;
 
   void ended(Outcome, const core::UpstreamResponse& = {});
   Outcome outcomeOf() const;
   core::UpstreamResponse readResponse() const;
-  void leaveAndRest();
+  void becomeIdle();
 
   UpstreamPool& hosts_;
   const HostId host_;
   http::Message message_{http::Message::Kind::answer};
-  Doing doing_ = Doing::nothing;
+  State state_ = State::idle;
   bool starting_ = false;
   RequestId requestId_{};
   AttemptNumber no_{};
   TimePoint since_, writtenBy_ = TimePoint::max(), giveUp_{};
-  std::string waiting_;  // the request, until the connection is up
+  std::string queuedRequest_;  // the request, until the connection is up
 };
 
 // The connections to hosts, kept for the next attempt, within their share of the descriptors.
 class UpstreamPool {
  public:
-  UpstreamPool(EventLoop&, std::size_t most, Duration idle, Duration connectTimeout);
+  UpstreamPool(EventLoop&, std::size_t maxConnections, Duration idle, Duration connectTimeout);
 
   void serve(core::GatewayCore& core) { core_ = &core; }
   std::variant<SlotRef, Outcome> startAttempt(HostId, std::string_view message, RequestId, AttemptNumber,
                                               AttemptDeadline);
   void closeAttempt(SlotRef);
   bool unwritten(SlotRef);
-  void gone(HostId);
+  void closeIdle(HostId);
 
  private:
   friend class UpstreamConnection;
   UpstreamConnection* connectionTo(HostId);
-  bool closeOldest();
+  bool evictIdle();
   void close(SlotRef);
 
   EventLoop& loop_;
   core::GatewayCore* core_ = nullptr;
-  std::size_t most_;
-  Duration idle_, connectTimeout_, proving_;
+  std::size_t maxConnections_;
+  Duration idle_, connectTimeout_, reuseDelay_;
   std::vector<SlotRef> all_;
-  std::vector<std::vector<SlotRef>> resting_;  // by host; the last to come is the first to go
+  std::vector<std::vector<SlotRef>> idleConnections_;  // by host; the last to come is the first to go
 };
 
 }  // namespace merlinbridge::net
--- a/src/policy_api/ids.hpp
+++ b/src/policy_api/ids.hpp
@@ -27,7 +27,7 @@
 // Attempts of one request count from 0.
 using AttemptNumber = Id<struct AttemptKind, std::uint32_t>;
 
-// NameTable a count on the counter service: what is counted, for whom, in which slot of time.
+// Names a count on the counter service: what is counted, for whom, in which slot of time.
 struct CountName {
   enum class What : std::uint8_t { use, open } what = What::use;
   CustomerId customer;
--- a/src/simulator_adapter/simulator_adapter.cpp
+++ b/src/simulator_adapter/simulator_adapter.cpp
@@ -109,7 +109,7 @@
       return forget(at);
     }
     if (message == "headReceived") return;  // a stream that breaks is told to have answered its client
-    if (message == "pingResult") return;  // no health checks are asked for
+    if (message == "pingResult") return;    // no health checks are asked for
     if (message == "peersKnown") return takeHosts(f, now);
     if (message == "mail") return;  // the design learns nothing from peers
     throw ConfigError("unknown message '" + std::string(message) + "'");
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -28,16 +28,16 @@
   std::string taken;
 
  private:
-  void bytesCame() override {
-    while (came() >= 3) {
+  void onData() override {
+    while (received() >= 3) {
       taken += buffer_.view().substr(0, 3);
       buffer_.drop(3);
       sendLater("yes");
     }
   }
-  void broken() override {}
-  TimePoint waitEnds() const override { return TimePoint::max(); }
-  void waitedTooLong() override {}
+  void onClosed() override {}
+  TimePoint waitDeadline() const override { return TimePoint::max(); }
+  void onTimeout() override {}
 };
 
 // Descriptors that this process has open.
