--- a/Makefile
+++ b/Makefile
@@ -1,9 +1,13 @@
-.PHONY: build test lint run
+.PHONY: build standins test lint run
 
 build:
 	cmake -B build -DCMAKE_BUILD_TYPE=Release
 	cmake --build build -j4
 
+standins:
+	cmake -B build -DCMAKE_BUILD_TYPE=Release -DMERLINBRIDGE_STANDINS=ON
+	cmake --build build -j4
+
 test:
 	./test
 
--- a/src/config/json_fields.hpp
+++ b/src/config/json_fields.hpp
@@ -13,12 +13,12 @@
 
 using simdjson::dom::element;
 
-// What came in cannot be understood; the text names the message and the field.
+/// What came in cannot be understood; the text names the message and the field.
 struct ConfigError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// Reads the fields of one message, and can say which message and field was at fault.
+/// Reads the fields of one message, and can say which message and field was at fault.
 class Fields {
  public:
   Fields(std::string_view message, std::optional<element> body) : message_(message), body_(body) {}
--- a/src/config/policy_settings_reader.hpp
+++ b/src/config/policy_settings_reader.hpp
@@ -11,7 +11,7 @@
 
 PolicySettings readPolicySettings(const Fields& profile);
 std::vector<std::string> loadFieldNames(const Fields& profile);
-// One figure of a host's load report, by either of its names. What is not known is passed over.
+/// One figure of a host's load report, by either of its names. What is not known is passed over.
 void readLoadFigure(LoadReport&, std::string_view name, double value);
 
 }  // namespace merlinbridge::config
--- a/src/config/toml_table.hpp
+++ b/src/config/toml_table.hpp
@@ -18,19 +18,19 @@
 
 namespace merlinbridge::config {
 
-// A TOML text that cannot be used; it says where, what was expected and what stands there.
+/// A TOML text that cannot be used; it says where, what was expected and what stands there.
 struct TomlError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// The least and the most of what is drawn by a seed.
+/// The least and the most of what is drawn by a seed.
 struct Range {
   double least = 0, most = 0;
 };
 
-inline constexpr double kLongest = 86'400;  // seconds: a day
+inline constexpr double kLongest = 86'400;  ///< seconds: a day
 
-// One table of the text; knows which of its keys were asked for.
+/// One table of the text; knows which of its keys were asked for.
 class TomlTable {
  public:
   TomlTable(const toml::table& table, std::string path, const std::string& file)
@@ -78,7 +78,7 @@
                             return durationOf(*value);
                           });
   }
-  // Seconds, either one time or the least and the most.
+  /// Seconds, either one time or the least and the most.
   Range range(std::string_view key, std::optional<Range> otherwise) {
     return read<Range>(key, otherwise, "a time, as \"2s\", or the least and the most, as [\"1s\", \"3s\"]",
                        [](const toml::node& node) -> std::optional<Range> {
@@ -124,7 +124,7 @@
     }
     return all;
   }
-  // Guards against a word that is misspelt and so has no effect.
+  /// Guards against a word that is misspelt and so has no effect.
   void done() const {
     for (const auto& [key, node] : table_)
       if (!used_.contains(std::string(key.str())))
@@ -177,7 +177,7 @@
   std::set<std::string> used_;
 };
 
-// The whole text as one table. Throws TomlError.
+/// The whole text as one table. Throws TomlError.
 inline toml::table parse(const std::string& text, const std::string& file) {
   try {
     return toml::parse(text, file);
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -43,8 +43,8 @@
   const net::SystemClock clock_;
   Duration longestDeadline_{};
   net::EventLoop loop_;
-  // The signals are caught before the file is read, and handled once it is served: one that comes in between
-  // must not end the process by its default.
+  /// The signals are caught before the file is read, and handled once it is served: one that comes in between
+  /// must not end the process by its default.
   net::asio::signal_set terminations_{loop_.io, SIGTERM, SIGINT};
   net::asio::signal_set hangUps_{loop_.io, SIGHUP};
   net::Server server_;
--- a/src/emulator/emulated_gateway.cpp
+++ b/src/emulator/emulated_gateway.cpp
@@ -45,7 +45,7 @@
     core_.endpointsUpdated(now, endpoints);
   }
   const std::string& addressOf(HostId host) const override { return core_.addressOf(host); }
-  void endBy(TimePoint by) override { core_.endBy(by); }
+  void answerAllBy(TimePoint by) override { core_.answerAllBy(by); }
   std::size_t unanswered() const override { return core_.unanswered(); }
 
  private:
@@ -106,7 +106,7 @@
     }
   }
   const std::string& addressOf(HostId host) const override { return serving_[host.value]; }
-  void endBy(TimePoint by) override { latest_ = by; }
+  void answerAllBy(TimePoint by) override { latest_ = by; }
   std::size_t unanswered() const override { return requests_.size(); }
 
  protected:
--- a/src/emulator/emulated_gateway.hpp
+++ b/src/emulator/emulated_gateway.hpp
@@ -8,8 +8,8 @@
 
 namespace merlinbridge::emulator {
 
-// Whoever decides at a gateway's door: the project's own core with its module, or another policy in its
-// place. The calls are the core's own.
+/// Whoever decides at a gateway's door: the project's own core with its module, or another policy in its
+/// place. The calls are the core's own.
 class EmulatedGateway {
  public:
   virtual ~EmulatedGateway() = default;
@@ -19,14 +19,15 @@
   virtual void counted(TimePoint, const CountName&, CountEnd, double total, Duration took) = 0;
   virtual void endpointsUpdated(TimePoint, const config::EndpointList&) = 0;
   virtual const std::string& addressOf(HostId) const = 0;
-  virtual void endBy(TimePoint) = 0;
+  virtual void answerAllBy(TimePoint) = 0;
   virtual std::size_t unanswered() const = 0;
 };
 
-// What only a policy that is told the truth knows.
+/// What only a policy that is told the truth knows.
 struct Truth {
-  std::function<bool(std::uint64_t customer, std::uint32_t plan, double units)> inside;  // quota and ceiling
-  std::function<double(std::string_view address)> load;  // work held over cores; below 0: of no use now
+  std::function<bool(std::uint64_t customer, std::uint32_t plan, double units)>
+      inside;                                            ///< quota and ceiling
+  std::function<double(std::string_view address)> load;  ///< work held over cores; below 0: of no use now
 };
 
 enum class Policy { module, all, even, truth };
--- a/src/emulator/event_queue.hpp
+++ b/src/emulator/event_queue.hpp
@@ -10,7 +10,7 @@
 
 namespace merlinbridge::emulator {
 
-// What is to happen, by virtual time: of two things at the same instant, the one that was put down first.
+/// What is to happen, by virtual time: of two things at the same instant, the one that was put down first.
 class EventQueue {
  public:
   using What = std::function<void()>;
@@ -23,7 +23,7 @@
     std::push_heap(heap_.begin(), heap_.end(), later);
   }
   void after(Duration span, What what) { at(now_ + span, std::move(what)); }
-  // The next thing happens; false where there is none up to that time, which then has come.
+  /// The next thing happens; false where there is none up to that time, which then has come.
   bool step(TimePoint until) {
     if (heap_.empty() || heap_.front().at > until) return now_ = std::max(now_, until), false;
     std::pop_heap(heap_.begin(), heap_.end(), later);
--- a/src/emulator/invariant_checker.cpp
+++ b/src/emulator/invariant_checker.cpp
@@ -266,8 +266,8 @@
   if (now >= started + s_.cold) return cold_.erase(machine.value), false;
   Cold& cold = cold_[machine.value];
   const auto take = [&cold](const Cold::Part& part, double sign) {
-    cold.sum += sign * part.rpcs;
-    if (part.told) cold.sumTold += sign * part.rpcs;
+    cold.sum += sign * part.requests;
+    if (part.told) cold.sumTold += sign * part.requests;
   };
   while (!cold.parts.empty() && cold.parts.front().at + s_.tip < now)
     take(cold.parts.front(), -1), cold.parts.pop_front();
--- a/src/emulator/invariant_checker.hpp
+++ b/src/emulator/invariant_checker.hpp
@@ -12,7 +12,7 @@
 
 namespace merlinbridge::emulator {
 
-using ClientAttemptId = Id<struct ClientAttemptKind>;  // one try of a client; each has a name of its own
+using ClientAttemptId = Id<struct ClientAttemptKind>;  ///< one try of a client; each has a name of its own
 using HostNumber = Id<struct HostNumberKind, std::uint32_t>;
 using GatewayNumber = Id<struct GatewayNumberKind, std::uint32_t>;
 
@@ -25,13 +25,13 @@
 struct Violation {
   TimePoint at;
   Invariant rule;
-  ClientAttemptId attemptId;  // 0 where it is no single request's
+  ClientAttemptId attemptId;  ///< 0 where it is no single request's
   std::string what;
 };
 
-// What really happened, and whether the five rules were kept. It is told by the machines and the network,
-// never by a gateway's decisions, and knows nothing of them. What it remembers is bounded by what is in
-// flight.
+/// What really happened, and whether the five rules were kept. It is told by the machines and the network,
+/// never by a gateway's decisions, and knows nothing of them. What it remembers is bounded by what is in
+/// flight.
 class InvariantChecker {
  public:
   explicit InvariantChecker(const Scenario&);
@@ -49,17 +49,17 @@
   void gatewayDied(TimePoint, GatewayNumber);
 
   void sent(TimePoint, ClientAttemptId, std::uint32_t no, HostNumber, std::uint32_t zone, std::int64_t cell);
-  // The whole of it is at the host. True: its units were inside the customer's quota. Empty: not its first.
+  /// The whole of it is at the host. True: its units were inside the customer's quota. Empty: not its first.
   std::optional<bool> reached(TimePoint, ClientAttemptId, std::uint32_t no);
   void ran(TimePoint, ClientAttemptId, std::uint32_t no, HostNumber, std::uint32_t zone, std::int64_t cell);
-  void served(TimePoint, ClientAttemptId, std::uint32_t no);  // the host has written its answer
-  // The gateway has it that this attempt is over; proven: by the protocol's table it has never run.
+  void served(TimePoint, ClientAttemptId, std::uint32_t no);  ///< the host has written its answer
+  /// The gateway has it that this attempt is over; proven: by the protocol's table it has never run.
   void over(TimePoint, ClientAttemptId, std::uint32_t no, bool proven);
 
-  // Work has come to a host that started then. True: it is cold and falls over under it.
+  /// Work has come to a host that started then. True: it is cold and falls over under it.
   bool hostAsked(TimePoint, HostNumber, TimePoint started, Duration work, bool told);
   void told(TimePoint, GatewayNumber, HostNumber, bool serving);
-  void hostForgotten(HostNumber);  // gone for so long that nobody speaks of it any more
+  void hostForgotten(HostNumber);  ///< gone for so long that nobody speaks of it any more
 
   void finish(TimePoint);
 
@@ -68,17 +68,17 @@
   std::uint64_t all() const;
   std::size_t held() const { return open_.size(); }
 
-  // Units sent on, of the plan with a ceiling that came nearest to its bound or went furthest over it, in any
-  // ten seconds: over what its rate and burst give.
+  /// Units sent on, of the plan with a ceiling that came nearest to its bound or went furthest over it, in
+  /// any ten seconds: over what its rate and burst give.
   double worstWindow() const { return worstWindow_; }
-  // What the cold host that came nearest to its budget, or went furthest over it, was sent: a share of that.
+  /// What the cold host that came nearest to its budget, or went furthest over it, was sent: a share of that.
   double nearestCold() const { return nearestCold_; }
   double unitsSent() const { return unitsSent_; }
   double unitsBeyond() const { return unitsBeyond_; }
   std::uint64_t runsTwice() const { return runsTwice_; }
-  // Would these units be inside the customer's quota, and its ceiling, right now?
+  /// Would these units be inside the customer's quota, and its ceiling, right now?
   bool wouldFit(TimePoint, std::uint64_t customer, std::uint32_t plan, double units) const;
-  // What a cold host may be sent in the time that the terms name, by the page's budget.
+  /// What a cold host may be sent in the time that the terms name, by the page's budget.
   double coldBudget(TimePoint now, TimePoint started) const;
 
  private:
@@ -98,15 +98,15 @@
     double level, ceiling;
     TimePoint at;
     std::deque<std::pair<TimePoint, double>>
-        window;  // units sent in the last ten seconds, where there is a ceiling
+        window;  ///< units sent in the last ten seconds, where there is a ceiling
     double inWindow = 0;
     TimePoint seen;
   };
   struct Cold {
     struct Part {
       TimePoint at;
-      double rpcs = 0;    // of mean work
-      bool told = false;  // the gateway had been told of the start
+      double requests = 0;  ///< of mean work
+      bool told = false;    ///< the gateway had been told of the start
     };
     std::deque<Part> parts;
     double sum = 0, sumTold = 0;
@@ -120,12 +120,13 @@
   std::optional<bool> draw(TimePoint, ClientAttemptId, Open&);
 
   const Scenario& s_;
-  double capacity_ = 1, meanWork_ = 1;  // requests a second that a warm host carries; seconds of one
+  double capacity_ = 1, meanWork_ = 1;  ///< requests a second that a warm host carries; seconds of one
   std::unordered_map<std::uint64_t, Open> open_;
   std::unordered_map<std::uint64_t, CustomerState> customers_;
   std::size_t sweepAt_ = 1024;
   std::map<std::uint32_t, Cold> cold_;
-  std::map<std::pair<std::uint32_t, std::uint32_t>, TimePoint> notServing_;  // gateway and machine: told when
+  std::map<std::pair<std::uint32_t, std::uint32_t>, TimePoint>
+      notServing_;  ///< gateway and machine: told when
   std::vector<Violation> first_;
   std::uint64_t counts_[kInvariants] = {};
   double worstWindow_ = 0, nearestCold_ = 0, unitsSent_ = 0, unitsBeyond_ = 0;
--- a/src/emulator/random_stream.hpp
+++ b/src/emulator/random_stream.hpp
@@ -9,8 +9,8 @@
 
 namespace merlinbridge::emulator {
 
-// Chance for one part of a run. Each part draws from its own stream, so that a change to one leaves what the
-// others draw as it was: two policies meet the same clients, and the same faults.
+/// Chance for one part of a run. Each part draws from its own stream, so that a change to one leaves what the
+/// others draw as it was: two policies meet the same clients, and the same faults.
 class RandomStream {
  public:
   RandomStream(std::uint64_t seed, std::string_view part) {
@@ -22,7 +22,7 @@
     engine_.seed(static_cast<std::uint32_t>(mixed ^ (mixed >> 32)));
   }
 
-  // From 0 on, under 1.
+  /// From 0 on, under 1.
   double uniform01() {
     const double high = double(engine_()), low = double(engine_());
     return (high + low / kSpan) / kSpan;
@@ -37,7 +37,7 @@
   std::uint64_t word() { return static_cast<std::uint64_t>(engine_()) << 24 | engine_(); }
 
  private:
-  static constexpr double kSpan = 16777216;  // of the engine's 24 bits
+  static constexpr double kSpan = 16777216;  ///< of the engine's 24 bits
   std::ranlux24_base engine_;
 };
 
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -103,12 +103,12 @@
   GatewayProcess(World& world, std::uint32_t number, std::uint32_t z) : w(world), no(number), zone(z) {}
 
   void answerOk(SlotRef client, std::string_view, std::string_view) override;
-  void answerRejected(SlotRef client, Duration comeBackAfter) override;
+  void answerRejected(SlotRef client, Duration retryAfter) override;
   void answerFailed(SlotRef client) override;
   std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
                                               AttemptDeadline) override;
   bool closeAttempt(SlotRef client, AttemptNumber, SlotRef link) override;
-  void count(const CountName&, double units, Duration keptFor) override;
+  void count(const CountName&, double units, Duration keepFor) override;
   void hostUnavailable(HostId host) override;
   void note(const std::string&) override {}
 
@@ -424,7 +424,7 @@
     if (process.state != GatewayProcess::State::ready) return;
     process.state = GatewayProcess::State::leaving;
     const TimePoint by = events.now() + kStillComing + std::min(sc.longestDeadline(), kLongestKept) - kSpared;
-    process.gateway->endBy(by);
+    process.gateway->answerAllBy(by);
     events.after(kStillComing / 2, [&process] { process.listed = false; });
     arm(process);
     events.after(kStillComing, [this, &process, incarnation = process.incarnation] {
@@ -510,7 +510,7 @@
     if (!a) return;  // given up on the way: the host sees no whole request
     EmulatedHost& m = hosts[a->host];
     if (cut(process.zone, m.zone) || silent(a->host)) {
-      // Nothing is said. A new connection is given up by the gateway's own patience.
+      // Nothing is said. A new connection is given up by the gateway's own timeout.
       if (a->fresh)
         events.after(sc.connectTimeout, [this, g, incarnation, ref] {
           endAttempt(g, incarnation, ref, Outcome::noConnection, true);
@@ -730,7 +730,7 @@
     std::size_t sweepAt = 4096;
   };
   void counterCalled(std::uint32_t g, std::uint64_t incarnation, SlotRef ref, CountName name, double units,
-                     Duration keptFor) {
+                     Duration keepFor) {
     CounterState& c = counters[marked(FaultKind::counterSplit, g) ? 1 : 0];
     if (any(FaultKind::counterDown, [](const Active&) { return true; })) return;
     const Duration service = scaled(sc.counterService, product(FaultKind::counterSlow));
@@ -738,13 +738,13 @@
     const TimePoint now = events.now();
     if (busy > now + sc.counterRoom * service) return counterSays(g, incarnation, ref, CountEnd::notAdded, 0);
     busy = std::max(busy, now) + service;
-    events.at(busy, [this, &c, g, incarnation, ref, name, units, keptFor] {
+    events.at(busy, [this, &c, g, incarnation, ref, name, units, keepFor] {
       const TimePoint at = events.now();
       auto& entry = c.counts
                         .try_emplace({static_cast<int>(name.what), name.customer.value, name.slot.value}, 0,
-                                     at + keptFor)
+                                     at + keepFor)
                         .first->second;
-      if (entry.second < at) entry = {0, at + keptFor};
+      if (entry.second < at) entry = {0, at + keepFor};
       entry.first += units;
       if (c.counts.size() > c.sweepAt) {
         std::erase_if(c.counts, [at](const auto& count) { return count.second.second < at; });
@@ -963,12 +963,12 @@
   w.events.after(w.delay(), [&world = w, client] { world.answerCame(client, Answer::ok, Duration{0}); });
 }
 
-void GatewayProcess::answerRejected(SlotRef client, Duration comeBackAfter) {
+void GatewayProcess::answerRejected(SlotRef client, Duration retryAfter) {
   const ClientAttempt* const t = w.clientAttempts.find(client);
   if (!t) return;
   w.checker.answered(w.events.now(), t->id, Answer::rejected);
-  w.events.after(w.delay(), [&world = w, client, comeBackAfter] {
-    world.answerCame(client, Answer::rejected, comeBackAfter);
+  w.events.after(w.delay(), [&world = w, client, retryAfter] {
+    world.answerCame(client, Answer::rejected, retryAfter);
   });
 }
 
@@ -1022,11 +1022,11 @@
   return true;
 }
 
-void GatewayProcess::count(const CountName& name, double units, Duration keptFor) {
+void GatewayProcess::count(const CountName& name, double units, Duration keepFor) {
   ++w.metrics.countCalls, ++w.second().countCalls;
   const SlotRef ref = calls.add(Call{name, w.events.now()});
-  w.events.after(w.delay(), [&world = w, g = no, l = incarnation, ref, name, units, keptFor] {
-    world.counterCalled(g, l, ref, name, units, keptFor);
+  w.events.after(w.delay(), [&world = w, g = no, l = incarnation, ref, name, units, keepFor] {
+    world.counterCalled(g, l, ref, name, units, keepFor);
   });
   w.events.after(w.sc.counterTimeout, [&world = w, g = no, l = incarnation, ref] {
     world.counted(g, l, ref, CountEnd::unknown, 0);
--- a/src/gateway_core/deadline_queue.hpp
+++ b/src/gateway_core/deadline_queue.hpp
@@ -10,7 +10,7 @@
 
 namespace merlinbridge::core {
 
-// All that is to happen at a time, in one ordered structure: of two that are due together, the older first.
+/// All that is to happen at a time, in one ordered structure: of two that are due together, the older first.
 class DeadlineQueue {
  public:
   using Ticket = std::pair<TimePoint, std::uint64_t>;
@@ -24,7 +24,7 @@
   void drop(Ticket ticket) { waiting_.erase(ticket); }
   TimePoint next() const { return waiting_.empty() ? TimePoint::max() : waiting_.begin()->first.first; }
 
-  // What is added meanwhile waits for the next run, so that none can keep the loop to itself.
+  /// What is added meanwhile waits for the next run, so that none can keep the loop to itself.
   void run(TimePoint now) {
     const std::uint64_t until = last_;
     for (auto at = waiting_.begin(); at != waiting_.end() && at->first.first <= now; at = waiting_.begin()) {
@@ -35,7 +35,7 @@
       due.mapped()(now);
     }
   }
-  // By how much the loop has lately come late, or does now.
+  /// By how much the loop has lately come late, or does now.
   Duration late(TimePoint now) const { return waiting_.empty() ? late_ : std::max(late_, now - next()); }
 
  private:
--- a/src/gateway_core/gateway_core.hpp
+++ b/src/gateway_core/gateway_core.hpp
@@ -14,41 +14,41 @@
 
 namespace merlinbridge::core {
 
-// What the core has the adapters do.
+/// What the core has the adapters do.
 class Transport {
  public:
   virtual ~Transport() = default;
   virtual void answerOk(SlotRef client, std::string_view body, std::string_view type) = 0;
-  virtual void answerRejected(SlotRef client, Duration comeBackAfter) = 0;
+  virtual void answerRejected(SlotRef client, Duration retryAfter) = 0;
   virtual void answerFailed(SlotRef client) = 0;
-  // Either the link that carries it, or the outcome that it had at once.
+  /// Either the link that carries it, or the outcome that it had at once.
   virtual std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
                                                       AttemptDeadline) = 0;
-  // True: it has ended by that. Else its end is still to come.
+  /// True: it has ended by that. Else its end is still to come.
   virtual bool closeAttempt(SlotRef client, AttemptNumber, SlotRef link) = 0;
-  // Not all of it is written yet: given up now, it never reaches a host.
+  /// Not all of it is written yet: given up now, it never reaches a host.
   virtual bool unwritten(SlotRef) { return false; }
-  // False: its connection has ended, be that end read yet or not.
+  /// False: its connection has ended, be that end read yet or not.
   virtual bool clientThere(SlotRef) { return true; }
-  virtual void count(const CountName&, double units, Duration keptFor) = 0;
-  virtual void hostUnavailable(HostId) = 0;  // it wants nothing new: what rests towards it may go
+  virtual void count(const CountName&, double units, Duration keepFor) = 0;
+  virtual void hostUnavailable(HostId) = 0;  ///< it wants nothing new: what rests towards it may go
   virtual void note(const std::string& line) = 0;
 };
 
-// What a host's answer says besides its outcome.
+/// What a host's answer says besides its outcome.
 struct UpstreamResponse {
   std::string_view body, type;
   double trueUnits = 0;
   LoadReport load{};
-  std::optional<Duration> took = {};  // where the adapter knows it better than the clock does
-  bool answered = false;              // the client has had its answer without the core's doing
+  std::optional<Duration> took = {};  ///< where the adapter knows it better than the clock does
+  bool answered = false;              ///< the client has had its answer without the core's doing
 };
 
-// Who ends attempts at their time: the core, by its deadlines, or the adapter.
+/// Who ends attempts at their time: the core, by its deadlines, or the adapter.
 enum class Timekeeper { core, adapter };
 
-// The core of the daemon, without I/O: the requests in numbered slots, the hosts' names and addresses, and
-// all deadlines. It carries the module's decisions to the adapters and hands back what came of them.
+/// The core of the daemon, without I/O: the requests in numbered slots, the hosts' names and addresses, and
+/// all deadlines. It carries the module's decisions to the adapters and hands back what came of them.
 class GatewayCore final : private DecisionSink {
  public:
   GatewayCore(const config::GatewayConfig&, TimePoint now, DeadlineQueue&, Transport&,
@@ -58,18 +58,18 @@
   const PolicySettings& settings() const { return settings_; }
   const std::string& addressOf(HostId host) const { return addresses_[host.value]; }
   const std::string& nameOf(HostId host) const { return hosts_.word(host); }
-  HostId hostNamed(std::string_view name) const;  // throws std::out_of_range
+  HostId hostNamed(std::string_view name) const;  ///< throws std::out_of_range
   bool holds(RequestId requestId) { return find(requestId) != nullptr; }
   std::size_t unanswered() const { return unanswered_; }
-  bool wants(RequestId);  // it has had no answer, and its client is there to get one
+  bool wants(RequestId);  ///< it has had no answer, and its client is there to get one
 
   RequestId requestArrived(TimePoint now, SlotRef client, Request);
   void clientLeft(TimePoint now, RequestId);
   void attemptEnded(TimePoint now, RequestId, AttemptNumber, Outcome, const UpstreamResponse& = {});
   void counted(TimePoint now, const CountName&, CountEnd, double total, Duration took);
   void endpointsUpdated(TimePoint now, const config::EndpointList&);
-  // This gateway is ended at that time: whatever is still without an answer gets one before.
-  void endBy(TimePoint);
+  /// This gateway is ended at that time: whatever is still without an answer gets one before.
+  void answerAllBy(TimePoint);
 
  private:
   struct Attempt {
@@ -89,30 +89,30 @@
 
   void startAttempt(RequestId, HostId, AttemptDeadline) override;
   void cancel(RequestId, AttemptNumber) override;
-  void reject(RequestId, Duration comeBackAfter) override;
+  void reject(RequestId, Duration retryAfter) override;
   void fail(RequestId) override;
-  void addToCount(const CountName&, double units, Duration keptFor) override;
+  void addToCount(const CountName&, double units, Duration keepFor) override;
   void wakeAt(TimePoint, TimerId) override;
   void note(const std::string& line) override;
 
   PendingRequest* find(RequestId requestId) { return requests_.find(SlotRef::unpacked(requestId.value)); }
-  PendingRequest* owed(RequestId);
+  PendingRequest* takeUnanswered(RequestId);
   void abandonAttempt(TimePoint now, RequestId, AttemptNumber, Outcome);
   void expire(TimePoint now, RequestId);
-  void settle(TimePoint now, RequestId);
-  std::optional<HostId> numberOf(const config::Endpoint&);
+  void runDeferred(TimePoint now, RequestId);
+  std::optional<HostId> hostIdFor(const config::Endpoint&);
 
   const PolicySettings settings_;
-  const Duration slack_, forgets_;
-  const bool keepsTime_;
-  TimePoint now_, latest_ = TimePoint::max();
+  const Duration answerSlack_, maxDeadline_;
+  const bool enforcesDeadlines_;
+  TimePoint now_, answerAllBy_ = TimePoint::max();
   NameTables names_;
   DeadlineQueue& deadlines_;
   Transport& transport_;
   SlotTable<PendingRequest> requests_;
   std::size_t unanswered_ = 0;
-  std::deque<std::function<void(TimePoint)>> soon_;  // ends that came while the module was still at it
-  bool settling_ = false;
+  std::deque<std::function<void(TimePoint)>> deferred_;  ///< ends that came while the module was still at it
+  bool runningDeferred_ = false;
   NameTable<HostId> hosts_;
   std::vector<std::string> addresses_;
   std::vector<Duration> startedAt_;
--- a/src/gateway_core/name_table.hpp
+++ b/src/gateway_core/name_table.hpp
@@ -9,13 +9,13 @@
 
 namespace merlinbridge::core {
 
-// Names to dense ids, in the order in which they were first heard.
+/// Names to dense ids, in the order in which they were first heard.
 template <class Key>
 class NameTable {
  public:
   NameTable() = default;
   explicit NameTable(const std::vector<std::string>& names) {
-    for (const std::string& name : names) {  // each has its place, even one without a name
+    for (const std::string& name : names) {  ///< each has its place, even one without a name
       ids_.emplace(name, static_cast<std::uint32_t>(names_.size()));
       names_.push_back(name);
     }
@@ -29,7 +29,7 @@
     names_.emplace_back(name);
     return {ids_.emplace(name, static_cast<std::uint32_t>(names_.size() - 1)).first->second};
   }
-  // Another name takes over the number of one that is no more.
+  /// Another name takes over the number of one that is no more.
   void rename(Key id, std::string_view name) {
     ids_.erase(names_[id.value]);
     names_[id.value] = name;
--- a/src/gateway_core/request_parser.hpp
+++ b/src/gateway_core/request_parser.hpp
@@ -8,7 +8,7 @@
 
 namespace merlinbridge::core {
 
-// The kinds of name that clients and discovery use, as dense ids.
+/// The kinds of name that clients and discovery use, as dense ids.
 struct NameTables {
   NameTable<MethodId> methods;
   NameTable<PlanId> plans;
@@ -16,10 +16,10 @@
   NameTable<MachineId> machines;
 };
 
-// What a client's message says of its request; where it cannot be one, `fault` says why.
+/// What a client's message says of its request; where it cannot be one, `fault` says why.
 struct ParsedRequest {
   std::string_view fault;
-  Request request;  // without the request's id; the deadline counted from the time given
+  Request request;  ///< without the request's id; the deadline counted from the time given
 };
 
 ParsedRequest parseRequest(const http::Message&, const NameTables&, const PolicySettings&, TimePoint came);
--- a/src/gateway_core/slot_table.hpp
+++ b/src/gateway_core/slot_table.hpp
@@ -8,9 +8,9 @@
 
 namespace merlinbridge::core {
 
-// A numbered slot, and which of its generations is meant: what comes late for an earlier one finds nothing.
+/// A numbered slot, and which of its generations is meant: what comes late for an earlier one finds nothing.
 struct SlotRef {
-  std::uint32_t slot = 0, generation = 0;  // generations count from 1
+  std::uint32_t slot = 0, generation = 0;  ///< generations count from 1
   std::uint64_t packed() const { return std::uint64_t{generation} << 32 | slot; }
   static SlotRef unpacked(std::uint64_t from) {
     return {static_cast<std::uint32_t>(from), static_cast<std::uint32_t>(from >> 32)};
@@ -19,7 +19,7 @@
   bool operator==(const SlotRef&) const = default;
 };
 
-// A table of numbered slots. Rows stay where they are while others come and go.
+/// A table of numbered slots. Rows stay where they are while others come and go.
 template <class T>
 class SlotTable {
  public:
@@ -50,7 +50,7 @@
     --held_;
   }
   std::size_t size() const { return held_; }
-  // In the order of the slots; none may come or go meanwhile.
+  /// In the order of the slots; none may come or go meanwhile.
   template <class What>
   void each(What what) {
     for (std::uint32_t slot = 0; slot < rows_.size(); ++slot)
--- a/src/http/chunks.cpp
+++ b/src/http/chunks.cpp
@@ -46,7 +46,7 @@
       return takeSize(c);
     case At::extension:
       if (c == '\r') at_ = At::sizeEnd;
-      return c != '\n' && ++framing_ <= kMostHead;
+      return c != '\n' && ++framing_ <= kMaxHeadBytes;
     case At::sizeEnd:
       at_ = left_ > 0 ? At::data : At::trailer;
       framing_ = 0;
@@ -61,7 +61,7 @@
       return c != '\n';
     case At::trailerLine:
       if (c == '\n') at_ = At::trailer;
-      return ++framing_ <= kMostHead;
+      return ++framing_ <= kMaxHeadBytes;
     case At::lastEnd:
       at_ = At::done;
       return c == '\n';
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -34,7 +34,7 @@
   return std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return lower(x) == lower(y); });
 }
 
-bool holdsWord(std::string_view list, std::string_view word) {
+bool listContains(std::string_view list, std::string_view word) {
   while (!list.empty()) {
     const auto comma = std::min(list.find(','), list.size());
     if (same(trimmed(list.substr(0, comma)), word)) return true;
@@ -77,7 +77,7 @@
     const std::size_t from = std::max(start_, headSeen_ > 3 ? headSeen_ - 3 : 0);
     const std::size_t end = bytes.find("\r\n\r\n", from);
     headSeen_ = size;
-    if (std::min(end, size) > kMostHead) return bad(431);
+    if (std::min(end, size) > kMaxHeadBytes) return bad(431);
     if (end == std::string_view::npos) return stage_;
     headEnd_ = end + 4;
     if (readHead() == Stage::bad) return stage_;
@@ -104,7 +104,7 @@
     const char* const at = static_cast<const char*>(std::memchr(data_ + from, '\r', last - from));
     const std::size_t to = static_cast<std::size_t>(at - data_);
     if (data_[to + 1] != '\n') return bad(400);
-    if (fields_.size() >= kMostFields) return bad(431);
+    if (fields_.size() >= kMaxFields) return bad(431);
     if (!(first ? readStartLine(from, to) : readField(from, to))) return bad(400);
     from = to + 2;
   }
@@ -166,13 +166,13 @@
       if (!coding.empty() || !same(value, "chunked")) return bad(400);
       coding = value;
     } else if (same(name, "Connection")) {
-      if (holdsWord(value, "close")) keepAlive_ = false;
+      if (listContains(value, "close")) keepAlive_ = false;
       connection = value;
     } else if (same(name, "Expect") && same(value, "100-continue")) {
       expects_ = true;
     }
   }
-  if (oldVersion_ && !holdsWord(connection, "keep-alive")) keepAlive_ = false;
+  if (oldVersion_ && !listContains(connection, "keep-alive")) keepAlive_ = false;
   if (!coding.empty() && (hasLength || oldVersion_)) return bad(400);
   framing_ = !coding.empty() ? Framing::chunked : hasLength ? Framing::length : Framing::none;
   if (kind_ == Kind::answer && framing_ == Framing::none && status_ != 204 && status_ != 304)
@@ -181,7 +181,7 @@
   decoded_ = raw_ = headEnd_;
   stage_ = Stage::body;
   if (wanted_ == Body::streamed) return stage_ = Stage::done;
-  if (framing_ == Framing::length && length_ > mostBody_) return bad(413);
+  if (framing_ == Framing::length && length_ > maxBodyBytes_) return bad(413);
   return stage_;
 }
 
@@ -192,12 +192,12 @@
     const auto end = chunks_.take(data_, decoded_, raw_, size);
     if (end == Chunks::End::bad) return bad(400);
     // What frames the chunks is bounded too: guards against a long wrapping round a short body.
-    if (decoded_ - headEnd_ > mostBody_ || raw_ - headEnd_ > 2 * mostBody_) return bad(413);
+    if (decoded_ - headEnd_ > maxBodyBytes_ || raw_ - headEnd_ > 2 * maxBodyBytes_) return bad(413);
     if (end == Chunks::End::done) stage_ = Stage::done;
   } else {
     const std::size_t wanted = framing_ == Framing::length ? headEnd_ + length_ : size;
     decoded_ = raw_ = std::min(size, wanted);
-    if (decoded_ - headEnd_ > mostBody_) return bad(413);
+    if (decoded_ - headEnd_ > maxBodyBytes_) return bad(413);
     if (framing_ == Framing::length && raw_ == wanted) stage_ = Stage::done;
   }
   return stage_;
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -9,33 +9,33 @@
 
 namespace merlinbridge::http {
 
-// The protocol's bound on a body, and ours on a head.
-constexpr std::size_t kMostBody = 64 * 1024, kMostHead = 16 * 1024, kMostFields = 96;
+/// The protocol's bound on a body, and ours on a head.
+constexpr std::size_t kMaxBodyBytes = 64 * 1024, kMaxHeadBytes = 16 * 1024, kMaxFields = 96;
 
-// Whether two names of fields, or two of their words, are the same.
+/// Whether two names of fields, or two of their words, are the same.
 bool same(std::string_view a, std::string_view b);
-// Whether a list of words, parted by commas, holds one.
-bool holdsWord(std::string_view list, std::string_view word);
+/// Whether a list of words, parted by commas, holds one.
+bool listContains(std::string_view list, std::string_view word);
 
-// One HTTP/1.1 message at the start of a buffer, read bit by bit. The buffer may move between two calls of
-// advance(), but what has been seen must stay as it was; the views are good until it moves.
+/// One HTTP/1.1 message at the start of a buffer, read bit by bit. The buffer may move between two calls of
+/// advance(), but what has been seen must stay as it was; the views are good until it moves.
 class Message {
  public:
   enum class Kind { request, answer };
-  enum class Body { whole, streamed };  // streamed: done with the head, the reader takes the rest
+  enum class Body { whole, streamed };  ///< streamed: done with the head, the reader takes the rest
   enum class Stage { head, body, done, bad };
   struct Field {
     std::string_view name, value;
   };
 
-  explicit Message(Kind kind, Body body = Body::whole, std::size_t mostBody = kMostBody)
-      : kind_(kind), wanted_(body), mostBody_(mostBody) {}
+  explicit Message(Kind kind, Body body = Body::whole, std::size_t maxBodyBytes = kMaxBodyBytes)
+      : kind_(kind), wanted_(body), maxBodyBytes_(maxBodyBytes) {}
 
   Stage advance(char* data, std::size_t size);
-  // The peer has closed: an answer of no stated length ends so.
+  /// The peer has closed: an answer of no stated length ends so.
   Stage ended();
   void clear();
-  // The buffer has moved since.
+  /// The buffer has moved since.
   void movedTo(char* data) { data_ = data; }
 
   Stage stage() const { return stage_; }
@@ -52,7 +52,7 @@
   std::size_t bodyAt() const { return headEnd_; }
   std::size_t fields() const { return fields_.size(); }
   Field field(std::size_t at) const { return {view(fields_[at].name), view(fields_[at].value)}; }
-  std::string_view get(std::string_view name) const;  // empty where there is none
+  std::string_view get(std::string_view name) const;  ///< empty where there is none
 
  private:
   enum class Framing { none, length, chunked, untilClose };
@@ -73,7 +73,7 @@
 
   const Kind kind_;
   const Body wanted_;
-  const std::size_t mostBody_;
+  const std::size_t maxBodyBytes_;
   char* data_ = nullptr;
   Stage stage_ = Stage::head;
   int blame_ = 0, status_ = 0;
--- a/src/net/buffer.hpp
+++ b/src/net/buffer.hpp
@@ -8,7 +8,7 @@
 
 namespace merlinbridge::net {
 
-// A connection's bytes: grows as it needs, is compacted in place, and gives its memory back when empty.
+/// A connection's bytes: grows as it needs, is compacted in place, and gives its memory back when empty.
 class Buffer {
  public:
   char* data() { return bytes_.get() + from_; }
@@ -16,7 +16,7 @@
   bool empty() const { return from_ == to_; }
   std::string_view view() const { return {bytes_.get() + from_, size()}; }
 
-  // Room for n more bytes at the end, which may move those that are there.
+  /// Room for n more bytes at the end, which may move those that are there.
   char* room(std::size_t n) {
     if (capacity_ - to_ >= n) return bytes_.get() + to_;
     const std::size_t held = size();
@@ -43,7 +43,7 @@
     if (from_ == to_) from_ = to_ = 0;
     if (to_ == 0 && capacity_ > kRetainedCapacity) bytes_.reset(), capacity_ = 0;
   }
-  // Takes out what lies between two places, both counted from the start.
+  /// Takes out what lies between two places, both counted from the start.
   void cut(std::size_t from, std::size_t to) {
     if (from == to) return;
     std::memmove(data() + from, data() + to, size() - to);
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -17,7 +17,7 @@
 // Checks in that time for an end that stands behind much that was pipelined.
 constexpr int kEndChecks = 3;
 // All clients together may have so much buffered that is read only for the sake of their end.
-constexpr std::size_t kMaxPipelinedBytes = 32 * (http::kMostHead + http::kMostBody);
+constexpr std::size_t kMaxPipelinedBytes = 32 * (http::kMaxHeadBytes + http::kMaxBodyBytes);
 constexpr std::size_t kMaxAnswerHead = 256;
 
 std::string_view phraseOf(int status) {
@@ -195,13 +195,13 @@
 
 bool ClientConnection::mustPause() const {
   return (state_ == State::awaitingAnswer || parsing_) &&
-         buffer_.size() > std::max(message_.size() + http::kMostHead, pipelineAllowance_);
+         buffer_.size() > std::max(message_.size() + http::kMaxHeadBytes, pipelineAllowance_);
 }
 
 // The end of a client right behind what it sent is its leaving, also where that would be read too late.
 std::size_t ClientConnection::readAheadLimit() const {
   const bool receives = state_ == State::receiving || state_ == State::deciding;
-  return receives ? http::kMostHead + http::kMostBody : 0;
+  return receives ? http::kMaxHeadBytes + http::kMaxBodyBytes : 0;
 }
 
 TimePoint ClientConnection::waitDeadline() const {
--- a/src/net/client_listener.hpp
+++ b/src/net/client_listener.hpp
@@ -36,7 +36,7 @@
   /// No client is in the middle of a request or of an answer.
   bool quiet();
 
-  // What a connection asks of the listener, and tells it.
+  /// What a connection asks of the listener, and tells it.
   core::GatewayCore& core() { return *core_; }
   bool ready() const { return ready_; }
   bool draining() const { return draining_; }
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -12,7 +12,7 @@
   virtual TimePoint now() const = 0;
 };
 
-// Unix time, as every machine reads it (counts and cold starts go by it), but never set back.
+/// Unix time, as every machine reads it (counts and cold starts go by it), but never set back.
 class SystemClock final : public Clock {
  public:
   TimePoint now() const override { return TimePoint(began_ + (std::chrono::steady_clock::now() - steady_)); }
--- a/src/net/counter_client.cpp
+++ b/src/net/counter_client.cpp
@@ -133,7 +133,7 @@
 }
 
 // The first connection that is free, else the one with the fewest calls on it.
-void CounterClient::add(const CountName& name, double units, Duration keptFor) {
+void CounterClient::add(const CountName& name, double units, Duration keepFor) {
   CounterConnection* least = nullptr;
   for (std::size_t n = 0; n < links_.size() && !(least && least->waiting() == 0); ++n) {
     auto* link = loop_.find<CounterConnection>(links_[n]);
@@ -144,7 +144,7 @@
     }
     if (!least || link->waiting() < least->waiting()) least = link;
   }
-  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(keptFor).count();
+  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(keepFor).count();
   std::array<char, 256> line{};
   const auto end = fmt::format_to_n(
       line.data(), line.size(),
--- a/src/net/counter_client.hpp
+++ b/src/net/counter_client.hpp
@@ -12,21 +12,21 @@
 
 class CounterClient;
 
-// One connection to the counter: calls are written one after another, their answers come in the same order.
+/// One connection to the counter: calls are written one after another, their answers come in the same order.
 class CounterConnection final : public Connection {
  public:
   CounterConnection(EventLoop&, CounterClient&, std::size_t number);
 
   void call(const CountName&, std::string_view message);
   std::size_t waiting() const { return calls_.size(); }
-  void retire();  // no further calls: it ends when those on it have ended
+  void retire();  ///< no further calls: it ends when those on it have ended
 
  private:
   struct Call {
     CountName name;
     TimePoint madeAt;
     core::DeadlineQueue::Ticket timeout;
-    bool reported;  // the module has been told how it ended
+    bool reported;  ///< the module has been told how it ended
   };
 
   void onData() override;
@@ -40,19 +40,19 @@
   const std::size_t number_;
   http::Message message_{http::Message::Kind::answer};
   std::deque<Call> calls_;
-  std::uint64_t first_ = 0;  // number of the first of them, counted from when the connection was made
+  std::uint64_t first_ = 0;  ///< number of the first of them, counted from when the connection was made
   TimePoint lastHeardAt_;
   bool retired_ = false;
 };
 
-// The counter service, over few connections.
+/// The counter service, over few connections.
 class CounterClient {
  public:
   CounterClient(EventLoop&, std::string address, Duration timeout, Duration connectTimeout, Duration idle);
 
   void serve(core::GatewayCore& core) { core_ = &core; }
-  void add(const CountName&, double units, Duration keptFor);
-  // From now on calls go there; what is under way ends where it is. Throws std::invalid_argument.
+  void add(const CountName&, double units, Duration keepFor);
+  /// From now on calls go there; what is under way ends where it is. Throws std::invalid_argument.
   void moveTo(const std::string& address);
 
  private:
--- a/src/net/discovery_watch.hpp
+++ b/src/net/discovery_watch.hpp
@@ -13,10 +13,10 @@
 
 class DiscoveryWatch;
 
-// How an ask ended: with a list; rejected; or with nothing that could be used.
+/// How an ask ended: with a list; rejected; or with nothing that could be used.
 enum class PollResult { updated, refused, silent };
 
-// One watch: a chunked answer without end, a line of JSON for each change.
+/// One watch: a chunked answer without end, a line of JSON for each change.
 class WatchConnection final : public Connection {
  public:
   WatchConnection(EventLoop&, DiscoveryWatch&, std::string_view message);
@@ -38,7 +38,7 @@
   TimePoint lastHeardAt_, objectBegunAt_{};
 };
 
-// One whole list, asked for where a watch is not to be had.
+/// One whole list, asked for where a watch is not to be had.
 class PollConnection final : public Connection {
  public:
   PollConnection(EventLoop&, DiscoveryWatch&, std::string_view message);
@@ -55,15 +55,15 @@
   const TimePoint since_;
 };
 
-// Discovery: keeps a watch open from the last list that was told; while it has none, it asks for whole lists
-// and now and then for a watch again.
+/// Discovery: keeps a watch open from the last list that was told; while it has none, it asks for whole lists
+/// and now and then for a watch again.
 class DiscoveryWatch {
  public:
   DiscoveryWatch(EventLoop&, std::string address, std::uint64_t from, Duration connectTimeout,
                  Duration drainGrace, std::uint64_t seed);
 
   void serve(core::GatewayCore& core);
-  // From now on the list comes from here, on from the last generation. Throws std::invalid_argument.
+  /// From now on the list comes from here, on from the last generation. Throws std::invalid_argument.
   void moveTo(const std::string& address);
 
  private:
@@ -83,7 +83,7 @@
   SlotRef link_{};
   core::DeadlineQueue::Ticket nextPoll_{};
   bool lost_ = false;
-  int failuresInRow_ = 0, pollsSinceWatch_ = 0;  // in a row; lists asked for since a watch was
+  int failuresInRow_ = 0, pollsSinceWatch_ = 0;  ///< in a row; lists asked for since a watch was
   std::ranlux24_base chance_;
 };
 
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -25,10 +25,10 @@
 
 class Connection;
 
-// "10.0.0.4:8080"; throws std::invalid_argument.
+/// "10.0.0.4:8080"; throws std::invalid_argument.
 SocketAddress parseAddress(const std::string& address);
 
-// The one thread's loop: all connections in numbered slots, all deadlines, and what every turn ends with.
+/// The one thread's loop: all connections in numbered slots, all deadlines, and what every turn ends with.
 class EventLoop {
  public:
   EventLoop(Log& lines, const Clock&);
@@ -36,7 +36,7 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // The time of this turn, read once.
+  /// The time of this turn, read once.
   TimePoint now() {
     if (!turnAt_) turnAt_ = clock_.now();
     return *turnAt_;
@@ -53,15 +53,15 @@
     made.ref_ = ref;
     return made;
   }
-  // What is due may wait for so long to ride on a turn that comes for something else.
+  /// What is due may wait for so long to ride on a turn that comes for something else.
   void coalesceTimersWithin(Duration ride) { coalesceWithin_ = ride; }
-  // Closes a connection at once; it lives on until the turn ends.
+  /// Closes a connection at once; it lives on until the turn ends.
   void closeDeferred(SlotRef);
   void flushLater(SlotRef ref) { toFlush_.push_back(ref); }
-  // Every handler ends with it: what is due is done, what was put off is written, the timer is set.
+  /// Every handler ends with it: what is due is done, what was put off is written, the timer is set.
   void endTurn();
 
-  asio::io_context io{BOOST_ASIO_CONCURRENCY_HINT_UNSAFE};  // one thread: no locks
+  asio::io_context io{BOOST_ASIO_CONCURRENCY_HINT_UNSAFE};  ///< one thread: no locks
   Strand strand;
   core::DeadlineQueue deadlines;
   Log& log;
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -57,7 +57,7 @@
 }
 
 void Server::leave(TimePoint by) {
-  core_.endBy(by);
+  core_.answerAllBy(by);
   clients_.drain(by);
 }
 
@@ -68,11 +68,11 @@
   client->answer(200, fmt::format(FMT_COMPILE("Content-Type: {}\r\n"), type), body);
 }
 
-void Server::answerRejected(SlotRef ref, Duration comeBackAfter) {
+void Server::answerRejected(SlotRef ref, Duration retryAfter) {
   ClientConnection* const client = loop_.find<ClientConnection>(ref);
   if (!client) return;
-  if (comeBackAfter <= Duration{0}) return client->answer(429, "", "");
-  client->answer(429, fmt::format(FMT_COMPILE("Retry-After: {:.3f}\r\n"), seconds(comeBackAfter)), "");
+  if (retryAfter <= Duration{0}) return client->answer(429, "", "");
+  client->answer(429, fmt::format(FMT_COMPILE("Retry-After: {:.3f}\r\n"), seconds(retryAfter)), "");
 }
 
 void Server::answerFailed(SlotRef ref) {
@@ -91,7 +91,7 @@
                  millisecondsLeft(deadline.abandonAt - loop_.now()));
   for (std::size_t n = 0; n < asked.fields(); ++n) {
     const auto [name, value] = asked.field(n);
-    if (passesOn(name) && !http::holdsWord(hop, name))
+    if (passesOn(name) && !http::listContains(hop, name))
       message_.append(name).append(": ").append(value).append("\r\n");
   }
   if (!asked.body().empty() || asked.method() != "GET")
@@ -105,8 +105,8 @@
   return client && !client->peerHungUp();
 }
 
-void Server::count(const CountName& name, double units, Duration keptFor) {
-  counter_.add(name, units, keptFor);
+void Server::count(const CountName& name, double units, Duration keepFor) {
+  counter_.add(name, units, keepFor);
 }
 
 }  // namespace merlinbridge::net
--- a/src/net/server.hpp
+++ b/src/net/server.hpp
@@ -10,16 +10,16 @@
 
 namespace merlinbridge::net {
 
-// The sockets round the core: carries what it decides to clients, hosts and the counter.
+/// The sockets round the core: carries what it decides to clients, hosts and the counter.
 class Server final : private core::Transport {
  public:
   Server(EventLoop&, const config::GatewayConfig&);
 
-  void serve();  // clients are accepted, discovery is watched
-  // Where discovery and the counter are from now on. Throws std::invalid_argument, and then nothing has
-  // moved.
+  void serve();  ///< clients are accepted, discovery is watched
+  /// Where discovery and the counter are from now on. Throws std::invalid_argument, and then nothing has
+  /// moved.
   void moveTo(const std::string& discovery, const std::string& counter);
-  void leave(TimePoint by);  // not ready; answers what comes, all of it by then
+  void leave(TimePoint by);  ///< not ready; answers what comes, all of it by then
   void closeIdle(Duration since = Duration{0}) { clients_.closeIdle(since); }
   bool shut() { return clients_.stopAccepting(); }
   void discard() { clients_.discardUnread(); }
@@ -29,14 +29,14 @@
 
  private:
   void answerOk(SlotRef client, std::string_view body, std::string_view type) override;
-  void answerRejected(SlotRef client, Duration comeBackAfter) override;
+  void answerRejected(SlotRef client, Duration retryAfter) override;
   void answerFailed(SlotRef client) override;
   std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
                                               AttemptDeadline) override;
   bool closeAttempt(SlotRef, AttemptNumber, SlotRef link) override { return hosts_.closeAttempt(link), true; }
   bool unwritten(SlotRef link) override { return hosts_.unwritten(link); }
   bool clientThere(SlotRef client) override;
-  void count(const CountName& name, double units, Duration keptFor) override;
+  void count(const CountName& name, double units, Duration keepFor) override;
   void hostUnavailable(HostId host) override { hosts_.closeIdle(host); }
   void note(const std::string& line) override { loop_.log(Level::info, "decisions", line); }
 
@@ -45,7 +45,7 @@
   UpstreamPool hosts_;
   CounterClient counter_;
   DiscoveryWatch watch_;
-  std::string message_;  // the attempt that is being written
+  std::string message_;  ///< the attempt that is being written
   core::GatewayCore core_;
 };
 
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -12,16 +12,16 @@
 
 class UpstreamPool;
 
-// The request's field that tells a host how long its answer is waited for, as the gateway writes it.
+/// The request's field that tells a host how long its answer is waited for, as the gateway writes it.
 inline constexpr std::string_view kDeadlineField = "\r\nReq-Deadline-Ms: ";
-long millisecondsLeft(Duration);  // rounded up, one at least
+long millisecondsLeft(Duration);  ///< rounded up, one at least
 
-// A connection to a host: one attempt at a time, between them it rests.
+/// A connection to a host: one attempt at a time, between them it rests.
 class UpstreamConnection final : public Connection {
  public:
   UpstreamConnection(EventLoop&, UpstreamPool&, HostId);
 
-  // What it is to carry, or the outcome that this had at once.
+  /// What it is to carry, or the outcome that this had at once.
   std::optional<Outcome> start(std::string_view message, RequestId, AttemptNumber, AttemptDeadline);
   HostId host() const { return host_; }
   bool idle() const { return state_ == State::idle; }
@@ -53,10 +53,10 @@
   RequestId requestId_{};
   AttemptNumber no_{};
   TimePoint since_, writtenBy_ = TimePoint::max(), giveUp_{};
-  std::string queuedRequest_;  // the request, until the connection is up
+  std::string queuedRequest_;  ///< the request, until the connection is up
 };
 
-// The connections to hosts, kept for the next attempt, within their share of the descriptors.
+/// The connections to hosts, kept for the next attempt, within their share of the descriptors.
 class UpstreamPool {
  public:
   UpstreamPool(EventLoop&, std::size_t maxConnections, Duration idle, Duration connectTimeout);
@@ -79,7 +79,7 @@
   std::size_t maxConnections_;
   Duration idle_, connectTimeout_, reuseDelay_;
   std::vector<SlotRef> all_;
-  std::vector<std::vector<SlotRef>> idleConnections_;  // by host; the last to come is the first to go
+  std::vector<std::vector<SlotRef>> idleConnections_;  ///< by host; the last to come is the first to go
 };
 
 }  // namespace merlinbridge::net
--- a/src/policy_api/time.hpp
+++ b/src/policy_api/time.hpp
@@ -4,9 +4,9 @@
 
 namespace merlinbridge {
 
-// Whole nanoseconds on the gateway's clock, whose origin means nothing.
+/// Whole nanoseconds on the gateway's clock, whose origin means nothing.
 using Duration = std::chrono::nanoseconds;
-// The names are those that std::chrono wants of a clock.
+/// The names are those that std::chrono wants of a clock.
 // NOLINTBEGIN(readability-identifier-naming)
 struct GatewayClock {
   using rep = Duration::rep;
--- a/src/simulator_adapter/simulator_adapter.cpp
+++ b/src/simulator_adapter/simulator_adapter.cpp
@@ -66,8 +66,8 @@
 
  private:
   void answerOk(SlotRef, std::string_view, std::string_view) override {}  // the bench has seen to it
-  void answerRejected(SlotRef requestId, Duration comeBackAfter) override {
-    write(R"({{"sayNo":{{"i":{},"id":"{:016x}","holdOff":{}}}}})", requestId.packed(), micros(comeBackAfter));
+  void answerRejected(SlotRef requestId, Duration retryAfter) override {
+    write(R"({{"sayNo":{{"i":{},"id":"{:016x}","holdOff":{}}}}})", requestId.packed(), micros(retryAfter));
   }
   void answerFailed(SlotRef requestId) override {
     write(R"({{"giveUp":{{"i":{},"id":"{:016x}"}}}})", requestId.packed());
@@ -82,8 +82,8 @@
     write(R"({{"abandon":{{"i":{},"id":"{:016x}","sendNo":{}}}}})", requestId.packed(), no.value);
     return false;
   }
-  void count(const CountName& name, double units, Duration keptFor) override {
-    write(R"({{"postAmount":{{"i":{},"n":{},"forgetAfter":{},"counter":"{}"}}}})", units, micros(keptFor),
+  void count(const CountName& name, double units, Duration keepFor) override {
+    write(R"({{"postAmount":{{"i":{},"n":{},"forgetAfter":{},"counter":"{}"}}}})", units, micros(keepFor),
           word(name));
   }
   void hostUnavailable(HostId) override {}
--- a/src/util/log.hpp
+++ b/src/util/log.hpp
@@ -13,8 +13,8 @@
 
 enum class Level { debug, info, warning, error };
 
-// Lines for staff, of a level and above: as text, or each as a JSON object. An event's name stays the same
-// from release to release, its words may change.
+/// Lines for staff, of a level and above: as text, or each as a JSON object. An event's name stays the same
+/// from release to release, its words may change.
 class Log {
  public:
   enum class Form { text, json };
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -122,7 +122,7 @@
     }
   }
   const std::string& addressOf(HostId host) const override { return hosts_[host.value]; }
-  void endBy(TimePoint) override {}
+  void answerAllBy(TimePoint) override {}
   std::size_t unanswered() const override { return 0; }
 
  private:
--- a/tests/gateway_core_test.cpp
+++ b/tests/gateway_core_test.cpp
@@ -64,8 +64,8 @@
 struct Core {
   explicit Core(int hosts = 2) : Core(plainConfig(hosts)) {}
   explicit Core(const config::GatewayConfig& config) : core(config, now, deadlines, transport) {}
-  RequestId ask(std::uint32_t method, Duration patience = 1s) {
-    return core.requestArrived(now, {0, 1}, {{}, {++customers}, {1}, {method}, now + patience, 1, 1});
+  RequestId ask(std::uint32_t method, Duration timeout = 1s) {
+    return core.requestArrived(now, {0, 1}, {{}, {++customers}, {1}, {method}, now + timeout, 1, 1});
   }
   void pass(Duration span) { deadlines.run(now += span); }
 
@@ -224,7 +224,7 @@
 TEST_CASE("told when it ends, the core answers by then, also what was taken before") {
   Core core;
   core.ask(3, 10s);
-  core.core.endBy(core.now + 1s);
+  core.core.answerAllBy(core.now + 1s);
   core.ask(3, 10s);
   core.ask(3, 500ms);
   core.pass(700ms);
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -17,10 +17,10 @@
 
 namespace {
 
-constexpr Duration kPatience = 10s;  // only where a test fails, or on a machine that is very busy
+constexpr Duration kTimeout = 10s;  // only where a test fails, or on a machine that is very busy
 
-bool within(const std::function<bool()>& done, Duration patience = kPatience) {
-  const auto end = std::chrono::steady_clock::now() + patience;
+bool within(const std::function<bool()>& done, Duration timeout = kTimeout) {
+  const auto end = std::chrono::steady_clock::now() + timeout;
   while (std::chrono::steady_clock::now() < end) {
     if (done()) return true;
     std::this_thread::sleep_for(1ms);
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -111,13 +111,13 @@
       if (n.gateway) n.gateway->hostsUpdated(now, lines());
   }
   Try& ask(std::uint32_t g, std::uint64_t customer, std::uint32_t plan, std::uint32_t method, double units,
-           Duration patience = 2s) {
+           Duration timeout = 2s) {
     const RequestId id{++lastRequest_};
     Try& t = tries[id.value];
-    t.asked = {id, {customer}, {plan}, {method}, now + patience, units, settings.gateways};
+    t.asked = {id, {customer}, {plan}, {method}, now + timeout, units, settings.gateways};
     t.gateway = g;
     t.cameAt = now;
-    at(now + patience + 16ms, [this, id] {
+    at(now + timeout + 16ms, [this, id] {
       if (tries[id.value].finals == 0) blame("a request was not answered in time");
     });
     nodes_[g].gateway->requestArrived(now, t.asked);
