--- a/scripts/check_policy.sh
+++ b/scripts/check_policy.sh
@@ -13,7 +13,7 @@
 
 mapfile -t listed < <(sed -n 's/^policy = \[\(.*\)\]$/\1/p' deploy/balancer.toml | tr -d '" ' | tr ',' '\n')
 mapfile -t sources < <(find src/policy -name '*.cpp' | sort)
-mapfile -t helpers < <(find src/util -name '*.?pp' ! -name 'log.hpp' | sort)  # the log writes lines
+mapfile -t helpers < <(find src/util -name '*.?pp' ! -name 'log.hpp' ! -name 'json_escape.hpp' | sort)  # those are the log's
 mapfile -t headers < <(find src/policy src/policy_api -name '*.hpp' | sort)
 [[ "${listed[*]}" == "${sources[*]}" ]] || blame "deploy/balancer.toml lists other files than src/policy/*.cpp"
 
--- a/src/config/gateway_config.hpp
+++ b/src/config/gateway_config.hpp
@@ -9,24 +9,25 @@
 
 namespace merlinbridge::config {
 
-/// What the daemon is told at start: the module's terms, and what the sockets need.
+/// The platform's configuration of one gateway, read at start and at SIGHUP.
 struct GatewayConfig {
-  std::string name, listen, discovery, counter;  ///< counter: empty where there is none
-  std::uint64_t seed = 0;
-  std::size_t sockets = 0;  ///< descriptors that may be open
-  EndpointList known;
+  std::string name, listen, discovery,
+      counter;              ///< Addresses as "10.0.0.4:8080"; counter: empty where there is none.
+  std::uint64_t seed = 0;   ///< Of all random draws.
+  std::size_t sockets = 0;  ///< Descriptors that may be open.
+  EndpointList known;       ///< The hosts as last known.
   PolicySettings settings;
-  std::vector<std::string> methods, plans, zones, machines;
-  Duration idle{};         ///< a host closes a connection that rested so long
-  Duration step{};         ///< what comes closer together than that is as good as at once
-  Duration answerSlack{};  ///< an answer this long after the deadline still counts
-  Duration longestDeadline{};
-  Duration drainGrace{};  ///< what discovery tells must be heeded by then
+  std::vector<std::string> methods, plans, zones, machines;  ///< Names by id.
+  Duration idle{};             ///< A host closes a connection that was idle for so long.
+  Duration step{};             ///< Timers may fire that much later than due.
+  Duration answerSlack{};      ///< An answer so long after its deadline still counts.
+  Duration longestDeadline{};  ///< Of all methods.
+  Duration drainGrace{};       ///< No request may reach a host so long after it began to drain.
 };
 
-/// The part of it that is the settings; the rest is left empty.
+/// Reads the settings alone; the rest is left empty. Throws ConfigError.
 GatewayConfig readSettings(const Fields& profile);
-/// From the text of the file that the environment names. Throws BadInput.
+/// Reads the whole text of the platform's JSON file. Throws ConfigError, which names message and field.
 GatewayConfig readGatewayConfig(std::string text);
 
 }  // namespace merlinbridge::config
--- a/src/gateway_core/deadline_queue.hpp
+++ b/src/gateway_core/deadline_queue.hpp
@@ -10,10 +10,12 @@
 
 namespace merlinbridge::core {
 
-/// All that is to happen at a time, in one ordered structure: of two that are due together, the older first.
+/// Callbacks by time, in one ordered structure. Of two that are due together, the one added first runs first.
 class DeadlineQueue {
  public:
+  /// Names a callback that waits; the number is never used again, and never 0.
   using Ticket = std::pair<TimePoint, std::uint64_t>;
+  /// Called once, when its time has come.
   using What = std::function<void(TimePoint now)>;
 
   Ticket add(TimePoint at, What what) {
@@ -24,7 +26,8 @@
   void drop(Ticket ticket) { waiting_.erase(ticket); }
   TimePoint next() const { return waiting_.empty() ? TimePoint::max() : waiting_.begin()->first.first; }
 
-  /// What is added meanwhile waits for the next run, so that none can keep the loop to itself.
+  /// Runs what is due. What is added meanwhile waits for the next run, so that none can keep the loop to
+  /// itself.
   void run(TimePoint now) {
     const std::uint64_t until = last_;
     for (auto at = waiting_.begin(); at != waiting_.end() && at->first.first <= now; at = waiting_.begin()) {
@@ -35,7 +38,7 @@
       due.mapped()(now);
     }
   }
-  /// By how much the loop has lately come late, or does now.
+  /// By how much callbacks have lately run late, or do now.
   Duration late(TimePoint now) const { return waiting_.empty() ? late_ : std::max(late_, now - next()); }
 
  private:
--- a/src/gateway_core/gateway_core.hpp
+++ b/src/gateway_core/gateway_core.hpp
@@ -14,24 +14,26 @@
 
 namespace merlinbridge::core {
 
-/// What the core has the adapters do.
+/// What the core asks of its surroundings: sockets in the daemon, the wire in the simulator. The calls must
+/// not call the core in turn. A SlotRef that is not valid any more is ignored.
 class Transport {
  public:
   virtual ~Transport() = default;
   virtual void answerOk(SlotRef client, std::string_view body, std::string_view type) = 0;
   virtual void answerRejected(SlotRef client, Duration retryAfter) = 0;
   virtual void answerFailed(SlotRef client) = 0;
-  /// Either the link that carries it, or the outcome that it had at once.
+  /// Writes the client's request to that host. Either the connection that carries it, or the outcome that it
+  /// had at once.
   virtual std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
                                                       AttemptDeadline) = 0;
-  /// True: it has ended by that. Else its end is still to come.
+  /// Gives the attempt up. True: it has ended by that. False: its end is still to come.
   virtual bool closeAttempt(SlotRef client, AttemptNumber, SlotRef link) = 0;
-  /// Not all of it is written yet: given up now, it never reaches a host.
+  /// Whether not all of it is written yet: given up now, it never reaches a host.
   virtual bool unwritten(SlotRef) { return false; }
-  /// False: its connection has ended, be that end read yet or not.
+  /// Whether the client waits; false where its connection has ended, be that end read yet or not.
   virtual bool clientThere(SlotRef) { return true; }
   virtual void count(const CountName&, double units, Duration keepFor) = 0;
-  virtual void hostUnavailable(HostId) = 0;  ///< it wants nothing new: what rests towards it may go
+  virtual void hostUnavailable(HostId) = 0;  ///< It drains or is gone: idle connections to it may be closed.
   virtual void note(const std::string& line) = 0;
 };
 
@@ -40,15 +42,15 @@
   std::string_view body, type;
   double trueUnits = 0;
   LoadReport load{};
-  std::optional<Duration> took = {};  ///< where the adapter knows it better than the clock does
-  bool answered = false;              ///< the client has had its answer without the core's doing
+  std::optional<Duration> took = {};  ///< Where the adapter knows it better than the clock does.
+  bool answered = false;              ///< The client has had its answer without the core's doing.
 };
 
-/// Who ends attempts at their time: the core, by its deadlines, or the adapter.
+/// Who ends attempts at their deadline.
 enum class Timekeeper { core, adapter };
 
-/// The core of the daemon, without I/O: the requests in numbered slots, the hosts' names and addresses, and
-/// all deadlines. It carries the module's decisions to the adapters and hands back what came of them.
+/// The core of the gateway, without I/O: the requests in numbered slots, the hosts' names and addresses, and
+/// all deadlines. It carries the engine's decisions to the transport and hands back what came of them.
 class GatewayCore final : private DecisionSink {
  public:
   GatewayCore(const config::GatewayConfig&, TimePoint now, DeadlineQueue&, Transport&,
@@ -58,17 +60,17 @@
   const PolicySettings& settings() const { return settings_; }
   const std::string& addressOf(HostId host) const { return addresses_[host.value]; }
   const std::string& nameOf(HostId host) const { return hosts_.word(host); }
-  HostId hostNamed(std::string_view name) const;  ///< throws std::out_of_range
+  HostId hostNamed(std::string_view name) const;  ///< Throws std::out_of_range.
   bool holds(RequestId requestId) { return find(requestId) != nullptr; }
   std::size_t unanswered() const { return unanswered_; }
-  bool wants(RequestId);  ///< it has had no answer, and its client is there to get one
+  bool wants(RequestId);  ///< It has had no answer, and its client is there to get one.
 
   RequestId requestArrived(TimePoint now, SlotRef client, Request);
   void clientLeft(TimePoint now, RequestId);
   void attemptEnded(TimePoint now, RequestId, AttemptNumber, Outcome, const UpstreamResponse& = {});
   void counted(TimePoint now, const CountName&, CountEnd, double total, Duration took);
   void endpointsUpdated(TimePoint now, const config::EndpointList&);
-  /// This gateway is ended at that time: whatever is still without an answer gets one before.
+  /// The process ends then: whatever is still without an answer gets one before.
   void answerAllBy(TimePoint);
 
  private:
--- a/src/net/server.hpp
+++ b/src/net/server.hpp
@@ -15,17 +15,22 @@
  public:
   Server(EventLoop&, const config::GatewayConfig&);
 
-  void serve();  ///< clients are accepted, discovery is watched
+  /// From here on clients are accepted and discovery is watched.
+  void serve();
   /// Where discovery and the counter are from now on. Throws std::invalid_argument, and then nothing has
   /// moved.
   void moveTo(const std::string& discovery, const std::string& counter);
-  void leave(TimePoint by);  ///< not ready; answers what comes, all of it by then
+  /// Graceful shutdown begins: not ready; what comes is answered, all of it by then.
+  void leave(TimePoint by);
   void closeIdle(Duration since = Duration{0}) { clients_.closeIdle(since); }
+  /// See ClientListener::stopAccepting.
   bool shut() { return clients_.stopAccepting(); }
   void discard() { clients_.discardUnread(); }
   std::size_t unanswered() const { return core_.unanswered(); }
-  bool quiet() { return unanswered() == 0 && clients_.quiet(); }  // all that was taken has its answer
-  bool allClosed() { return clients_.allClosed(); }               // and every client has seen it
+  /// All that was taken has its answer.
+  bool quiet() { return unanswered() == 0 && clients_.quiet(); }
+  /// Every client's connection has closed.
+  bool allClosed() { return clients_.allClosed(); }
 
  private:
   void answerOk(SlotRef client, std::string_view body, std::string_view type) override;
@@ -45,7 +50,7 @@
   UpstreamPool hosts_;
   CounterClient counter_;
   DiscoveryWatch watch_;
-  std::string message_;  ///< the attempt that is being written
+  std::string message_;  ///< The request that is being written to a host.
   core::GatewayCore core_;
 };
 
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -14,17 +14,19 @@
 
 /// The request's field that tells a host how long its answer is waited for, as the gateway writes it.
 inline constexpr std::string_view kDeadlineField = "\r\nReq-Deadline-Ms: ";
-long millisecondsLeft(Duration);  ///< rounded up, one at least
+/// Rounded up, one at least.
+long millisecondsLeft(Duration);
 
-/// A connection to a host: one attempt at a time, between them it rests.
+/// A connection to a host: one attempt at a time, idle between them.
 class UpstreamConnection final : public Connection {
  public:
   UpstreamConnection(EventLoop&, UpstreamPool&, HostId);
 
-  /// What it is to carry, or the outcome that this had at once.
+  /// Carries an attempt. Returns its outcome where it had one at once.
   std::optional<Outcome> start(std::string_view message, RequestId, AttemptNumber, AttemptDeadline);
   HostId host() const { return host_; }
   bool idle() const { return state_ == State::idle; }
+  /// The attempt is not written whole: given up now, it never reaches the host.
   bool unwritten() const {
     return state_ == State::attempt && !(isUp() && allWritten() && queuedRequest_.empty());
   }
@@ -53,19 +55,21 @@
   RequestId requestId_{};
   AttemptNumber no_{};
   TimePoint since_, writtenBy_ = TimePoint::max(), giveUp_{};
-  std::string queuedRequest_;  ///< the request, until the connection is up
+  std::string queuedRequest_;  ///< Until the connection is up.
 };
 
-/// The connections to hosts, kept for the next attempt, within their share of the descriptors.
+/// The connections to hosts, cached for the next attempt, within their share of the descriptors.
 class UpstreamPool {
  public:
   UpstreamPool(EventLoop&, std::size_t maxConnections, Duration idle, Duration connectTimeout);
 
   void serve(core::GatewayCore& core) { core_ = &core; }
+  /// Either the connection that carries the attempt, or the outcome that it had at once.
   std::variant<SlotRef, Outcome> startAttempt(HostId, std::string_view message, RequestId, AttemptNumber,
                                               AttemptDeadline);
   void closeAttempt(SlotRef);
   bool unwritten(SlotRef);
+  /// Closes the idle connections to that host.
   void closeIdle(HostId);
 
  private:
@@ -79,7 +83,7 @@
   std::size_t maxConnections_;
   Duration idle_, connectTimeout_, reuseDelay_;
   std::vector<SlotRef> all_;
-  std::vector<std::vector<SlotRef>> idleConnections_;  ///< by host; the last to come is the first to go
+  std::vector<std::vector<SlotRef>> idleConnections_;  ///< By HostId; the one used last is taken first.
 };
 
 }  // namespace merlinbridge::net
--- a/src/simulator_adapter/simulator_adapter.cpp
+++ b/src/simulator_adapter/simulator_adapter.cpp
@@ -14,6 +14,7 @@
 #include "config/json_fields.hpp"
 #include "config/policy_settings_reader.hpp"
 #include "gateway_core/gateway_core.hpp"
+#include "util/json_escape.hpp"
 
 namespace merlinbridge::simulator_adapter {
 namespace {
@@ -33,15 +34,7 @@
 }
 
 std::string jsonText(std::string_view text) {
-  std::string out = "\"";
-  for (const char c : text) {
-    if (c == '"' || c == '\\') out += '\\';
-    if (static_cast<unsigned char>(c) < 0x20)
-      out += fmt::format("\\u{:04x}", static_cast<unsigned>(c));
-    else
-      out += c;
-  }
-  return out + '"';
+  return '"' + util::escapeJson(text) + '"';
 }
 
 // One gateway on the wire: an adapter round the core, as the sockets are. The bench ends attempts at their
--- a/src/util/log.hpp
+++ b/src/util/log.hpp
@@ -9,6 +9,8 @@
 #include <sstream>
 #include <string_view>
 
+#include "util/json_escape.hpp"
+
 namespace merlinbridge {
 
 enum class Level { debug, info, warning, error };
@@ -24,11 +26,11 @@
         logger_("merlinbridge", sink_),
         form_(form) {
     sink_->set_pattern("%v");
-    heed(least);
+    setLevel(least);
   }
   void use(Level least, Form form) {
     form_ = form;
-    heed(least);
+    setLevel(least);
   }
 
   template <class... Parts>
@@ -42,7 +44,7 @@
       logger_.log(spdlogLevel(level), "{}: {}", word, text.str());
     else
       logger_.log(spdlogLevel(level), R"({{"level":"{}","event":"{}","text":"{}"}})", word, event,
-                  escaped(text.str()));
+                  util::escapeJson(text.str()));
   }
 
  private:
@@ -51,22 +53,11 @@
                                                             spdlog::level::warn, spdlog::level::err};
     return kLevels[static_cast<int>(level)];
   }
-  void heed(Level least) {
+  void setLevel(Level least) {
     least_ = least;
     logger_.set_level(spdlogLevel(least));
     logger_.flush_on(spdlog::level::debug);
   }
-  static std::string escaped(std::string_view text) {
-    std::string out;
-    for (const char c : text) {
-      if (c == '"' || c == '\\') out += '\\';
-      if (static_cast<unsigned char>(c) < 0x20)
-        out += fmt::format("\\u{:04x}", static_cast<unsigned>(c));
-      else
-        out += c;
-    }
-    return out;
-  }
 
   std::shared_ptr<spdlog::sinks::ostream_sink_st> sink_;
   spdlog::logger logger_;
--- a/tests/util_test.cpp
+++ b/tests/util_test.cpp
@@ -4,6 +4,7 @@
 #include "policy/state_notice.hpp"
 #include "util/call_pacer.hpp"
 #include "util/decaying_counter.hpp"
+#include "util/json_escape.hpp"
 
 using namespace merlinbridge;
 using namespace merlinbridge::util;
@@ -116,3 +117,9 @@
   notice.set(false, kStart + 10s, sink);
   CHECK(sink.notes == std::vector<std::string>{"began", "ended"});
 }
+
+TEST_CASE("JSON escapes: quotes, backslashes and control bytes, and nothing else") {
+  CHECK(escapeJson("a \"b\" \\ c") == "a \\\"b\\\" \\\\ c");
+  CHECK(escapeJson("line\nend\x01") == "line\\u000aend\\u0001");
+  CHECK(escapeJson("gr\xc3\xbc\xc3\x9f/'") == "gr\xc3\xbc\xc3\x9f/'");
+}
