--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -190,7 +190,7 @@
 }
 
 // Guards against a watch that the old address ends in its own time, with what was told meanwhile missed: the
-// new one is opened at once and tells all since the last generation. Told the same address again, it only
+// new one is opened at once and tells all since the last generation. Given the same address again, it only
 // makes haste where it would have waited.
 void DiscoveryWatch::moveTo(const std::string& address) {
   const SocketAddress peer = parseAddress(address);
