--- a/src/config/policy_settings_reader.cpp
+++ b/src/config/policy_settings_reader.cpp
@@ -79,11 +79,11 @@
 }
 
 void readLoadFigure(LoadReport& load, std::string_view name, double value) {
-  if (name == "outstanding" || name == "inflight") load.held = value;
+  if (name == "outstanding" || name == "inflight") load.inFlight = value;
   if (name == "backlog" || name == "queue") load.queued = value;
   if (name == "recent_ms" || name == "latency_ms") load.serviceSeconds = value / 1000;
-  if (name == "throughput" || name == "qps") load.perSecond = value;
-  if (name == "utilization" || name == "util") load.busy = value;
+  if (name == "throughput" || name == "qps") load.answersPerSecond = value;
+  if (name == "utilization" || name == "util") load.utilization = value;
 }
 
 }  // namespace merlinbridge::config
--- a/src/daemon/commands.cpp
+++ b/src/daemon/commands.cpp
@@ -19,32 +19,33 @@
 ExitCode serve(const ConfigSources& sources, const std::vector<std::string>& warnings) {
   LogStream standardError(STDERR_FILENO);
   Log log(standardError, Level::info);
-  const auto fail = [&log](ExitCode code, std::string_view event, const std::exception& e) {
-    log(Level::error, event, "merlinbridge: ", e.what());
+  const auto fail = [&log](ExitCode code, LogEvent event, const std::exception& e) {
+    log(event, LogField{"error", std::string_view(e.what())});
     return code;
   };
   try {
     const auto warnOfRetry = [&log](std::string_view error) {
-      log(Level::warning, "start_retried", "not started yet, tried again: ", error);
+      log(LogEvent::startRetried, LogField{"error", error});
     };
     const config::OperatorConfig operatorConfig =
         retryWhileStarting([&sources] { return sources.readOperator(); }, warnOfRetry);
-    log.use(operatorConfig.level, operatorConfig.form);
-    for (const std::string& warning : warnings) log(Level::warning, "renamed", warning);
-    for (const std::string& warning : operatorConfig.warnings) log(Level::warning, "renamed", warning);
+    log.configure(operatorConfig.level, operatorConfig.form);
+    for (const std::string& warning : warnings) log(LogEvent::settingRenamed, LogField{"detail", warning});
+    for (const std::string& warning : operatorConfig.warnings)
+      log(LogEvent::settingRenamed, LogField{"detail", warning});
     const auto signals = retryWhileStarting([] { return std::make_unique<SignalWatch>(); }, warnOfRetry);
     const auto daemon = retryWhileStarting(
         [&] { return std::make_unique<Daemon>(sources, operatorConfig, *signals, log); }, warnOfRetry);
     daemon->run();
     return kDone;
   } catch (const config::ConfigError& e) {
-    return fail(kBadInput, "orders_bad", e);
+    return fail(kBadInput, LogEvent::configInvalid, e);
   } catch (const config::TomlError& e) {
-    return fail(kBadInput, "own_bad", e);
+    return fail(kBadInput, LogEvent::operatorConfigInvalid, e);
   } catch (const std::invalid_argument& e) {
-    return fail(kBadInput, "orders_bad", e);
+    return fail(kBadInput, LogEvent::configInvalid, e);
   } catch (const std::exception& e) {
-    return fail(kFailed, "failed", e);
+    return fail(kFailed, LogEvent::fatalError, e);
   }
 }
 
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -46,8 +46,8 @@
   config::GatewayConfig config = sources_.readPlatform();
   loop_.coalesceTimersWithin(config.step);
   longestDeadline_ = config.longestDeadline;
-  log_(Level::info, "started", config.name, " starts at ", config.listen, " with ",
-       config.known.entries.size(), " hosts known");
+  log_(LogEvent::starting, LogField{"gateway", config.name}, LogField{"listen", config.listen},
+       LogField{"known_hosts", config.known.entries.size()});
   return config;
 }
 
@@ -64,8 +64,8 @@
   try {
     const config::GatewayConfig config = sources_.readPlatform();
     server_.moveTo(config.discovery, config.counter);
-    log_(Level::info, "orders_taken", "configuration read again: discovery at ", config.discovery,
-         ", counter at ", config.counter.empty() ? "none" : config.counter);
+    log_(LogEvent::configReloaded, LogField{"discovery", config.discovery},
+         LogField{"counter", std::string_view(config.counter.empty() ? "none" : config.counter)});
   } catch (const std::runtime_error& e) {
     rejectReload(retry, e.what());
   } catch (const std::invalid_argument& e) {
@@ -78,8 +78,8 @@
   const bool warn =
       retry == 0 && (reloadWarnedAt_ == TimePoint{} || now - reloadWarnedAt_ >= kReloadWarningInterval);
   if (warn) reloadWarnedAt_ = now;
-  log_(warn ? Level::warning : Level::debug, "orders_kept_out",
-       "configuration rejected, the old one stays in force: ", reason);
+  log_(warn ? LogEvent::configRejected : LogEvent::configRetryFailed, LogField{"error", reason},
+       LogField{"retry", retry});
   if (retry >= operatorConfig_.reloadRetries) return;
   reloadTimer_ = loop_.deadlines.add(now + kFirstReloadRetry * (1 << retry),
                                      [this, retry](TimePoint) { reload(retry + 1); });
@@ -93,21 +93,20 @@
       break;
     case Phase::serving:
       server_.serve();
-      log_(Level::info, "ready", "ready");
+      log_(LogEvent::ready);
       break;
     case Phase::draining:
       beginDraining();
       break;
     case Phase::finishing:
       server_.closeIdle();
-      log_(Level::info, "finishing",
-           "closing idle connections, requests still to answer: ", server_.unanswered());
+      log_(LogEvent::closingIdleConnections, LogField{"unanswered_requests", server_.unanswered()});
       checkFinished();
       break;
     case Phase::stopped:
       server_.discard();
       loop_.faults.logTotals();
-      log_(Level::info, "ended", "stopped");
+      log_(LogEvent::stopped);
       loop_.io.stop();
       break;
   }
@@ -119,7 +118,7 @@
       std::min(acceptFor + longestDeadline_, operatorConfig_.killedAfter) - kWriteReserve;
   answerBy_ = loop_.now() + std::max(acceptFor, answerFor);
   server_.leave(answerBy_);
-  log_(Level::info, "leaving", "shutting down: not ready, still answering");
+  log_(LogEvent::draining);
   loop_.deadlines.add(loop_.now() + acceptFor, [this](TimePoint) { enter(Phase::finishing); });
 }
 
--- a/src/daemon/log_stream.cpp
+++ b/src/daemon/log_stream.cpp
@@ -1,5 +1,6 @@
 #include "daemon/log_stream.hpp"
 
+#include <fmt/format.h>
 #include <poll.h>
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -7,6 +8,8 @@
 
 #include <cerrno>
 
+#include "util/log_event.hpp"
+
 namespace merlinbridge::daemon {
 namespace {
 
@@ -19,6 +22,11 @@
   return ::fstat(descriptor, &status) == 0 && S_ISSOCK(status.st_mode);
 }
 
+std::string droppedLine(std::uint64_t dropped) {
+  const LogEventInfo& info = infoOf(LogEvent::logLinesDropped);
+  return fmt::format("{}: {}: {} count={}\n", nameOf(info.level), info.name, info.message, dropped);
+}
+
 }  // namespace
 
 LogBuffer::LogBuffer(int descriptor) : descriptor_(descriptor), isSocket_(isSocket(descriptor)) {}
@@ -40,8 +48,7 @@
 
 void LogBuffer::writeLine() {
   line_.push_back('\n');
-  if (dropped_ > 0 && writeNow("warning: lines of the log dropped: " + std::to_string(dropped_) + "\n"))
-    dropped_ = 0;
+  if (dropped_ > 0 && writeNow(droppedLine(dropped_))) dropped_ = 0;
   if (!writeNow(line_)) ++dropped_;
   line_.clear();
 }
--- a/src/emulator/emulated_gateway.cpp
+++ b/src/emulator/emulated_gateway.cpp
@@ -38,14 +38,15 @@
                     const core::UpstreamResponse& response) override {
     core_.attemptEnded(now, requestId, no, outcome, response);
   }
-  void counted(TimePoint now, const CountName& name, CountEnd end, double total, Duration took) override {
-    core_.counted(now, name, end, total, took);
+  void counterCallEnded(TimePoint now, const CounterKey& name, CounterCallOutcome end, double total,
+                        Duration took) override {
+    core_.counterCallEnded(now, name, end, total, took);
   }
   void endpointsUpdated(TimePoint now, const config::EndpointList& endpoints) override {
     core_.endpointsUpdated(now, endpoints);
   }
   const std::string& addressOf(HostId host) const override { return core_.addressOf(host); }
-  void answerAllBy(TimePoint by) override { core_.answerAllBy(by); }
+  void setAnswerDeadline(TimePoint by) override { core_.setAnswerDeadline(by); }
   std::size_t unanswered() const override { return core_.unanswered(); }
 
  private:
@@ -97,7 +98,7 @@
       return transport_.answerRejected(held.client, Duration{0});
     transport_.answerFailed(held.client);
   }
-  void counted(TimePoint, const CountName&, CountEnd, double, Duration) override {}
+  void counterCallEnded(TimePoint, const CounterKey&, CounterCallOutcome, double, Duration) override {}
   void endpointsUpdated(TimePoint, const config::EndpointList& endpoints) override {
     if (endpoints.complete) serving_.clear();
     for (const config::Endpoint& line : endpoints.entries) {
@@ -106,7 +107,7 @@
     }
   }
   const std::string& addressOf(HostId host) const override { return serving_[host.value]; }
-  void answerAllBy(TimePoint by) override { latest_ = by; }
+  void setAnswerDeadline(TimePoint by) override { latest_ = by; }
   std::size_t unanswered() const override { return requests_.size(); }
 
  protected:
--- a/src/emulator/emulated_gateway.hpp
+++ b/src/emulator/emulated_gateway.hpp
@@ -16,10 +16,11 @@
   virtual void requestArrived(TimePoint, core::SlotRef client, const Request&) = 0;
   virtual void clientLeft(TimePoint, core::SlotRef client) = 0;
   virtual void attemptEnded(TimePoint, RequestId, AttemptNumber, Outcome, const core::UpstreamResponse&) = 0;
-  virtual void counted(TimePoint, const CountName&, CountEnd, double total, Duration took) = 0;
+  virtual void counterCallEnded(TimePoint, const CounterKey&, CounterCallOutcome, double total,
+                                Duration took) = 0;
   virtual void endpointsUpdated(TimePoint, const config::EndpointList&) = 0;
   virtual const std::string& addressOf(HostId) const = 0;
-  virtual void answerAllBy(TimePoint) = 0;
+  virtual void setAnswerDeadline(TimePoint) = 0;
   virtual std::size_t unanswered() const = 0;
 };
 
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -92,7 +92,7 @@
 };
 
 struct Call {
-  CountName name;
+  CounterKey name;
   TimePoint madeAt;
 };
 
@@ -108,9 +108,10 @@
   std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
                                               AttemptDeadline) override;
   bool closeAttempt(SlotRef client, AttemptNumber, SlotRef link) override;
-  void count(const CountName&, double units, Duration keepFor) override;
+  void addToCounter(const CounterKey&, double units, Duration keepFor) override;
   void hostUnavailable(HostId host) override;
-  void note(const std::string&) override {}
+  void report(EngineEvent) override {}
+  void endpointTableFull(std::string_view) override {}
 
   World& w;
   std::uint32_t no, zone;
@@ -424,7 +425,7 @@
     if (process.state != GatewayProcess::State::ready) return;
     process.state = GatewayProcess::State::leaving;
     const TimePoint by = events.now() + kStillComing + std::min(sc.longestDeadline(), kLongestKept) - kSpared;
-    process.gateway->answerAllBy(by);
+    process.gateway->setAnswerDeadline(by);
     events.after(kStillComing / 2, [&process] { process.listed = false; });
     arm(process);
     events.after(kStillComing, [this, &process, incarnation = process.incarnation] {
@@ -602,9 +603,9 @@
     core::UpstreamResponse response{};
     const EmulatedHost& m = hosts[host];
     if (sc.reports && outcome == Outcome::ok) {
-      response.load.held = m.running + double(m.queue.size());
+      response.load.inFlight = m.running + double(m.queue.size());
       response.load.queued = double(m.queue.size());
-      response.load.perSecond = m.doneLately;
+      response.load.answersPerSecond = m.doneLately;
     }
     const std::uint64_t hostIncarnation = m.incarnation;
     events.after(atOnce ? Duration{0} : delay(), [this, g, incarnation, ref, outcome, response,
@@ -729,19 +730,20 @@
     std::vector<TimePoint> busyUntil;
     std::size_t sweepAt = 4096;
   };
-  void counterCalled(std::uint32_t g, std::uint64_t incarnation, SlotRef ref, CountName name, double units,
+  void counterCalled(std::uint32_t g, std::uint64_t incarnation, SlotRef ref, CounterKey name, double units,
                      Duration keepFor) {
     CounterState& c = counters[marked(FaultKind::counterSplit, g) ? 1 : 0];
     if (any(FaultKind::counterDown, [](const Active&) { return true; })) return;
     const Duration service = scaled(sc.counterService, product(FaultKind::counterSlow));
     TimePoint& busy = c.busyUntil[name.customer.value % c.busyUntil.size()];
     const TimePoint now = events.now();
-    if (busy > now + sc.counterRoom * service) return counterSays(g, incarnation, ref, CountEnd::notAdded, 0);
+    if (busy > now + sc.counterRoom * service)
+      return counterSays(g, incarnation, ref, CounterCallOutcome::notAdded, 0);
     busy = std::max(busy, now) + service;
     events.at(busy, [this, &c, g, incarnation, ref, name, units, keepFor] {
       const TimePoint at = events.now();
       auto& entry = c.counts
-                        .try_emplace({static_cast<int>(name.what), name.customer.value, name.slot.value}, 0,
+                        .try_emplace({static_cast<int>(name.kind), name.customer.value, name.slot.value}, 0,
                                      at + keepFor)
                         .first->second;
       if (entry.second < at) entry = {0, at + keepFor};
@@ -754,21 +756,24 @@
       for (const auto& [key, a] : active)
         if (a.fault->kind == FaultKind::counterLose) kept *= 1 - std::min(1.0, a.fault->factor);
       if (kept < 1 && !network.bernoulli(kept)) return;
-      counterSays(g, incarnation, ref, CountEnd::ok, entry.first);
+      counterSays(g, incarnation, ref, CounterCallOutcome::ok, entry.first);
     });
   }
-  void counterSays(std::uint32_t g, std::uint64_t incarnation, SlotRef ref, CountEnd end, double total) {
-    events.after(delay(),
-                 [this, g, incarnation, ref, end, total] { counted(g, incarnation, ref, end, total); });
+  void counterSays(std::uint32_t g, std::uint64_t incarnation, SlotRef ref, CounterCallOutcome end,
+                   double total) {
+    events.after(delay(), [this, g, incarnation, ref, end, total] {
+      counterCallEnded(g, incarnation, ref, end, total);
+    });
   }
-  void counted(std::uint32_t g, std::uint64_t incarnation, SlotRef ref, CountEnd end, double total) {
+  void counterCallEnded(std::uint32_t g, std::uint64_t incarnation, SlotRef ref, CounterCallOutcome end,
+                        double total) {
     GatewayProcess& process = processes[g];
     if (process.incarnation != incarnation || process.state == GatewayProcess::State::down) return;
     const Call* const at = process.calls.find(ref);
     if (!at) return;
     const Call call = *at;
     process.calls.drop(ref);
-    process.gateway->counted(events.now(), call.name, end, total, events.now() - call.madeAt);
+    process.gateway->counterCallEnded(events.now(), call.name, end, total, events.now() - call.madeAt);
     arm(process);
   }
 
@@ -1022,14 +1027,14 @@
   return true;
 }
 
-void GatewayProcess::count(const CountName& name, double units, Duration keepFor) {
+void GatewayProcess::addToCounter(const CounterKey& name, double units, Duration keepFor) {
   ++w.metrics.countCalls, ++w.second().countCalls;
   const SlotRef ref = calls.add(Call{name, w.events.now()});
   w.events.after(w.delay(), [&world = w, g = no, l = incarnation, ref, name, units, keepFor] {
     world.counterCalled(g, l, ref, name, units, keepFor);
   });
   w.events.after(w.sc.counterTimeout, [&world = w, g = no, l = incarnation, ref] {
-    world.counted(g, l, ref, CountEnd::unknown, 0);
+    world.counterCallEnded(g, l, ref, CounterCallOutcome::unknown, 0);
   });
 }
 
--- a/src/gateway_core/gateway_core.cpp
+++ b/src/gateway_core/gateway_core.cpp
@@ -74,9 +74,10 @@
   runDeferred(now, requestId);
 }
 
-void GatewayCore::counted(TimePoint now, const CountName& name, CountEnd end, double total, Duration took) {
+void GatewayCore::counterCallEnded(TimePoint now, const CounterKey& name, CounterCallOutcome end,
+                                   double total, Duration took) {
   now_ = now;
-  engine_.counted(now, name, end, total, took);
+  engine_.counterCallEnded(now, name, end, total, took);
   runDeferred(now, {});
 }
 
@@ -118,7 +119,7 @@
   requests_.each([&](SlotRef slot, const PendingRequest& row) {
     for (std::uint32_t no = 0; no < row.attempts.size(); ++no)
       if (const Attempt& c = row.attempts[no];
-          c.out && notServing[c.host.value] && transport_.unwritten(c.link))
+          c.out && notServing[c.host.value] && transport_.isUnsent(c.link))
         deferred_.emplace_back([this, requestId = RequestId{slot.packed()}, no](TimePoint at) {
           abandonAttempt(at, requestId, {no}, Outcome::notSent);
         });
@@ -128,7 +129,7 @@
 
 // Guards against requests whose time is longer than the gateway's own, as with hosts that hang: the end would
 // find them without an answer.
-void GatewayCore::answerAllBy(TimePoint answerBy) {
+void GatewayCore::setAnswerDeadline(TimePoint answerBy) {
   answerAllBy_ = answerBy;
   requests_.each([this](SlotRef slot, PendingRequest& row) {
     if (row.answered || row.deadline <= answerAllBy_) return;
@@ -161,7 +162,7 @@
     goneAt_.emplace_back(), outAt_.push_back(0);
     return hosts_.idOf(line.name);
   }
-  transport_.note("more hosts than can be numbered: " + line.name + " is passed over");
+  transport_.endpointTableFull(line.name);
   return std::nullopt;
 }
 
@@ -176,9 +177,9 @@
   return row;
 }
 
-bool GatewayCore::wants(RequestId requestId) {
+bool GatewayCore::isPending(RequestId requestId) {
   const PendingRequest* const row = find(requestId);
-  return row && !row->answered && transport_.clientThere(row->client);
+  return row && !row->answered && transport_.clientConnected(row->client);
 }
 
 void GatewayCore::startAttempt(RequestId requestId, HostId host, AttemptDeadline deadline) {
@@ -186,7 +187,7 @@
   if (!row) return;
   // Guards against an attempt for a client whose end has come and is handled only after this, as in a late
   // turn.
-  const bool wanted = wants(requestId);
+  const bool wanted = isPending(requestId);
   if (!wanted) deferred_.emplace_back([this, requestId](TimePoint now) { clientLeft(now, requestId); });
   const AttemptNumber no{static_cast<std::uint32_t>(row->attempts.size())};
   row->attempts.push_back({host, now_, {}, true});
@@ -213,7 +214,7 @@
 void GatewayCore::abandonAttempt(TimePoint now, RequestId requestId, AttemptNumber no, Outcome outcome) {
   const PendingRequest* const row = find(requestId);
   if (!row || no.value >= row->attempts.size() || !row->attempts[no.value].out) return;
-  if (transport_.unwritten(row->attempts[no.value].link)) outcome = Outcome::notSent;
+  if (transport_.isUnsent(row->attempts[no.value].link)) outcome = Outcome::notSent;
   if (transport_.closeAttempt(row->client, no, row->attempts[no.value].link))
     attemptEnded(now, requestId, no, outcome);
 }
@@ -227,22 +228,18 @@
   if (const PendingRequest* const row = takeUnanswered(requestId)) transport_.answerFailed(row->client);
 }
 
-void GatewayCore::addToCount(const CountName& name, double units, Duration keepFor) {
-  transport_.count(name, units, keepFor);
+void GatewayCore::addToCounter(const CounterKey& name, double units, Duration keepFor) {
+  transport_.addToCounter(name, units, keepFor);
 }
 
 void GatewayCore::wakeAt(TimePoint at, TimerId timer) {
   deadlines_.add(at, [this, timer](TimePoint now) {
     now_ = now;
-    engine_.woken(now, timer);
+    engine_.timerFired(now, timer);
     runDeferred(now, {});
   });
 }
 
-void GatewayCore::note(const std::string& line) {
-  transport_.note(line);
-}
-
 // The request's time is up: what is out is given up, and the module answers; a request that it holds all the
 // same is failed here, so that none is lost.
 void GatewayCore::expire(TimePoint now, RequestId requestId) {
@@ -270,7 +267,7 @@
   // Guards against an attempt that goes on its way once its client has left, or has its answer.
   for (std::uint32_t no = 0;
        find(requestId) && find(requestId)->answered && no < find(requestId)->attempts.size(); ++no)
-    if (const Attempt& c = find(requestId)->attempts[no]; c.out && transport_.unwritten(c.link))
+    if (const Attempt& c = find(requestId)->attempts[no]; c.out && transport_.isUnsent(c.link))
       abandonAttempt(now, requestId, {no}, Outcome::notSent);
   const PendingRequest* const row = find(requestId);
   if (!row || !row->answered || row->out > 0) return;
--- a/src/gateway_core/gateway_core.hpp
+++ b/src/gateway_core/gateway_core.hpp
@@ -29,12 +29,15 @@
   /// Gives the attempt up. True: it has ended by that. False: its end is still to come.
   virtual bool closeAttempt(SlotRef client, AttemptNumber, SlotRef link) = 0;
   /// Whether not all of it is written yet: given up now, it never reaches a host.
-  virtual bool unwritten(SlotRef) { return false; }
+  virtual bool isUnsent(SlotRef) { return false; }
   /// Whether the client waits; false where its connection has ended, be that end read yet or not.
-  virtual bool clientThere(SlotRef) { return true; }
-  virtual void count(const CountName&, double units, Duration keepFor) = 0;
+  virtual bool clientConnected(SlotRef) { return true; }
+  virtual void addToCounter(const CounterKey&, double units, Duration keepFor) = 0;
   virtual void hostUnavailable(HostId) = 0;  ///< It drains or is gone: idle connections to it may be closed.
-  virtual void note(const std::string& line) = 0;
+  /// The decision engine has changed its state; see EngineEvent.
+  virtual void report(EngineEvent) = 0;
+  /// A host of the endpoint list is ignored: the table of hosts is full.
+  virtual void endpointTableFull(std::string_view hostName) = 0;
 };
 
 /// What a host's answer says besides its outcome.
@@ -63,15 +66,15 @@
   HostId hostNamed(std::string_view name) const;  ///< Throws std::out_of_range.
   bool holds(RequestId requestId) { return find(requestId) != nullptr; }
   std::size_t unanswered() const { return unanswered_; }
-  bool wants(RequestId);  ///< It has had no answer, and its client is there to get one.
+  bool isPending(RequestId);  ///< It has had no answer, and its client is there to get one.
 
   RequestId requestArrived(TimePoint now, SlotRef client, Request);
   void clientLeft(TimePoint now, RequestId);
   void attemptEnded(TimePoint now, RequestId, AttemptNumber, Outcome, const UpstreamResponse& = {});
-  void counted(TimePoint now, const CountName&, CountEnd, double total, Duration took);
+  void counterCallEnded(TimePoint now, const CounterKey&, CounterCallOutcome, double total, Duration took);
   void endpointsUpdated(TimePoint now, const config::EndpointList&);
   /// The process ends then: whatever is still without an answer gets one before.
-  void answerAllBy(TimePoint);
+  void setAnswerDeadline(TimePoint);
 
  private:
   struct Attempt {
@@ -93,9 +96,9 @@
   void cancel(RequestId, AttemptNumber) override;
   void reject(RequestId, Duration retryAfter) override;
   void fail(RequestId) override;
-  void addToCount(const CountName&, double units, Duration keepFor) override;
+  void addToCounter(const CounterKey&, double units, Duration keepFor) override;
   void wakeAt(TimePoint, TimerId) override;
-  void note(const std::string& line) override;
+  void report(EngineEvent event) override { transport_.report(event); }
 
   PendingRequest* find(RequestId requestId) { return requests_.find(SlotRef::unpacked(requestId.value)); }
   PendingRequest* takeUnanswered(RequestId);
--- a/src/net/client/client_connection.cpp
+++ b/src/net/client/client_connection.cpp
@@ -1,4 +1,4 @@
-#include "net/client_connection.hpp"
+#include "net/client/client_connection.hpp"
 
 #include <fmt/compile.h>
 
@@ -9,7 +9,7 @@
 #include <system_error>
 #include <utility>
 
-#include "net/client_listener.hpp"
+#include "net/client/client_listener.hpp"
 
 namespace merlinbridge::net {
 namespace {
@@ -174,11 +174,11 @@
   message_.clear();
   waitsSince_ = loop_.now();
   send({{head.data(), std::min(end.size, head.size())}, headOnly ? std::string_view() : body});
-  if (loop_.log.enabled(Level::debug))
-    loop_.log(Level::debug, "request_answered", "request ", answeredRequest_, ": ", status,
-              allWritten() ? ""
-              : isUp()     ? ", not yet written whole"
-                           : ", not written: the connection ended");
+  if (loop_.log.enabled(LogEvent::requestAnswered))
+    loop_.log(LogEvent::requestAnswered, LogField{"request", answeredRequest_}, LogField{"status", status},
+              LogField{"written", std::string_view(allWritten() ? "complete"
+                                                   : isUp()     ? "partly"
+                                                                : "connection_closed")});
   if (!allWritten()) updateWaitTimer();
 }
 
@@ -264,25 +264,23 @@
 void ClientConnection::logUnanswered() {
   const bool left = !timedOut_ && (peerEnded() || lastError() == 0 || lastError() == ECONNRESET);
   if (left) {
-    if (loop_.log.enabled(Level::debug))
-      loop_.log(Level::debug, "client_left", "request ", message().get("Req-Id"),
-                " has no answer: its client left, ",
-                peerEnded()        ? "by an end"
-                : lastError() != 0 ? "by a reset"
-                                   : "seen behind what it sent ahead");
+    if (loop_.log.enabled(LogEvent::clientDisconnected))
+      loop_.log(LogEvent::clientDisconnected, LogField{"request", message().get("Req-Id")},
+                LogField{"seen_as", std::string_view(peerEnded()        ? "end_of_stream"
+                                                     : lastError() != 0 ? "reset"
+                                                                        : "end_behind_pipelined_data")});
     return;
   }
-  loop_.log(Level::warning, "request_dropped", "request ", message().get("Req-Id"), " has no answer: ",
-            lastError() != 0 ? std::generic_category().message(lastError()) : "timed out");
+  loop_.log(LogEvent::requestDropped, LogField{"request", message().get("Req-Id")},
+            LogField{"error", lastError() != 0 ? errorText(lastError()) : "timed out"});
 }
 
 // The answer has begun to go out, and the client never has the whole of it.
 void ClientConnection::logUnwritten() {
-  loop_.log(Level::info, "answer_unwritten", "request ", answeredRequest_,
-            ": its answer is not written whole: ",
-            timedOut_          ? "timed out"
-            : lastError() != 0 ? std::generic_category().message(lastError())
-                               : "the client left");
+  loop_.log(LogEvent::responseIncomplete, LogField{"request", answeredRequest_},
+            LogField{"error", timedOut_          ? "timed out"
+                              : lastError() != 0 ? errorText(lastError())
+                                                 : "client disconnected"});
 }
 
 void ClientConnection::onClosed() {
--- a/src/net/client/client_listener.cpp
+++ b/src/net/client/client_listener.cpp
@@ -1,4 +1,4 @@
-#include "net/client_listener.hpp"
+#include "net/client/client_listener.hpp"
 
 #include <poll.h>
 
@@ -7,7 +7,7 @@
 #include <boost/asio/yield.hpp>
 #include <cerrno>
 
-#include "net/client_connection.hpp"
+#include "net/client/client_connection.hpp"
 
 namespace merlinbridge::net {
 namespace {
--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -1,4 +1,4 @@
-#include "net/counter_client.hpp"
+#include "net/counter/counter_client.hpp"
 
 #include <fmt/compile.h>
 
@@ -22,7 +22,7 @@
 CounterConnection::CounterConnection(EventLoop& loop, CounterClient& counter, std::size_t number)
     : Connection(loop), counter_(counter), number_(number), lastHeardAt_(loop.now()) {}
 
-void CounterConnection::call(const CountName& name, std::string_view message) {
+void CounterConnection::call(const CounterKey& name, std::string_view message) {
   const TimePoint now = loop_.now();
   if (calls_.empty()) lastHeardAt_ = now;
   const std::uint64_t number = first_ + calls_.size();
@@ -39,12 +39,13 @@
   if (number < first_ || number - first_ >= calls_.size()) return;
   Call& call = calls_[number - first_];
   if (std::exchange(call.reported, true)) return;
-  const CountName name = call.name;
+  const CounterKey name = call.name;
   const Duration took = now - call.madeAt;
   // Not one byte of it has been written, nor must be any more: nothing was added.
   const bool never = !isUp();
   if (never || now - lastHeardAt_ >= counter_.connectTimeout_) onClosed();
-  counter_.core_->counted(now, name, never ? CountEnd::notAdded : CountEnd::unknown, 0, took);
+  counter_.core_->counterCallEnded(
+      now, name, never ? CounterCallOutcome::notAdded : CounterCallOutcome::unknown, 0, took);
   if (mayEnd()) onClosed();
 }
 
@@ -80,16 +81,16 @@
                       std::isfinite(total);
     const int status = message_.status();
     const bool refused = status == 503 || status == 400 || status == 404;
-    const CountEnd end = status == 200 && read ? CountEnd::ok
-                         : refused             ? CountEnd::notAdded
-                                               : CountEnd::unknown;
+    const CounterCallOutcome end = status == 200 && read ? CounterCallOutcome::ok
+                                   : refused             ? CounterCallOutcome::notAdded
+                                                         : CounterCallOutcome::unknown;
     const bool last = !message_.keepsAlive();
     buffer_.drop(message_.size());
     message_.clear();
     if (!call.reported) {
       loop_.deadlines.drop(call.timeout);
-      counter_.core_->counted(lastHeardAt_, call.name, end, end == CountEnd::ok ? total : 0,
-                              lastHeardAt_ - call.madeAt);
+      counter_.core_->counterCallEnded(lastHeardAt_, call.name, end,
+                                       end == CounterCallOutcome::ok ? total : 0, lastHeardAt_ - call.madeAt);
     }
     if (last || mayEnd()) return onClosed();
   }
@@ -105,8 +106,9 @@
   for (const Call& call : calls) {
     if (call.reported) continue;
     loop_.deadlines.drop(call.timeout);
-    counter_.core_->counted(now, call.name, never ? CountEnd::notAdded : CountEnd::unknown, 0,
-                            now - call.madeAt);
+    counter_.core_->counterCallEnded(now, call.name,
+                                     never ? CounterCallOutcome::notAdded : CounterCallOutcome::unknown, 0,
+                                     now - call.madeAt);
   }
 }
 
@@ -133,7 +135,7 @@
 }
 
 // The first connection that is free, else the one with the fewest calls on it.
-void CounterClient::add(const CountName& name, double units, Duration keepFor) {
+void CounterClient::add(const CounterKey& name, double units, Duration keepFor) {
   CounterConnection* least = nullptr;
   for (std::size_t n = 0; n < links_.size() && !(least && least->waiting() == 0); ++n) {
     auto* link = loop_.find<CounterConnection>(links_[n]);
@@ -149,7 +151,7 @@
   const auto end = fmt::format_to_n(
       line.data(), line.size(),
       FMT_COMPILE("POST /tally/{}{}.{}?n={}&keep_ms={} HTTP/1.1\r\nHost: {}\r\nContent-Length: 0\r\n\r\n"),
-      name.what == CountName::What::use ? 'u' : 'o', name.customer.value, name.slot.value, units, ms,
+      name.kind == CounterKey::Kind::quotaUse ? 'u' : 'o', name.customer.value, name.slot.value, units, ms,
       address_);
   least->call(name, {line.data(), std::min(end.size, line.size())});
 }
--- a/src/net/counter/counter_client.hpp
+++ b/src/net/counter/counter_client.hpp
@@ -17,13 +17,13 @@
  public:
   CounterConnection(EventLoop&, CounterClient&, std::size_t number);
 
-  void call(const CountName&, std::string_view message);
+  void call(const CounterKey&, std::string_view message);
   std::size_t waiting() const { return calls_.size(); }
   void retire();  ///< no further calls: it ends when those on it have ended
 
  private:
   struct Call {
-    CountName name;
+    CounterKey name;
     TimePoint madeAt;
     core::DeadlineQueue::Ticket timeout;
     bool reported;  ///< the module has been told how it ended
@@ -52,7 +52,7 @@
   CounterClient(EventLoop&, std::string address, Duration timeout, Duration connectTimeout, Duration idle);
 
   void serve(core::GatewayCore& core) { core_ = &core; }
-  void add(const CountName&, double units, Duration keepFor);
+  void add(const CounterKey&, double units, Duration keepFor);
   /// From now on calls go there; what is under way ends where it is. Throws std::invalid_argument.
   void moveTo(const std::string& address);
 
--- a/src/net/discovery/discovery_watch.cpp
+++ b/src/net/discovery/discovery_watch.cpp
@@ -1,4 +1,4 @@
-#include "net/discovery_watch.hpp"
+#include "net/discovery/discovery_watch.hpp"
 
 #include <fmt/format.h>
 
@@ -156,7 +156,7 @@
     core_->endpointsUpdated(loop_.now(), endpoints);
     return true;
   } catch (const config::ConfigError& e) {
-    loop_.log(Level::debug, "list_unreadable", "discovery sent what cannot be read: ", e.what());
+    loop_.log(LogEvent::endpointListInvalid, LogField{"error", std::string_view(e.what())});
     return false;
   }
 }
@@ -164,7 +164,7 @@
 void DiscoveryWatch::markHealthy() {
   failuresInRow_ = 0;
   if (std::exchange(lost_, false))
-    loop_.log(Level::info, "discovery_back", "discovery back, last list ", generation_);
+    loop_.log(LogEvent::discoveryRestored, LogField{"generation", generation_});
 }
 
 // Guards against many gateways that ask a crowded discovery again in step, and against asking ever on: where
@@ -176,7 +176,7 @@
   const bool wasWatch = pollsSinceWatch_ % kWatchEveryPolls == 0;
   pollsSinceWatch_ = wasWatch && how == PollResult::silent ? 0 : pollsSinceWatch_ + 1;
   if (how != PollResult::updated && !std::exchange(lost_, true))
-    loop_.log(Level::warning, "discovery_lost", "discovery lost: list ", generation_, " stays in force");
+    loop_.log(LogEvent::discoveryUnreachable, LogField{"generation", generation_});
   const Duration longest = scaled(kHeartbeatInterval, kMaxRejectedBackoff);
   const Duration most =
       how == PollResult::refused
--- a/src/net/fault_log.cpp
+++ b/src/net/fault_log.cpp
@@ -10,6 +10,10 @@
 
 }  // namespace
 
+std::string errorText(int error) {
+  return error == 0 ? "none" : std::generic_category().message(error);
+}
+
 std::string_view nameOf(SystemCall call) {
   switch (call) {
     case SystemCall::accept:
@@ -41,24 +45,24 @@
 void FaultLog::record(TimePoint now, SystemCall call, int error, std::string_view consequence) {
   FailureCount& count = failures_[{call, error}];
   if (!countedDueForLog(count, now)) return;
-  log_(Level::warning, "system_call_failed", nameOf(call), ": ", std::generic_category().message(error), "; ",
-       consequence, " (", std::exchange(count.sinceLogged, 0), " since the last line)");
+  log_(LogEvent::systemCallFailed, LogField{"call", nameOf(call)}, LogField{"error", errorText(error)},
+       LogField{"action", consequence}, LogField{"since_last_line", std::exchange(count.sinceLogged, 0)});
 }
 
 void FaultLog::recordHeldUp(TimePoint now, Duration late) {
   longestHeldUp_ = std::max(longestHeldUp_, late);
   if (!countedDueForLog(heldUp_, now)) return;
-  log_(Level::warning, "held_up", "held up: timers ran ",
-       std::chrono::duration_cast<std::chrono::milliseconds>(longestHeldUp_).count(), " ms late at most (",
-       std::exchange(heldUp_.sinceLogged, 0), " times since the last line)");
+  log_(LogEvent::eventLoopStalled,
+       LogField{"late_ms", std::chrono::duration_cast<std::chrono::milliseconds>(longestHeldUp_).count()},
+       LogField{"since_last_line", std::exchange(heldUp_.sinceLogged, 0)});
   longestHeldUp_ = Duration{0};
 }
 
 void FaultLog::logTotals() {
   for (const auto& [kind, count] : failures_)
-    log_(Level::info, "system_call_total", nameOf(kind.first), ": ",
-         std::generic_category().message(kind.second), ", ", count.total, " times in all");
-  if (heldUp_.total > 0) log_(Level::info, "held_up_total", "held up ", heldUp_.total, " times in all");
+    log_(LogEvent::systemCallFailuresTotal, LogField{"call", nameOf(kind.first)},
+         LogField{"error", errorText(kind.second)}, LogField{"count", count.total});
+  if (heldUp_.total > 0) log_(LogEvent::eventLoopStallsTotal, LogField{"count", heldUp_.total});
 }
 
 }  // namespace merlinbridge::net
--- a/src/net/fault_log.hpp
+++ b/src/net/fault_log.hpp
@@ -2,6 +2,7 @@
 
 #include <cstdint>
 #include <map>
+#include <string>
 #include <string_view>
 #include <utility>
 
@@ -14,6 +15,8 @@
 enum class SystemCall { accept, registration, socket, connect, receive, send, wait };
 
 std::string_view nameOf(SystemCall call);
+/// The system's text for that errno; "none" for 0.
+std::string errorText(int error);
 
 /// Counts failed system calls by call and errno. The first of a kind is logged at once, those that follow
 /// with their number, at most one line of a kind in ten seconds.
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -5,7 +5,7 @@
 
 #include <iterator>
 
-#include "net/client_connection.hpp"
+#include "net/client/client_connection.hpp"
 
 namespace merlinbridge::net {
 namespace {
@@ -64,7 +64,7 @@
 }
 
 void Server::leave(TimePoint by) {
-  core_.answerAllBy(by);
+  core_.setAnswerDeadline(by);
   clients_.drain(by);
 }
 
@@ -78,8 +78,9 @@
 void Server::answerRejected(SlotRef ref, Duration retryAfter) {
   ClientConnection* const client = loop_.find<ClientConnection>(ref);
   if (!client) return;
-  if (loop_.log.enabled(Level::debug))
-    loop_.log(Level::debug, "request_rejected", "request ", client->message().get("Req-Id"), ": 429");
+  if (loop_.log.enabled(LogEvent::requestRejected))
+    loop_.log(LogEvent::requestRejected, LogField{"request", client->message().get("Req-Id")},
+              LogField{"status", 429});
   if (retryAfter <= Duration{0}) return client->answer(429, "", "");
   client->answer(429, fmt::format(FMT_COMPILE("Retry-After: {:.3f}\r\n"), seconds(retryAfter)), "");
 }
@@ -87,8 +88,9 @@
 void Server::answerFailed(SlotRef ref) {
   ClientConnection* const client = loop_.find<ClientConnection>(ref);
   if (!client) return;
-  if (loop_.log.enabled(Level::debug))
-    loop_.log(Level::debug, "request_failed", "request ", client->message().get("Req-Id"), ": 502");
+  if (loop_.log.enabled(LogEvent::requestFailed))
+    loop_.log(LogEvent::requestFailed, LogField{"request", client->message().get("Req-Id")},
+              LogField{"status", 502});
   client->answer(502, "", "");
 }
 
@@ -110,18 +112,19 @@
   if (!asked.body().empty() || asked.method() != "GET")
     fmt::format_to(std::back_inserter(message_), FMT_COMPILE("Content-Length: {}\r\n"), asked.body().size());
   message_.append("\r\n").append(asked.body());
-  if (loop_.log.enabled(Level::debug))
-    loop_.log(Level::debug, "attempt_started", "attempt ", no.value, " of request ", requestId.value,
-              " (Req-Id ", asked.get("Req-Id"), ") to ", core_.nameOf(host));
+  if (loop_.log.enabled(LogEvent::attemptStarted))
+    loop_.log(LogEvent::attemptStarted, LogField{"request", asked.get("Req-Id")},
+              LogField{"request_number", requestId.value}, LogField{"attempt", no.value},
+              LogField{"host", core_.nameOf(host)});
   return hosts_.startAttempt(host, message_, requestId, no, deadline);
 }
 
-bool Server::clientThere(SlotRef ref) {
+bool Server::clientConnected(SlotRef ref) {
   const ClientConnection* const client = loop_.find<ClientConnection>(ref);
   return client && !client->peerHungUp();
 }
 
-void Server::count(const CountName& name, double units, Duration keepFor) {
+void Server::addToCounter(const CounterKey& name, double units, Duration keepFor) {
   counter_.add(name, units, keepFor);
 }
 
--- a/src/net/server.hpp
+++ b/src/net/server.hpp
@@ -2,11 +2,12 @@
 
 #include <string>
 
+#include "gateway_core/engine_log_event.hpp"
 #include "gateway_core/gateway_core.hpp"
-#include "net/client_listener.hpp"
-#include "net/counter_client.hpp"
-#include "net/discovery_watch.hpp"
-#include "net/upstream_pool.hpp"
+#include "net/client/client_listener.hpp"
+#include "net/counter/counter_client.hpp"
+#include "net/discovery/discovery_watch.hpp"
+#include "net/upstream/upstream_pool.hpp"
 
 namespace merlinbridge::net {
 
@@ -41,11 +42,14 @@
   std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
                                               AttemptDeadline) override;
   bool closeAttempt(SlotRef, AttemptNumber, SlotRef link) override { return hosts_.closeAttempt(link), true; }
-  bool unwritten(SlotRef link) override { return hosts_.unwritten(link); }
-  bool clientThere(SlotRef client) override;
-  void count(const CountName& name, double units, Duration keepFor) override;
+  bool isUnsent(SlotRef link) override { return hosts_.isUnsent(link); }
+  bool clientConnected(SlotRef client) override;
+  void addToCounter(const CounterKey& name, double units, Duration keepFor) override;
   void hostUnavailable(HostId host) override { hosts_.closeIdle(host); }
-  void note(const std::string& line) override { loop_.log(Level::info, "decisions", line); }
+  void report(EngineEvent event) override { loop_.log(core::logEventOf(event)); }
+  void endpointTableFull(std::string_view hostName) override {
+    loop_.log(LogEvent::endpointTableFull, LogField{"host", hostName});
+  }
 
   EventLoop& loop_;
   ClientListener clients_;
--- a/src/net/upstream/upstream_pool.cpp
+++ b/src/net/upstream/upstream_pool.cpp
@@ -1,4 +1,4 @@
-#include "net/upstream_pool.hpp"
+#include "net/upstream/upstream_pool.hpp"
 
 #include <charconv>
 #include <cmath>
@@ -105,7 +105,7 @@
 // Guards against an attempt whose connection comes up after its window, or once its client has gone.
 bool UpstreamConnection::mayWrite() const {
   return loop_.now() < writtenBy_ &&
-         (state_ != State::attempt || starting_ || hosts_.core_->wants(requestId_));
+         (state_ != State::attempt || starting_ || hosts_.core_->isPending(requestId_));
 }
 
 // By the protocol's table.
@@ -141,7 +141,7 @@
   const bool answered = peerEnded() && message_.begun() && message_.ended() == http::Message::Stage::done;
   if (state_ == State::idle) return hosts_.close(ref());
   if (answered) return ended(outcomeOf(), readResponse());
-  if (unwritten() && !mayWrite()) return ended(Outcome::notSent);
+  if (isUnsent() && !mayWrite()) return ended(Outcome::notSent);
   ended(isUp() && allWritten() ? Outcome::lost : Outcome::noConnection);
 }
 
@@ -171,10 +171,10 @@
 }
 
 void UpstreamConnection::logEnd(Outcome outcome) {
-  if (!loop_.log.enabled(Level::debug)) return;
-  loop_.log(Level::debug, "attempt_ended", "attempt ", no_.value, " of request ", requestId_.value, " at ",
-            hosts_.core_->nameOf(host_), ": ", nameOf(outcome),
-            lastError() != 0 ? ", " + std::generic_category().message(lastError()) : "");
+  if (!loop_.log.enabled(LogEvent::attemptEnded)) return;
+  loop_.log(LogEvent::attemptEnded, LogField{"request_number", requestId_.value},
+            LogField{"attempt", no_.value}, LogField{"host", hosts_.core_->nameOf(host_)},
+            LogField{"outcome", nameOf(outcome)}, LogField{"error", errorText(lastError())});
 }
 
 TimePoint UpstreamConnection::waitDeadline() const {
@@ -186,7 +186,7 @@
 
 void UpstreamConnection::onTimeout() {
   if (state_ == State::idle) return hosts_.close(ref());
-  if (unwritten() && !mayWrite()) return ended(Outcome::notSent);
+  if (isUnsent() && !mayWrite()) return ended(Outcome::notSent);
   if (failedLocally()) return ended(Outcome::notSent);
   // Idle connections to a machine that has vanished are closed, too: their silence says nothing.
   if (!isUp()) hosts_.closeIdle(host_);
@@ -236,7 +236,8 @@
     link.connect(at);
     return &link;
   } catch (const std::invalid_argument& e) {
-    loop_.log(Level::warning, "host_address_bad", "a host's address: ", e.what());
+    loop_.log(LogEvent::endpointAddressInvalid, LogField{"host", core_->nameOf(host)},
+              LogField{"error", std::string_view(e.what())});
     return nullptr;
   }
 }
@@ -262,9 +263,9 @@
   close(ref);
 }
 
-bool UpstreamPool::unwritten(SlotRef ref) {
+bool UpstreamPool::isUnsent(SlotRef ref) {
   const auto* const link = loop_.find<UpstreamConnection>(ref);
-  return link && link->unwritten();
+  return link && link->isUnsent();
 }
 
 void UpstreamPool::closeIdle(HostId host) {
--- a/src/net/upstream/upstream_pool.hpp
+++ b/src/net/upstream/upstream_pool.hpp
@@ -27,7 +27,7 @@
   HostId host() const { return host_; }
   bool idle() const { return state_ == State::idle; }
   /// The attempt is not written whole: given up now, it never reaches the host.
-  bool unwritten() const {
+  bool isUnsent() const {
     return state_ == State::attempt && !(isUp() && allWritten() && queuedRequest_.empty());
   }
   TimePoint idleSince() const { return since_; }
@@ -73,7 +73,7 @@
   std::variant<SlotRef, Outcome> startAttempt(HostId, std::string_view message, RequestId, AttemptNumber,
                                               AttemptDeadline);
   void closeAttempt(SlotRef);
-  bool unwritten(SlotRef);
+  bool isUnsent(SlotRef);
   /// Closes the idle connections to that host.
   void closeIdle(HostId);
 
--- a/src/policy/counter_exchange.cpp
+++ b/src/policy/counter_exchange.cpp
@@ -25,8 +25,7 @@
     : context_(context),
       pacer_(kInitialCalls / context.settings.gateways, context.startedAt),
       lastSuccessAt_(context.startedAt),
-      silenceNotice_("counter silent: quotas divided among the gateways", "counter back: quotas shared again",
-                     slotLength()) {}
+      silenceNotice_(EngineEvent::counterUnreachable, EngineEvent::counterRestored, slotLength()) {}
 
 Duration CounterExchange::roundTime() const {
   return scaled(context_.settings.counterTimeout, kRoundTimeouts);
@@ -80,20 +79,21 @@
   customer.round.wanted = false;
   if (customer.bucket.isDivided()) refill(customer);
   const double units = customer.bucket.takeUnpublished();
-  const CountName name{CountName::What::use, customer.id, slotAt(context_.now)};
+  const CounterKey name{CounterKey::Kind::quotaUse, customer.id, slotAt(context_.now)};
   customer.round.callInFlight = true;
   pacer_.start();
-  callsInFlight_[name].push_back([this, &customer, slot = name.slot, units](CountEnd end, double total) {
-    finishCall(customer, slot, units, end, total);
-  });
-  context_.sink.addToCount(name, units, countRetention());
+  callsInFlight_[name].push_back(
+      [this, &customer, slot = name.slot, units](CounterCallOutcome end, double total) {
+        finishCall(customer, slot, units, end, total);
+      });
+  context_.sink.addToCounter(name, units, countRetention());
 }
 
-void CounterExchange::finishCall(CustomerState& customer, SlotId slot, double units, CountEnd end,
+void CounterExchange::finishCall(CustomerState& customer, SlotId slot, double units, CounterCallOutcome end,
                                  double total) {
   CounterRound& round = customer.round;
   round.callInFlight = false;
-  if (end != CountEnd::ok) {
+  if (end != CounterCallOutcome::ok) {
     customer.bucket.returnUnpublished(units);
     if (++round.failedInRow >= kSilentAfterFailures) customer.bucket.divide();
     return schedule(customer);
@@ -104,7 +104,7 @@
   if (round.wanted) schedule(customer);
 }
 
-void CounterExchange::callEnded(const CountName& name, CountEnd end, double total, Duration took) {
+void CounterExchange::callEnded(const CounterKey& name, CounterCallOutcome end, double total, Duration took) {
   adjustPace(end, took);
   const auto found = callsInFlight_.find(name);
   if (found == callsInFlight_.end()) return;
@@ -114,8 +114,8 @@
   ended(end, total);
 }
 
-void CounterExchange::adjustPace(CountEnd end, Duration took) {
-  const bool ok = end == CountEnd::ok;
+void CounterExchange::adjustPace(CounterCallOutcome end, Duration took) {
+  const bool ok = end == CounterCallOutcome::ok;
   failuresInRow_ = ok ? 0 : failuresInRow_ + 1;
   if (ok) lastSuccessAt_ = context_.now;
   silenceNotice_.set(silent(), context_.now, context_.sink);
--- a/src/policy/counter_exchange.hpp
+++ b/src/policy/counter_exchange.hpp
@@ -26,7 +26,7 @@
   /// A request has come: the customer gets a round, now or when its last one is over.
   void schedule(CustomerState& customer);
   /// A call has ended. `total`: of that count, where `end` is ok. `took`: the call's duration.
-  void callEnded(const CountName& name, CountEnd end, double total, Duration took);
+  void callEnded(const CounterKey& name, CounterCallOutcome end, double total, Duration took);
   /// Nothing of that customer waits for the service.
   static bool idle(const CustomerState& customer) {
     return !customer.round.callInFlight && !customer.round.queued;
@@ -34,7 +34,7 @@
 
  private:
   /// Called once, when the call ends.
-  using CallEnded = std::function<void(CountEnd, double total)>;
+  using CallEnded = std::function<void(CounterCallOutcome, double total)>;
 
   Duration roundTime() const;
   /// All calls of three rounds have failed: no customer need find it out on its own.
@@ -50,11 +50,11 @@
   /// customer: a busy service must not fill up with calls that only read. Costs accuracy right after a
   /// turn.
   void startCall(CustomerState& customer);
-  void finishCall(CustomerState& customer, SlotId slot, double units, CountEnd end, double total);
-  void adjustPace(CountEnd end, Duration took);
+  void finishCall(CustomerState& customer, SlotId slot, double units, CounterCallOutcome end, double total);
+  void adjustPace(CounterCallOutcome end, Duration took);
 
   EngineContext& context_;
-  std::map<CountName, std::deque<CallEnded>> callsInFlight_;
+  std::map<CounterKey, std::deque<CallEnded>> callsInFlight_;
   std::deque<CustomerState*> queue_;  ///< Customers whose round is due.
   util::CallPacer pacer_;             ///< Calls in one counter timeout.
   TimePoint lastSuccessAt_;
--- a/src/policy/decision_engine.cpp
+++ b/src/policy/decision_engine.cpp
@@ -104,7 +104,7 @@
   statistics_.attemptEnded(result.host);
   learnFrom(result, request);
   account(result, request);
-  request.answered = request.answered || result.closed;
+  request.answered = request.answered || result.requestAnswered;
   const bool retried = !request.answered && retries_.allowsRetry(request) && startAttempt(request);
   if (request.hasAttemptInFlight()) return;
   if (!request.answered && !retried) giveUp(request);
@@ -118,7 +118,7 @@
     outliers_.recordUnreachable(result.host);
   if (result.outcome != Outcome::ok) return;
   outliers_.recordAnswer(result.host);
-  if (result.load.held && result.load.perSecond) {
+  if (result.load.inFlight && result.load.answersPerSecond) {
     const Method& method = context_.settings.methods[request.request.method.value];
     shedding_.recordLoad(result.load, method);
     outliers_.recordLoad(result.host, result.load, method);
--- a/src/policy/engine_impl.hpp
+++ b/src/policy/engine_impl.hpp
@@ -25,16 +25,16 @@
   void admit(const Request& request);
   void endAttempt(const AttemptResult& result) {
     const auto found = requests_.find(result.requestId.value);
-    if (found == requests_.end() || result.no.value >= found->second.attempts.size()) return;
+    if (found == requests_.end() || result.attemptNumber.value >= found->second.attempts.size()) return;
     const policy::Attempt::Ended ended =
-        std::exchange(found->second.attempts[result.no.value].ended, nullptr);
+        std::exchange(found->second.attempts[result.attemptNumber.value].ended, nullptr);
     if (ended) ended(result);
   }
   void endClient(RequestId id) {
     const auto found = requests_.find(id.value);
     if (found != requests_.end()) found->second.answered = true;
   }
-  void endCounterCall(const CountName& name, CountEnd end, double total, Duration took) {
+  void endCounterCall(const CounterKey& name, CounterCallOutcome end, double total, Duration took) {
     exchange_.callEnded(name, end, total, took);
   }
   void fire(TimerId timer) { context_.timers.fire(timer); }
--- a/src/policy/load_shedding.cpp
+++ b/src/policy/load_shedding.cpp
@@ -22,8 +22,7 @@
       hosts_(hosts),
       statistics_(statistics),
       outliers_(outliers),
-      notice_("hosts have no room: requests rejected, the least worth first", "hosts have room again",
-              slotLength()) {}
+      notice_(EngineEvent::loadSheddingStarted, EngineEvent::loadSheddingStopped, slotLength()) {}
 
 double LoadShedding::utilization(MethodId method) const {
   const double hosts = hosts_.servingCount() / double(context_.settings.gateways);
@@ -56,7 +55,7 @@
 }
 
 void LoadShedding::recordLoad(const LoadReport& load, const Method& method) {
-  const double held = std::max(0.0, *load.held), rate = std::max(kMinRate, *load.perSecond);
+  const double held = std::max(0.0, *load.inFlight), rate = std::max(kMinRate, *load.answersPerSecond);
   const double reported = held / HostStatistics::reportedCapacity(rate, method);
   reports_.add(context_.now, kReportSeconds, 1);
   reportedLoad_.add(context_.now, kReportSeconds, std::min(kMaxReported, reported));
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -22,7 +22,7 @@
 }
 
 void OutlierDetection::recordLoad(HostId host, const LoadReport& load, const Method& method) {
-  const double held = std::max(0.0, *load.held), rate = std::max(kMinRate, *load.perSecond);
+  const double held = std::max(0.0, *load.inFlight), rate = std::max(kMinRate, *load.answersPerSecond);
   if (load.queued.value_or(0) <= 0 || held <= rate * seconds(method.softDeadline)) return;
   const double turns = std::max(held, double(context_.settings.gateways));
   eject(host, durationOf(std::min(seconds(countRetention()), turns / rate)));
--- a/src/policy/state_notice.hpp
+++ b/src/policy/state_notice.hpp
@@ -4,24 +4,23 @@
 
 namespace merlinbridge::policy {
 
-/// Logs when a condition begins and when it ends, not more often than once in an interval.
+/// Reports when a condition begins and when it ends, at most one change in an interval.
 class StateNotice {
  public:
-  /// The texts must outlive the notice.
-  StateNotice(const char* beganText, const char* endedText, Duration minInterval)
-      : beganText_(beganText), endedText_(endedText), minInterval_(minInterval) {}
+  StateNotice(EngineEvent began, EngineEvent ended, Duration minInterval)
+      : began_(began), ended_(ended), minInterval_(minInterval) {}
 
   bool active() const { return active_; }
   void set(bool active, TimePoint now, DecisionSink& sink) {
     if (active_ == active || (changedAt_ != TimePoint{} && now - changedAt_ < minInterval_)) return;
     active_ = active;
     changedAt_ = now;
-    sink.note(active ? beganText_ : endedText_);
+    sink.report(active ? began_ : ended_);
   }
 
  private:
-  const char* beganText_;
-  const char* endedText_;
+  EngineEvent began_;
+  EngineEvent ended_;
   Duration minInterval_;
   bool active_ = false;
   TimePoint changedAt_{};
--- a/src/policy_api/decision_engine.hpp
+++ b/src/policy_api/decision_engine.hpp
@@ -17,6 +17,14 @@
   TimePoint writeBy;
 };
 
+/// A change of the engine's state that is worth a log line.
+enum class EngineEvent {
+  counterUnreachable,   ///< The counter service fails every call: quotas are divided among the gateways.
+  counterRestored,      ///< It answers again: quotas are shared again.
+  loadSheddingStarted,  ///< The hosts' capacity is used up: requests are rejected, lowest priority first.
+  loadSheddingStopped   ///< No request was rejected for that reason for a while.
+};
+
 /// What the engine asks of whoever hosts it. The calls come while the engine handles an input; they must not
 /// call the engine in turn.
 class DecisionSink {
@@ -31,11 +39,11 @@
   /// Final answer: the request may have had its effect.
   virtual void fail(RequestId) = 0;
   /// Adds units to a count that the counter service keeps for that long; the end comes as `counted`.
-  virtual void addToCount(const CountName&, double units, Duration keepFor) = 0;
+  virtual void addToCounter(const CounterKey&, double units, Duration keepFor) = 0;
   /// Calls `woken` at that time or as soon after as possible.
   virtual void wakeAt(TimePoint, TimerId) = 0;
-  /// A line for the log.
-  virtual void note(const std::string& line) = 0;
+  /// The engine has entered or left a state that on-call engineers need to see in the log.
+  virtual void report(EngineEvent) = 0;
 };
 
 /// A request that a client waits for.
@@ -64,19 +72,19 @@
 
 /// What a host's answer tells of its load; each figure may be missing.
 struct LoadReport {
-  std::optional<double> held;            ///< Requests in flight at the host.
-  std::optional<double> queued;          ///< Of them, those that wait.
-  std::optional<double> serviceSeconds;  ///< Recent time of one request.
-  std::optional<double> perSecond;       ///< Answers per second.
-  std::optional<double> busy;            ///< Utilization, 0 to 1.
+  std::optional<double> inFlight;          ///< Requests in flight at the host.
+  std::optional<double> queued;            ///< Of them, those that wait.
+  std::optional<double> serviceSeconds;    ///< Recent time of one request.
+  std::optional<double> answersPerSecond;  ///< Answers per second.
+  std::optional<double> utilization;       ///< Utilization, 0 to 1.
 };
 
 struct AttemptResult {
   RequestId requestId;
-  AttemptNumber no;
+  AttemptNumber attemptNumber;
   HostId host;
   Outcome outcome = Outcome::notSent;
-  bool closed = false;  ///< The request has had its final answer.
+  bool requestAnswered = false;  ///< The request has had its final answer.
   Duration took{};
   double trueUnits = 0;  ///< Cost of the request; 0: not told.
   LoadReport load;
@@ -94,7 +102,7 @@
 };
 
 /// How a call to the counter service ended.
-enum class CountEnd {
+enum class CounterCallOutcome {
   ok,
   notAdded,  ///< The units were certainly not added.
   unknown    ///< They may have been added.
@@ -121,8 +129,9 @@
   /// The client has gone, or has had an answer without the engine's doing.
   void clientLeft(TimePoint now, RequestId);
   /// `total`: of the count after the call, where `end` is ok. `took`: the call's duration.
-  void counted(TimePoint now, const CountName&, CountEnd end, double total, Duration took);
-  void woken(TimePoint now, TimerId);
+  void counterCallEnded(TimePoint now, const CounterKey&, CounterCallOutcome end, double total,
+                        Duration took);
+  void timerFired(TimePoint now, TimerId);
 
  private:
   class Impl;
--- a/src/policy_api/ids.hpp
+++ b/src/policy_api/ids.hpp
@@ -28,11 +28,11 @@
 using AttemptNumber = Id<struct AttemptKind, std::uint32_t>;
 
 /// Names a count on the counter service: what is counted, for whom, in which slot of time.
-struct CountName {
-  enum class What : std::uint8_t { use, open } what = What::use;
+struct CounterKey {
+  enum class Kind : std::uint8_t { quotaUse, inFlightTime } kind = Kind::quotaUse;
   CustomerId customer;
   SlotId slot;
-  auto operator<=>(const CountName&) const = default;  // NOLINT(modernize-use-nullptr): as above
+  auto operator<=>(const CounterKey&) const = default;  // NOLINT(modernize-use-nullptr): as above
 };
 
 }  // namespace merlinbridge
--- a/src/policy_binding/decision_engine.cpp
+++ b/src/policy_binding/decision_engine.cpp
@@ -34,13 +34,13 @@
   impl_->endClient(request);
 }
 
-void DecisionEngine::counted(TimePoint now, const CountName& name, CountEnd end, double total,
-                             Duration took) {
+void DecisionEngine::counterCallEnded(TimePoint now, const CounterKey& name, CounterCallOutcome end,
+                                      double total, Duration took) {
   impl_->advanceTo(now);
   impl_->endCounterCall(name, end, total, took);
 }
 
-void DecisionEngine::woken(TimePoint now, TimerId timer) {
+void DecisionEngine::timerFired(TimePoint now, TimerId timer) {
   impl_->advanceTo(now);
   impl_->fire(timer);
 }
--- a/src/simulator_adapter/simulator_adapter.cpp
+++ b/src/simulator_adapter/simulator_adapter.cpp
@@ -13,6 +13,7 @@
 
 #include "config/json_fields.hpp"
 #include "config/policy_settings_reader.hpp"
+#include "gateway_core/engine_log_event.hpp"
 #include "gateway_core/gateway_core.hpp"
 #include "util/json_escape.hpp"
 
@@ -75,14 +76,16 @@
     write(R"({{"abandon":{{"i":{},"id":"{:016x}","sendNo":{}}}}})", requestId.packed(), no.value);
     return false;
   }
-  void count(const CountName& name, double units, Duration keepFor) override {
+  void addToCounter(const CounterKey& name, double units, Duration keepFor) override {
     write(R"({{"postAmount":{{"i":{},"n":{},"forgetAfter":{},"counter":"{}"}}}})", units, micros(keepFor),
           word(name));
   }
   void hostUnavailable(HostId) override {}
-  void note(const std::string& line) override {
-    write(R"({{"writeLog":{{"i":{},"bodyText":{}}}}})", jsonText(line));
+  void report(EngineEvent event) override { log(infoOf(core::logEventOf(event)).message); }
+  void endpointTableFull(std::string_view hostName) override {
+    log(fmt::format("{} host={}", infoOf(LogEvent::endpointTableFull).message, hostName));
   }
+  void log(std::string_view text) { write(R"({{"writeLog":{{"i":{},"bodyText":{}}}}})", jsonText(text)); }
 
   static config::GatewayConfig configOf(const Fields& init) {
     config::GatewayConfig told = config::readSettings(init.part("profileData"));
@@ -114,8 +117,8 @@
     out_.push_back('\n');
   }
 
-  static std::string word(const CountName& name) {
-    return fmt::format("{}{}.{}", name.what == CountName::What::use ? 'u' : 'o', name.customer.value,
+  static std::string word(const CounterKey& name) {
+    return fmt::format("{}{}.{}", name.kind == CounterKey::Kind::quotaUse ? 'u' : 'o', name.customer.value,
                        name.slot.value);
   }
 
@@ -194,16 +197,18 @@
   void takeCounted(const Fields& f, TimePoint now) {
     const auto name = f.need<std::string_view>("counter");
     const auto code = f.need<std::string_view>("code");
-    CountName count{name.starts_with('u') ? CountName::What::use : CountName::What::open, {0}, {0}};
+    CounterKey count{
+        name.starts_with('u') ? CounterKey::Kind::quotaUse : CounterKey::Kind::inFlightTime, {0}, {0}};
     const auto dot = std::min(name.find('.'), name.size());
     if (name.size() < 4 || dot + 1 >= name.size()) return;  // not one that was asked for here
     std::from_chars(name.data() + 1, name.data() + dot, count.customer.value);
     std::from_chars(name.data() + dot + 1, name.data() + name.size(), count.slot.value);
-    const CountEnd end = code == "served"                                   ? CountEnd::ok
-                         : code == "turned_away" || code == "no_connection" ? CountEnd::notAdded
-                                                                            : CountEnd::unknown;
-    core_.counted(now, count, end, end == CountEnd::ok ? f.get("level", 0.0) : 0,
-                  f.duration("elapsed", Duration{0}));
+    const CounterCallOutcome end = code == "served" ? CounterCallOutcome::ok
+                                   : code == "turned_away" || code == "no_connection"
+                                       ? CounterCallOutcome::notAdded
+                                       : CounterCallOutcome::unknown;
+    core_.counterCallEnded(now, count, end, end == CounterCallOutcome::ok ? f.get("level", 0.0) : 0,
+                           f.duration("elapsed", Duration{0}));
   }
 
   void takeHosts(const Fields& f, TimePoint now) {
--- a/src/util/log.hpp
+++ b/src/util/log.hpp
@@ -6,65 +6,82 @@
 
 #include <memory>
 #include <ostream>
-#include <sstream>
+#include <string>
 #include <string_view>
 
 #include "util/json_escape.hpp"
+#include "util/log_event.hpp"
 
 namespace merlinbridge {
 
-enum class Level { debug, info, warning, error };
+/// A key and its value in a log line. The value must outlive the call that logs it.
+template <class Value>
+struct LogField {
+  std::string_view key;
+  const Value& value;
+};
+template <class Value>
+LogField(std::string_view, const Value&) -> LogField<Value>;
 
-/// Lines for staff, of a level and above: as text, or each as a JSON object. An event's name stays the same
-/// from release to release, its words may change.
+/// Writes log lines of a minimum level, each as text or as a JSON object:
+///
+///     warning: discovery_unreachable: discovery unreachable, keeping the last endpoint list generation=41
+///     {"level":"warning","event":"discovery_unreachable","text":"discovery unreachable, ... generation=41"}
+///
+/// A value that is empty or holds spaces or quotes stands in double quotes. Not thread-safe.
 class Log {
  public:
   enum class Form { text, json };
 
-  Log(std::ostream& out, Level least, Form form = Form::text)
+  /// `out` must outlive the log.
+  Log(std::ostream& out, Level minLevel, Form form = Form::text)
       : sink_(std::make_shared<spdlog::sinks::ostream_sink_st>(out, true)),
         logger_("merlinbridge", sink_),
         form_(form) {
     sink_->set_pattern("%v");
-    setLevel(least);
+    setMinLevel(minLevel);
   }
-  void use(Level least, Form form) {
+  void configure(Level minLevel, Form form) {
     form_ = form;
-    setLevel(least);
+    setMinLevel(minLevel);
   }
 
-  /// Whether lines of that level are written: where the parts of one cost something to gather.
-  bool enabled(Level level) const { return level >= least_; }
-  template <class... Parts>
-  void operator()(Level level, std::string_view event, const Parts&... parts) {
-    if (!enabled(level)) return;
-    std::ostringstream text;
-    (text << ... << parts);
-    static constexpr std::string_view kWords[] = {"debug", "info", "warning", "error"};
-    const std::string_view word = kWords[static_cast<int>(level)];
+  /// Whether lines of that event are written; for callers whose fields are expensive to compute.
+  bool enabled(LogEvent event) const { return infoOf(event).level >= minLevel_; }
+  /// Writes one line: the event's message from the table, then the fields in the order given.
+  template <class... Values>
+  void operator()(LogEvent event, const LogField<Values>&... fields) {
+    if (!enabled(event)) return;
+    const LogEventInfo& info = infoOf(event);
+    std::string text(info.message);
+    (appendField(text, fields.key, fmt::format("{}", fields.value)), ...);
     if (form_ == Form::text)
-      logger_.log(spdlogLevel(level), "{}: {}", word, text.str());
+      logger_.log(spdlogLevel(info.level), "{}: {}: {}", nameOf(info.level), info.name, text);
     else
-      logger_.log(spdlogLevel(level), R"({{"level":"{}","event":"{}","text":"{}"}})", word, event,
-                  util::escapeJson(text.str()));
+      logger_.log(spdlogLevel(info.level), R"({{"level":"{}","event":"{}","text":"{}"}})", nameOf(info.level),
+                  info.name, util::escapeJson(text));
   }
 
  private:
+  static void appendField(std::string& text, std::string_view key, std::string_view value) {
+    const bool quoted = value.empty() || value.find_first_of(" \"") != std::string_view::npos;
+    text += quoted ? fmt::format(" {}=\"{}\"", key, value) : fmt::format(" {}={}", key, value);
+  }
   static spdlog::level::level_enum spdlogLevel(Level level) {
     static constexpr spdlog::level::level_enum kLevels[] = {spdlog::level::debug, spdlog::level::info,
                                                             spdlog::level::warn, spdlog::level::err};
     return kLevels[static_cast<int>(level)];
   }
-  void setLevel(Level least) {
-    least_ = least;
-    logger_.set_level(spdlogLevel(least));
+  void setMinLevel(Level minLevel) {
+    minLevel_ = minLevel;
+    logger_.set_level(spdlogLevel(minLevel));
     logger_.flush_on(spdlog::level::debug);
   }
 
   std::shared_ptr<spdlog::sinks::ostream_sink_st> sink_;
   spdlog::logger logger_;
   Form form_;
-  Level least_ = Level::info;
+  Level minLevel_ = Level::info;
 };
 
 }  // namespace merlinbridge
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -203,10 +203,12 @@
   load(1500);
   w.chances.countLost = 0;
   load(1500);
-  std::erase_if(w.notes, [](const std::string& line) { return line.find("counter") == std::string::npos; });
-  REQUIRE(w.notes.size() == 2);
-  CHECK_THAT(w.notes[0], Catch::Contains("silent"));
-  CHECK_THAT(w.notes[1], Catch::Contains("back"));
+  std::erase_if(w.events, [](EngineEvent event) {
+    return event != EngineEvent::counterUnreachable && event != EngineEvent::counterRestored;
+  });
+  REQUIRE(w.events.size() == 2);
+  CHECK(w.events[0] == EngineEvent::counterUnreachable);
+  CHECK(w.events[1] == EngineEvent::counterRestored);
 }
 
 TEST_CASE("many gateways start with few calls to the counter, all together") {
@@ -294,7 +296,7 @@
     out += passed(w, step % 3, 100 + step % 80, 0, 1);
   }
   CHECK(out > 0);
-  CHECK((*load.held > 1) == (out < 200));
+  CHECK((*load.inFlight > 1) == (out < 200));
   CHECK(w.broken == std::set<std::string>{});
 }
 
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -113,7 +113,7 @@
     outcome == Outcome::rejected ? transport_.answerRejected(client, Duration{0})
                                  : transport_.answerFailed(client);
   }
-  void counted(TimePoint, const CountName&, CountEnd, double, Duration) override {}
+  void counterCallEnded(TimePoint, const CounterKey&, CounterCallOutcome, double, Duration) override {}
   void endpointsUpdated(TimePoint, const config::EndpointList& endpoints) override {
     if (rule_ == Invariant::drain) return;
     for (const auto& line : endpoints.entries) {
@@ -122,7 +122,7 @@
     }
   }
   const std::string& addressOf(HostId host) const override { return hosts_[host.value]; }
-  void answerAllBy(TimePoint) override {}
+  void setAnswerDeadline(TimePoint) override {}
   std::size_t unanswered() const override { return 0; }
 
  private:
--- a/tests/gateway_core_test.cpp
+++ b/tests/gateway_core_test.cpp
@@ -26,11 +26,12 @@
   bool closeAttempt(SlotRef, AttemptNumber, SlotRef link) override {
     return givenUp.push_back(link.slot), true;
   }
-  bool unwritten(SlotRef link) override { return dialling.contains(link.slot); }
-  bool clientThere(SlotRef) override { return there; }
-  void count(const CountName&, double, Duration) override {}
+  bool isUnsent(SlotRef link) override { return dialling.contains(link.slot); }
+  bool clientConnected(SlotRef) override { return there; }
+  void addToCounter(const CounterKey&, double, Duration) override {}
   void hostUnavailable(HostId host) override { gone.push_back(host.value); }
-  void note(const std::string& line) override { notes.push_back(line); }
+  void report(EngineEvent event) override { events.push_back(event); }
+  void endpointTableFull(std::string_view hostName) override { ignoredHosts.emplace_back(hostName); }
 
   struct Call {
     RequestId requestId;
@@ -41,7 +42,9 @@
   std::set<std::uint32_t> dialling;
   bool there = true;
   std::optional<Outcome> atOnce;
-  std::vector<std::string> answers, notes;
+  std::vector<std::string> answers;
+  std::vector<EngineEvent> events;
+  std::vector<std::string> ignoredHosts;
   std::vector<Call> calls;
   std::vector<std::uint32_t> givenUp, gone;
 };
@@ -175,7 +178,8 @@
   core.ask(0);
   REQUIRE(core.transport.calls.size() == 1);
   CHECK(core.transport.calls[0].host.value < 4096);
-  CHECK(core.transport.notes.empty());
+  CHECK(core.transport.ignoredHosts.empty());
+  CHECK(core.transport.events.empty());
 }
 
 TEST_CASE("the number of a host long gone goes to a new one, and nothing of the old is left to it") {
@@ -218,13 +222,14 @@
   }
   std::sort(asked.begin(), asked.end());
   CHECK(std::unique(asked.begin(), asked.end()) - asked.begin() > 150);  // spread, not heaped
-  CHECK(transport.notes.empty());
+  CHECK(transport.ignoredHosts.empty());
+  CHECK(transport.events.empty());
 }
 
 TEST_CASE("told when it ends, the core answers by then, also what was taken before") {
   Core core;
   core.ask(3, 10s);
-  core.core.answerAllBy(core.now + 1s);
+  core.core.setAnswerDeadline(core.now + 1s);
   core.ask(3, 10s);
   core.ask(3, 500ms);
   core.pass(700ms);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -443,7 +443,7 @@
     d.settle();
     d.pass(1s);
   }
-  CHECK_THAT(d.lines.str(), Catch::Contains("counter silent"));
+  CHECK_THAT(d.lines.str(), Catch::Contains("info: counter_unreachable: "));
 }
 
 TEST_CASE(
@@ -524,7 +524,8 @@
   d.pass(1s);
   REQUIRE(d.until([&] { return d.discovery.accept(again); }));
   CHECK(d.until([&] { return again->holds("watch=1&from=43 "); }));
-  CHECK_THAT(d.lines.str(), Catch::Contains("discovery lost: list 43 stays in force"));
+  CHECK_THAT(d.lines.str(), Catch::Contains("warning: discovery_unreachable: discovery unreachable, keeping "
+                                            "the last endpoint list generation=43"));
 }
 
 TEST_CASE("discovery that sends what cannot be read is asked again") {
--- a/tests/policy/counter_exchange_test.cpp
+++ b/tests/policy/counter_exchange_test.cpp
@@ -25,7 +25,7 @@
     exchange.schedule(customer);
     customer.bucket.spend(1);
   }
-  void answer(CountEnd end = CountEnd::ok, Duration took = 1ms) {
+  void answer(CounterCallOutcome end = CounterCallOutcome::ok, Duration took = 1ms) {
     const auto call = sink.calls.back();
     exchange.callEnded(call.name, end, call.units, took);
   }
@@ -76,7 +76,7 @@
   f.request(customer);
   REQUIRE(f.sink.calls.size() == 2);
   CHECK(f.sink.calls[1].units == 1);
-  f.answer(CountEnd::unknown, 50ms);
+  f.answer(CounterCallOutcome::unknown, 50ms);
   f.pass(100ms);
   f.fireTimers();
   REQUIRE(f.sink.calls.size() == 3);
@@ -92,21 +92,21 @@
   f.pass(100ms);
   f.request(asked);
   for (int round = 0; round < 4; ++round) {
-    f.answer(CountEnd::unknown, 50ms);
+    f.answer(CounterCallOutcome::unknown, 50ms);
     f.pass(101ms);
     f.fireTimers();
   }
   CHECK(asked.bucket.isDivided());
   f.exchange.refill(other);
   CHECK(other.bucket.isDivided());  // it need not find out on its own
-  REQUIRE(f.sink.notes.size() == 1);
-  CHECK_THAT(f.sink.notes[0], Catch::Contains("silent"));
+  REQUIRE(f.sink.events.size() == 1);
+  CHECK(f.sink.events[0] == EngineEvent::counterUnreachable);
 }
 
 TEST_CASE("counter exchange: late answers lower the pace, quick ones raise it again") {
   ExchangeFixture f;
   std::uint64_t id = 100;
-  const auto callsIn = [&](int steps, CountEnd end, Duration took) {
+  const auto callsIn = [&](int steps, CounterCallOutcome end, Duration took) {
     const std::size_t before = f.sink.calls.size();
     for (int step = 0; step < steps; ++step) {
       const std::size_t seen = f.sink.calls.size();
@@ -118,11 +118,11 @@
     }
     return f.sink.calls.size() - before;
   };
-  const auto quick = callsIn(200, CountEnd::ok, 1ms);
-  callsIn(200, CountEnd::unknown, 50ms);
-  const auto late = callsIn(200, CountEnd::unknown, 50ms);
+  const auto quick = callsIn(200, CounterCallOutcome::ok, 1ms);
+  callsIn(200, CounterCallOutcome::unknown, 50ms);
+  const auto late = callsIn(200, CounterCallOutcome::unknown, 50ms);
   CHECK(quick >= 190);
   CHECK(late < quick / 4);
-  callsIn(600, CountEnd::ok, 1ms);
-  CHECK(callsIn(200, CountEnd::ok, 1ms) > quick / 2);
+  callsIn(600, CounterCallOutcome::ok, 1ms);
+  CHECK(callsIn(200, CounterCallOutcome::ok, 1ms) > quick / 2);
 }
--- a/tests/policy/hosts_test.cpp
+++ b/tests/policy/hosts_test.cpp
@@ -248,14 +248,14 @@
   HostsFixture f(1);
   f.shedding.recordShed();
   f.shedding.recordShed();
-  REQUIRE(f.sink.notes.size() == 1);
+  REQUIRE(f.sink.events.size() == 1);
   CHECK(f.shedding.active());
   f.pass(5s);
   f.shedding.sweep();
-  CHECK(f.sink.notes.size() == 1);
+  CHECK(f.sink.events.size() == 1);
   f.pass(6s);
   f.shedding.sweep();
-  CHECK(f.sink.notes.size() == 2);
+  CHECK(f.sink.events.size() == 2);
   CHECK_FALSE(f.shedding.active());
 }
 
--- a/tests/policy/policy_fixture.hpp
+++ b/tests/policy/policy_fixture.hpp
@@ -14,7 +14,7 @@
 
 struct RecordingSink final : DecisionSink {
   struct CounterCall {
-    CountName name;
+    CounterKey name;
     double units = 0;
   };
   struct Timer {
@@ -26,14 +26,16 @@
   void cancel(RequestId, AttemptNumber) override { ++cancelled; }
   void reject(RequestId, Duration) override { ++rejected; }
   void fail(RequestId) override { ++failed; }
-  void addToCount(const CountName& name, double units, Duration) override { calls.push_back({name, units}); }
+  void addToCounter(const CounterKey& name, double units, Duration) override {
+    calls.push_back({name, units});
+  }
   void wakeAt(TimePoint at, TimerId id) override { timers.push_back({at, id}); }
-  void note(const std::string& line) override { notes.push_back(line); }
+  void report(EngineEvent event) override { events.push_back(event); }
 
   std::vector<HostId> attempts;
   std::vector<CounterCall> calls;
   std::vector<Timer> timers;
-  std::vector<std::string> notes;
+  std::vector<EngineEvent> events;
   int cancelled = 0, rejected = 0, failed = 0;
 };
 
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -53,7 +53,7 @@
   }
   p.write(bad);
   for (int n = 0; n < 3; ++n) p.signal(SIGHUP);
-  REQUIRE(p.logHolds("warning: configuration rejected, the old one stays in force: "));
+  REQUIRE(p.logHolds("warning: config_rejected: configuration rejected, keeping the previous one "));
   std::optional<Peer> watch, moved;
   CHECK(p.discovery.accept(watch));
   CHECK_FALSE(watch->ended());
@@ -61,7 +61,7 @@
   CHECK(within([&] { return discovery.accept(moved); }));
   CHECK(p.runs());
   const std::string log = p.log();
-  CHECK(log.find("configuration rejected") == log.rfind("configuration rejected"));
+  CHECK(log.find("config_rejected") == log.rfind("config_rejected"));
 }
 
 TEST_CASE("SIGHUP during the end does not cut it short") {
@@ -73,10 +73,10 @@
   REQUIRE(within([&] { return p.host.accept(host); }));
   REQUIRE(within([&] { return host->holds("\r\n\r\n"); }));
   p.signal(SIGTERM);
-  REQUIRE(p.logHolds("shutting down"));
+  REQUIRE(p.logHolds("info: draining: "));
   p.signal(SIGHUP);
-  REQUIRE(p.logHolds("configuration read again"));
-  REQUIRE(p.logHolds("closing idle connections"));
+  REQUIRE(p.logHolds("info: config_reloaded: "));
+  REQUIRE(p.logHolds("info: closing_idle_connections: "));
   p.signal(SIGHUP);
   p.signal(SIGTERM);
   host->send(LoopbackGateway::ok("one"));
@@ -132,9 +132,9 @@
     p.replacePipe();
     pipe << p.config();
   }
-  CHECK(p.logHolds("shutting down"));
+  CHECK(p.logHolds("info: draining: "));
   CHECK(p.exitStatus() == 0);
-  CHECK(p.log().find("info: ready") < p.log().find("shutting down"));
+  CHECK(p.log().find("info: ready") < p.log().find("info: draining"));
 }
 
 TEST_CASE("SIGTERM, whatever clients do with their connections: gone before SIGKILL may come, with 0") {
@@ -156,7 +156,7 @@
   REQUIRE(within([&] { return host->holds("\r\n\r\nx"); }));
   p.signal(SIGTERM);
   const auto told = std::chrono::steady_clock::now();
-  REQUIRE(p.logHolds("closing idle connections"));
+  REQUIRE(p.logHolds("info: closing_idle_connections: "));
   rests.send(LoopbackGateway::request("look"));  // crosses the end of its rest
   REQUIRE(p.logHolds("info: stopped"));
   CHECK(std::chrono::steady_clock::now() - told < 2700ms);  // the longest deadline, and 0.7 s
@@ -186,7 +186,7 @@
   before.send(LoopbackGateway::request("pay", "x", "", 1500));
   REQUIRE(within([&] { return take() == 1; }));
   p.signal(SIGTERM);
-  REQUIRE(p.logHolds("closing idle connections"));
+  REQUIRE(p.logHolds("info: closing_idle_connections: "));
   for (auto& host : reached)
     if (host->holds("POST /pay")) host->send(LoopbackGateway::ok("one"));
   CHECK(p.exitStatus() == 0);
@@ -264,11 +264,11 @@
 TEST_CASE("an address that is taken ends the start with 1, and lines come as JSON where that is asked for") {
   Program p;
   p.start(p.config(), p.file("own.toml", "[log]\nform = \"json\"\n"));
-  REQUIRE(p.logHolds(R"({"level":"info","event":"ready","text":"ready"})"));
+  REQUIRE(p.logHolds(R"({"level":"info","event":"ready","text":"accepting clients"})"));
   CHECK(p.response({"serve", "--config", p.file("orders.json", p.config())}).second == 1);
   p.signal(SIGTERM);
   CHECK(p.exitStatus() == 0);
-  CHECK(p.log().find(R"("event":"ended")") != std::string::npos);
+  CHECK(p.log().find(R"("event":"stopped")") != std::string::npos);
 }
 
 TEST_CASE(
@@ -283,7 +283,7 @@
   watch->send("HTTP/1.1 200 OK\r\n\r\n\n");
   p.discovery.close();
   watch->reset();
-  REQUIRE(p.logHolds("discovery lost"));
+  REQUIRE(p.logHolds("warning: discovery_unreachable: "));
   std::vector<Peer> crowd;
   for (int n = 0; n < kCrowd; ++n) {
     crowd.push_back(p.client());
@@ -308,7 +308,7 @@
   REQUIRE(within([&] { return ask->holds("from=41 "); }));
   ask->send("HTTP/1.1 200 OK\r\n\r\n{\"generation\":60,\"reset\":true,\"instances\":[" +
             hostLine(p.host.port, "h1", "terminating") + "]}\n");
-  CHECK(p.logHolds("discovery back"));
+  CHECK(p.logHolds("info: discovery_restored: "));
   client.got.clear();
   client.send(LoopbackGateway::metered(2));
   CHECK(within([&] { return client.holds("HTTP/1.1 429"); }));  // the only host drains
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -196,7 +196,7 @@
   p.startReady();
   p.faults.fail(call, error, kMomentsCalls);
   p.signal(SIGHUP);
-  CHECK(within([&] { return p.log().find("configuration read again") != std::string::npos; }, 1s));
+  CHECK(within([&] { return p.log().find("config_reloaded") != std::string::npos; }, 1s));
   p.faults.fail(call, error, kMomentsCalls);
   p.signal(SIGTERM);
   CHECK(within([&] { return !p.runs(); }, 2700ms));
@@ -210,7 +210,7 @@
   p.faults.fail(FaultyCall::logWrite, error, 1);
   p.signal(SIGHUP);
   REQUIRE(within([&] { return p.faults.failed(FaultyCall::logWrite) == 1; }));
-  const std::string line = "configuration read again";
+  const std::string line = "config_reloaded";
   CHECK(within([&] { return p.signal(SIGHUP), p.log().find(line) != std::string::npos; }, 1s));
 }
 
@@ -306,7 +306,7 @@
   CHECK(p.servedWithin(client, kInTime));
   CHECK(within([&] { return p.counter.accept(count); }, kInTime));
   CHECK(within([&] { return count->holds("POST /tally/u1."); }, kInTime));
-  CHECK(p.log().find("discovery lost") == std::string::npos);
+  CHECK(p.log().find("discovery_unreachable") == std::string::npos);
 }
 
 TEST_CASE("a stepped wall clock moves no deadline") {
--- a/tests/util_test.cpp
+++ b/tests/util_test.cpp
@@ -106,16 +106,16 @@
 
 TEST_CASE("state notice: begin and end are told once each, not more often than the interval") {
   RecordingSink sink;
-  policy::StateNotice notice("began", "ended", 10s);
+  policy::StateNotice notice(EngineEvent::loadSheddingStarted, EngineEvent::loadSheddingStopped, 10s);
   notice.set(false, kStart, sink);
-  CHECK(sink.notes.empty());
+  CHECK(sink.events.empty());
   notice.set(true, kStart, sink);
   notice.set(true, kStart + 1s, sink);
   notice.set(false, kStart + 2s, sink);  // too soon
-  CHECK(sink.notes == std::vector<std::string>{"began"});
+  CHECK(sink.events == std::vector{EngineEvent::loadSheddingStarted});
   CHECK(notice.active());
   notice.set(false, kStart + 10s, sink);
-  CHECK(sink.notes == std::vector<std::string>{"began", "ended"});
+  CHECK(sink.events == std::vector{EngineEvent::loadSheddingStarted, EngineEvent::loadSheddingStopped});
 }
 
 TEST_CASE("JSON escapes: quotes, backslashes and control bytes, and nothing else") {
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -141,7 +141,7 @@
   std::map<std::uint64_t, Try> tries;
   std::map<std::string, double> counts;
   std::set<std::string> broken;  // the rules that were broken, and how
-  std::vector<std::string> notes;
+  std::vector<EngineEvent> events;
   int countCalls = 0;
 
  private:
@@ -263,7 +263,7 @@
     }
     void reject(RequestId requestId, Duration) override { w.judgeFinal(w.tries[requestId.value], true); }
     void fail(RequestId requestId) override { w.judgeFinal(w.tries[requestId.value], false); }
-    void addToCount(const CountName& name, double units, Duration) override {
+    void addToCounter(const CounterKey& name, double units, Duration) override {
       ++w.countCalls;
       const bool slow = w.chance(w.chances.countSlow), gone = w.chance(w.chances.countLost);
       const auto key = std::to_string(name.customer.value) + '.' + std::to_string(name.slot.value);
@@ -272,17 +272,17 @@
       w.at(w.now + (gone || slow ? w.settings.counterTimeout : 2ms),
            [&world = w, gw = g, l = life, name, total, bad = gone || slow] {
              if (!world.nodes_[gw].gateway || world.nodes_[gw].out->life != l) return;
-             world.nodes_[gw].gateway->counted(world.now, name, bad ? CountEnd::unknown : CountEnd::ok, total,
-                                               2ms);
+             world.nodes_[gw].gateway->counterCallEnded(
+                 world.now, name, bad ? CounterCallOutcome::unknown : CounterCallOutcome::ok, total, 2ms);
            });
     }
     void wakeAt(TimePoint when, TimerId timer) override {
       w.at(when, [&world = w, gw = g, l = life, timer] {
         if (world.nodes_[gw].gateway && world.nodes_[gw].out->life == l)
-          world.nodes_[gw].gateway->woken(world.now, timer);
+          world.nodes_[gw].gateway->timerFired(world.now, timer);
       });
     }
-    void note(const std::string& line) override { w.notes.push_back(line); }
+    void report(EngineEvent event) override { w.events.push_back(event); }
     World& w;
     std::uint32_t g;
     std::uint64_t life;
