--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -53,7 +53,7 @@
 
 void Daemon::handleSignal(Signal signal) {
   if (signal == Signal::terminate) return enter(Phase::draining);
-  if (reloadTimer_.second) loop_.deadlines.drop(reloadTimer_);
+  if (reloadTimer_) loop_.deadlines.cancel(reloadTimer_);
   reload(0);
 }
 
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -355,7 +355,7 @@
   // ---- gateways ----
 
   void arm(GatewayProcess& process) {
-    const TimePoint next = process.deadlines.next();
+    const TimePoint next = process.deadlines.nextDueAt();
     if (process.state == GatewayProcess::State::down || next >= process.armed) return;
     process.armed = next;
     events.at(next, [this, &process, incarnation = process.incarnation, next] {
--- a/src/gateway_core/deadline_queue.hpp
+++ b/src/gateway_core/deadline_queue.hpp
@@ -1,6 +1,7 @@
 #pragma once
 
 #include <algorithm>
+#include <compare>
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -13,37 +14,46 @@
 /// Callbacks by time, in one ordered structure. Of two that are due together, the one added first runs first.
 class DeadlineQueue {
  public:
-  /// Names a callback that waits; the number is never used again, and never 0.
-  using Ticket = std::pair<TimePoint, std::uint64_t>;
-  /// Called once, when its time has come.
-  using What = std::function<void(TimePoint now)>;
-
-  Ticket add(TimePoint at, What what) {
-    const Ticket ticket{at, ++last_};
-    waiting_.emplace(ticket, std::move(what));
+  /// Names a pending callback. The number is unique for the lifetime of the queue; a default-constructed
+  /// ticket names none.
+  struct Ticket {
+    TimePoint dueAt{};
+    std::uint64_t number = 0;
+    explicit operator bool() const { return number != 0; }
+    auto operator<=>(const Ticket&) const =
+        default;  // NOLINT(modernize-use-nullptr): clang-tidy 14 misreads <=>
+  };
+  /// Called once, at or after the time it was added for.
+  using Callback = std::function<void(TimePoint now)>;
+
+  Ticket add(TimePoint dueAt, Callback callback) {
+    const Ticket ticket{dueAt, ++lastNumber_};
+    pending_.emplace(ticket, std::move(callback));
     return ticket;
   }
-  void drop(Ticket ticket) { waiting_.erase(ticket); }
-  TimePoint next() const { return waiting_.empty() ? TimePoint::max() : waiting_.begin()->first.first; }
+  /// Has no effect on a callback that has run already, or on an empty ticket.
+  void cancel(Ticket ticket) { pending_.erase(ticket); }
+  /// When the earliest callback is due; TimePoint::max() if none is pending.
+  TimePoint nextDueAt() const { return pending_.empty() ? TimePoint::max() : pending_.begin()->first.dueAt; }
 
   /// Runs what is due. What is added meanwhile waits for the next run, so that none can keep the loop to
   /// itself.
   void run(TimePoint now) {
-    const std::uint64_t until = last_;
-    for (auto at = waiting_.begin(); at != waiting_.end() && at->first.first <= now; at = waiting_.begin()) {
-      while (at != waiting_.end() && at->first.second > until) ++at;
-      if (at == waiting_.end() || at->first.first > now) return;
-      const auto due = waiting_.extract(at);
-      late_ = std::max(late_ / 2, now - due.key().first);
+    const std::uint64_t lastBeforeRun = lastNumber_;
+    for (auto at = pending_.begin(); at != pending_.end() && at->first.dueAt <= now; at = pending_.begin()) {
+      while (at != pending_.end() && at->first.number > lastBeforeRun) ++at;
+      if (at == pending_.end() || at->first.dueAt > now) return;
+      const auto due = pending_.extract(at);
+      late_ = std::max(late_ / 2, now - due.key().dueAt);
       due.mapped()(now);
     }
   }
   /// By how much callbacks have lately run late, or do now.
-  Duration late(TimePoint now) const { return waiting_.empty() ? late_ : std::max(late_, now - next()); }
+  Duration late(TimePoint now) const { return pending_.empty() ? late_ : std::max(late_, now - nextDueAt()); }
 
  private:
-  std::map<Ticket, What> waiting_;
-  std::uint64_t last_ = 0;
+  std::map<Ticket, Callback> pending_;
+  std::uint64_t lastNumber_ = 0;
   Duration late_{0};
 };
 
--- a/src/gateway_core/gateway_core.cpp
+++ b/src/gateway_core/gateway_core.cpp
@@ -133,7 +133,7 @@
   answerAllBy_ = answerBy;
   requests_.each([this](SlotRef slot, PendingRequest& row) {
     if (row.answered || row.deadline <= answerAllBy_) return;
-    deadlines_.drop(row.by);
+    deadlines_.cancel(row.by);
     row.deadline = answerAllBy_;
     row.by = deadlines_.add(
         answerAllBy_, [this, requestId = RequestId{slot.packed()}](TimePoint at) { expire(at, requestId); });
@@ -271,7 +271,7 @@
       abandonAttempt(now, requestId, {no}, Outcome::notSent);
   const PendingRequest* const row = find(requestId);
   if (!row || !row->answered || row->out > 0) return;
-  deadlines_.drop(row->by);
+  deadlines_.cancel(row->by);
   requests_.drop(SlotRef::unpacked(requestId.value));
 }
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -58,7 +58,7 @@
 void Connection::close() {
   Error error;
   up_ = false;
-  if (waitTimer_.second) loop_.deadlines.drop(waitTimer_);
+  if (waitTimer_) loop_.deadlines.cancel(waitTimer_);
   socket_.close(error);
 }
 
@@ -345,7 +345,7 @@
 void Connection::updateWaitTimer() {
   const TimePoint at = waitDeadline();
   if (at >= waitTimerAt_) return;
-  if (waitTimer_.second) loop_.deadlines.drop(waitTimer_);
+  if (waitTimer_) loop_.deadlines.cancel(waitTimer_);
   waitTimerAt_ = at;
   waitTimer_ = loop_.deadlines.add(at, [&loop = loop_, ref = ref_.packed()](TimePoint now) {
     if (Connection* const c = loop.find(SlotRef::unpacked(ref))) c->checkWait(now);
--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -88,7 +88,7 @@
     buffer_.drop(message_.size());
     message_.clear();
     if (!call.reported) {
-      loop_.deadlines.drop(call.timeout);
+      loop_.deadlines.cancel(call.timeout);
       counter_.core_->counterCallEnded(lastHeardAt_, call.name, end,
                                        end == CounterCallOutcome::ok ? total : 0, lastHeardAt_ - call.madeAt);
     }
@@ -105,7 +105,7 @@
   const TimePoint now = loop_.now();
   for (const Call& call : calls) {
     if (call.reported) continue;
-    loop_.deadlines.drop(call.timeout);
+    loop_.deadlines.cancel(call.timeout);
     counter_.core_->counterCallEnded(now, call.name,
                                      never ? CounterCallOutcome::notAdded : CounterCallOutcome::unknown, 0,
                                      now - call.madeAt);
--- a/src/net/discovery/discovery_watch.cpp
+++ b/src/net/discovery/discovery_watch.cpp
@@ -197,7 +197,7 @@
   if (address == address_ && link_) return;
   address_ = address, peer_ = peer;
   if (link_) loop_.closeDeferred(std::exchange(link_, {}));
-  if (nextPoll_.second) loop_.deadlines.drop(nextPoll_);
+  if (nextPoll_) loop_.deadlines.cancel(nextPoll_);
   failuresInRow_ = pollsSinceWatch_ = 0;
   open();
 }
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -79,14 +79,14 @@
     if (Connection* const connection = find(toFlush_[n])) connection->flush();
   toFlush_.clear();
   closing_.clear();
-  if (const TimePoint next = deadlines.next();
+  if (const TimePoint next = deadlines.nextDueAt();
       next != TimePoint::max() && next + coalesceWithin_ != armedFor_)
     arm(next + coalesceWithin_);
   turnAt_.reset();
 }
 
 void EventLoop::runDue() {
-  const TimePoint due = deadlines.next();
+  const TimePoint due = deadlines.nextDueAt();
   if (due > now()) return;
   if (now() - due >= kHeldUpFrom) faults.recordHeldUp(now(), now() - due);
   deadlines.run(now());
--- a/src/simulator_adapter/simulator_adapter.cpp
+++ b/src/simulator_adapter/simulator_adapter.cpp
@@ -52,7 +52,7 @@
 
   void take(std::string_view message, const Fields& f, TimePoint now) {
     read(message, f, now);
-    const TimePoint next = deadlines_.next();
+    const TimePoint next = deadlines_.nextDueAt();
     if (next >= wokenAt_) return;
     wokenAt_ = next;
     write(R"({{"notifyMe":{{"i":{},"fireAt":{},"mark":"due"}}}})", micros(std::max(next, now)));
--- a/tests/compare_results_test.sh
+++ b/tests/compare_results_test.sh
@@ -2,7 +2,7 @@
 # Test of compare_results.sh: equal runs are equal, and one changed decision, figure or missing run is seen.
 #   compare_results_test.sh LAB SCENARIO
 set -euo pipefail
-script=$(cd "$(dirname "$0")" && pwd)/compare_results.sh
+script=$(cd "$(dirname "$0")/.." && pwd)/scripts/compare_results.sh
 lab=$1 scenario=$2
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
--- a/tests/gateway_core_test.cpp
+++ b/tests/gateway_core_test.cpp
@@ -250,12 +250,12 @@
   const auto dropped = deadlines.add(at, [&](TimePoint) { order += 'x'; });
   deadlines.add(at, [&](TimePoint) { order += 'b'; });
   deadlines.add(at - 1ns, [&](TimePoint) { order += 'c'; });
-  deadlines.drop(dropped);
+  deadlines.cancel(dropped);
   deadlines.run(at);
   CHECK(order == "cab");
   deadlines.run(at);
   CHECK(order == "cabd");
-  CHECK(deadlines.next() == TimePoint::max());
+  CHECK(deadlines.nextDueAt() == TimePoint::max());
 }
 
 TEST_CASE("what a client says of its request is read, or its fault is named") {
