--- a/Makefile
+++ b/Makefile
@@ -1,11 +1,11 @@
-.PHONY: build standins test lint run
+.PHONY: build test-services test lint run
 
 build:
 	cmake -B build -DCMAKE_BUILD_TYPE=Release
 	cmake --build build -j4
 
-standins:
-	cmake -B build -DCMAKE_BUILD_TYPE=Release -DMERLINBRIDGE_STANDINS=ON
+test-services:
+	cmake -B build -DCMAKE_BUILD_TYPE=Release -DMERLINBRIDGE_TEST_SERVICES=ON
 	cmake --build build -j4
 
 test:
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -9,7 +9,7 @@
 echo "clang-format: ${#sources[@]} files are formatted"
 
 # The database of compile commands is all that clang-tidy needs; g++'s own warning options are not clang's.
-cmake -B build-lint -DMERLINBRIDGE_TESTS=ON -DMERLINBRIDGE_REALITY=ON -DMERLINBRIDGE_STANDINS=ON -DCMAKE_BUILD_TYPE=Debug >/dev/null
+cmake -B build-lint -DMERLINBRIDGE_TESTS=ON -DMERLINBRIDGE_EMULATOR_VALIDATION=ON -DMERLINBRIDGE_TEST_SERVICES=ON -DCMAKE_BUILD_TYPE=Debug >/dev/null
 report=$(mktemp)
 trap 'rm -f "$report"' EXIT
 if ! run-clang-tidy -quiet -p build-lint -extra-arg=-Wno-unknown-warning-option "$PWD/(src|tests)/" >"$report" 2>&1; then
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -9,7 +9,7 @@
   try {
     merlinbridge::simulator_adapter::serve(std::cin, std::cout);
   } catch (const std::exception& e) {
-    std::cerr << "merlinbridge_benchlink: " << e.what() << '\n';
+    std::cerr << "merlinbridge_simulator_adapter: " << e.what() << '\n';
     return 1;
   }
 }
--- a/tests/standins/reality.cpp
+++ b/tests/test_services/emulator_validation.cpp
@@ -12,9 +12,9 @@
 #include <iostream>
 
 #include "lab/table.hpp"
-#include "standins.hpp"
+#include "test_services.hpp"
 
-namespace merlinbridge::standins {
+namespace merlinbridge::test_services {
 namespace {
 
 using emulator::Metrics;
@@ -61,7 +61,7 @@
   Daemons(const Daemons&) = delete;
   Daemons& operator=(const Daemons&) = delete;
   explicit Daemons(std::string program) : program_(std::move(program)) {
-    char folder[] = "/tmp/merlinbridge-reality-XXXXXX";
+    char folder[] = "/tmp/merlinbridge-validation-XXXXXX";
     if (!mkdtemp(folder)) throw lab::Unfit("no folder for the daemons' files");
     folder_ = folder;
   }
@@ -365,10 +365,11 @@
 }
 
 }  // namespace
-}  // namespace merlinbridge::standins
+}  // namespace merlinbridge::test_services
 
 int main(int argc, char** argv) {
-  CLI::App app{"merlinbridge_reality: one scenario in the emulator, and on sockets with the real daemon"};
+  CLI::App app{
+      "merlinbridge_emulator_validation: one scenario in the emulator, and on sockets with the real daemon"};
   std::string file, seeds = "1,2,3", program = "build/merlinbridge";
   app.add_option("scenario", file, "a scenario without faults")->required();
   app.add_option("--seeds", seeds, "as 1,2,3")->capture_default_str();
@@ -380,7 +381,7 @@
     return app.exit(e) == 0 ? 0 : 2;
   }
   try {
-    return merlinbridge::standins::hold(file, seeds, program);
+    return merlinbridge::test_services::hold(file, seeds, program);
   } catch (const std::exception& e) {
     std::cerr << e.what() << '\n';
     return 2;
--- a/tests/standins/standins.hpp
+++ b/tests/test_services/test_services.hpp
@@ -18,7 +18,7 @@
 #include "emulator/random_stream.hpp"
 #include "http/message.hpp"
 
-namespace merlinbridge::standins {
+namespace merlinbridge::test_services {
 
 namespace asio = boost::asio;
 using Tcp = asio::ip::tcp;
@@ -285,4 +285,4 @@
   Listener listener_;
 };
 
-}  // namespace merlinbridge::standins
+}  // namespace merlinbridge::test_services
--- a/tests/standins/main.cpp
+++ b/tests/test_services/test_services_main.cpp
@@ -5,9 +5,9 @@
 #include <fstream>
 #include <iostream>
 
-#include "standins.hpp"
+#include "test_services.hpp"
 
-namespace merlinbridge::standins {
+namespace merlinbridge::test_services {
 namespace {
 
 struct Options {
@@ -57,11 +57,11 @@
 }
 
 }  // namespace
-}  // namespace merlinbridge::standins
+}  // namespace merlinbridge::test_services
 
 int main(int argc, char** argv) {
-  merlinbridge::standins::Options options;
-  CLI::App app{"merlinbridge_standins: hosts, a counter service and discovery on loopback"};
+  merlinbridge::test_services::Options options;
+  CLI::App app{"merlinbridge_test_services: hosts, a counter service and discovery on loopback"};
   app.add_option("--config", options.configFile, "where the gateway's configuration is written")
       ->capture_default_str();
   app.add_option("--port", options.port, "where the gateway is to listen")->capture_default_str();
@@ -70,5 +70,5 @@
       ->check(CLI::Range(0, 100));
   app.add_option("--seconds", options.seconds, "ends after so long")->capture_default_str();
   CLI11_PARSE(app, argc, argv);
-  return merlinbridge::standins::serve(options);
+  return merlinbridge::test_services::serve(options);
 }
