--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -1,6 +1,7 @@
 #include "simulator_adapter/simulator_adapter.hpp"
 
 #include <catch2/catch.hpp>
+#include <fstream>
 #include <sstream>
 
 #include "config/json_fields.hpp"
@@ -29,8 +30,24 @@
   return out.str();
 }
 
+std::string contentOf(const std::string& fileName) {
+  std::ifstream file(std::string(MERLINBRIDGE_TEST_DATA "/") + fileName, std::ios::binary);
+  REQUIRE(file);
+  return {std::istreambuf_iterator<char>(file), {}};
+}
+
 }  // namespace
 
+// Recorded with the program before the adapter was divided into reader, writer, instance and session: 1,237
+// batches with rejections, retries, shed load, a silent counter service, a gateway that stops and starts,
+// late and ignored messages.
+TEST_CASE(
+    "the adapter answers a recorded conversation with the same bytes as the version that was recorded") {
+  const std::string expected = contentOf("simulator_conversation_output.jsonl");
+  REQUIRE(expected.size() > 90'000);
+  CHECK(reply(contentOf("simulator_conversation_input.jsonl")) == expected);
+}
+
 TEST_CASE("a request goes out to the host and its words come back as they were") {
   const auto out = reply(batch(kInit + "\n" + kHosts + "\n" + kAsk));
   CHECK_THAT(out, Catch::Contains(R"("id":"00000000000000ff","host":"h \"1\"","abandonAt":2000000)"));
