--- /dev/null
+++ b/src/simulator_adapter/gateway_instance.cpp
@@ -0,0 +1,136 @@
+#include "simulator_adapter/gateway_instance.hpp"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+
+#include "gateway_core/engine_log_event.hpp"
+#include "simulator_adapter/message_reader.hpp"
+
+namespace merlinbridge::simulator_adapter {
+namespace {
+
+using core::SlotRef;
+
+WireRequestId wireIdOf(SlotRef client) {
+  return {client.packed()};
+}
+
+}  // namespace
+
+GatewayInstance::GatewayInstance(std::int64_t number, const GatewayStart& start, TimePoint now,
+                                 ReplyBuffer& reply)
+    : writer_(number, reply),
+      loadFigureNames_(start.loadFigureNames),
+      core_(start.config, now, deadlines_, *this, core::Timekeeper::adapter) {}
+
+void GatewayInstance::handle(const Message& message, TimePoint now) {
+  dispatch(message, now);
+  requestWakeUp(now);
+}
+
+void GatewayInstance::dispatch(const Message& message, TimePoint now) {
+  const config::Fields& fields = message.fields;
+  switch (message.kind) {
+    case MessageKind::requestArrived:
+      return handleRequest(parseRequestArrival(fields), now);
+    case MessageKind::clientLeft:
+      return handleClientLeft(parseRequestIdField(fields), now);
+    case MessageKind::attemptEnded:
+      return handleAttemptEnd(fields, now);
+    case MessageKind::timerFired:
+      return handleTimer(now);
+    case MessageKind::counterCallEnded:
+      if (const auto end = parseCounterCallEnd(fields)) handleCounterCallEnd(*end, now);
+      return;
+    case MessageKind::endpointsUpdated:
+      if (const auto endpoints = parseEndpointList(fields)) core_.endpointsUpdated(now, *endpoints);
+      return;
+    case MessageKind::ignored:
+      return;
+    default:
+      throw config::ConfigError("unknown message '" + std::string(message.name) + "'");
+  }
+}
+
+void GatewayInstance::handleRequest(const RequestArrival& arrival, TimePoint now) {
+  const RequestId requestId = core_.requestArrived(now, SlotRef::unpacked(arrival.id.value), arrival.request);
+  if (core_.holds(requestId)) requestIds_.emplace(arrival.id, requestId);
+}
+
+void GatewayInstance::handleClientLeft(WireRequestId id, TimePoint now) {
+  const auto request = requestIds_.find(id);
+  if (request == requestIds_.end()) return;
+  core_.clientLeft(now, request->second);
+  forgetIfEnded(request);
+}
+
+void GatewayInstance::handleAttemptEnd(const config::Fields& fields, TimePoint now) {
+  const auto request = requestIds_.find(parseRequestIdField(fields));
+  // The end of a request that is over is dropped with its other fields unread: they may be anything.
+  if (request == requestIds_.end()) return;
+  const AttemptEnd end = parseAttemptEnd(fields, loadFigureNames_);
+  core::UpstreamResponse response;
+  response.trueUnits = end.trueUnits;
+  response.load = end.load;
+  response.took = end.took;
+  response.answered = end.clientAnswered;
+  core_.attemptEnded(now, request->second, end.attempt, end.outcome, response);
+  forgetIfEnded(request);
+}
+
+void GatewayInstance::handleTimer(TimePoint now) {
+  wakeUpAt_ = TimePoint::max();
+  deadlines_.run(now);
+}
+
+void GatewayInstance::handleCounterCallEnd(const CounterCallEnd& end, TimePoint now) {
+  core_.counterCallEnded(now, end.key, end.outcome, end.total, end.took);
+}
+
+void GatewayInstance::forgetIfEnded(RequestIds::iterator request) {
+  if (!core_.holds(request->second)) requestIds_.erase(request);
+}
+
+void GatewayInstance::requestWakeUp(TimePoint now) {
+  const TimePoint next = deadlines_.nextDueAt();
+  if (next >= wakeUpAt_) return;
+  wakeUpAt_ = next;
+  writer_.wakeAt(std::max(next, now));
+}
+
+// The simulator hands a host's answer to the client itself.
+void GatewayInstance::answerOk(SlotRef, std::string_view, std::string_view) {}
+
+void GatewayInstance::answerRejected(SlotRef client, Duration retryAfter) {
+  writer_.reject(wireIdOf(client), retryAfter);
+}
+
+void GatewayInstance::answerFailed(SlotRef client) {
+  writer_.fail(wireIdOf(client));
+}
+
+std::variant<SlotRef, Outcome> GatewayInstance::startAttempt(RequestId, AttemptNumber, SlotRef client,
+                                                             HostId host, AttemptDeadline deadline) {
+  writer_.startAttempt(wireIdOf(client), core_.nameOf(host), deadline.abandonAt);
+  return SlotRef{};
+}
+
+bool GatewayInstance::closeAttempt(SlotRef client, AttemptNumber attempt, SlotRef) {
+  writer_.cancelAttempt(wireIdOf(client), attempt);
+  return false;
+}
+
+void GatewayInstance::addToCounter(const CounterKey& key, double units, Duration keepFor) {
+  writer_.addToCounter(key, units, keepFor);
+}
+
+void GatewayInstance::report(EngineEvent event) {
+  writer_.log(infoOf(core::logEventOf(event)).message);
+}
+
+void GatewayInstance::endpointTableFull(std::string_view hostName) {
+  writer_.log(fmt::format("{} host={}", infoOf(LogEvent::endpointTableFull).message, hostName));
+}
+
+}  // namespace merlinbridge::simulator_adapter
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,3 +1,5 @@
+// The program that the simulator starts: reads its messages on standard input and replies on standard output.
+// Exit codes: 0 the input ended, 1 the input could not be understood; the reason is on standard error.
 #include <exception>
 #include <iostream>
 
--- /dev/null
+++ b/src/simulator_adapter/message_reader.cpp
@@ -0,0 +1,191 @@
+#include "simulator_adapter/message_reader.hpp"
+
+#include <array>
+#include <istream>
+#include <utility>
+
+#include "config/policy_settings_reader.hpp"
+#include "simulator_adapter/wire_names.hpp"
+
+namespace merlinbridge::simulator_adapter {
+namespace {
+
+using config::ConfigError;
+using config::element;
+using config::Fields;
+
+/// So much of a line that cannot be read is quoted in the error.
+constexpr std::size_t kQuotedCharacters = 60;
+
+template <class Value>
+struct WireWord {
+  std::string_view word;
+  Value value;
+};
+
+constexpr std::array kMessageNames{
+    WireWord<MessageKind>{"turn", MessageKind::batchStarted},
+    WireWord<MessageKind>{"eofBatch", MessageKind::batchEnded},
+    WireWord<MessageKind>{"init", MessageKind::gatewayStarted},
+    WireWord<MessageKind>{"down", MessageKind::gatewayStopped},
+    WireWord<MessageKind>{"demand", MessageKind::requestArrived},
+    WireWord<MessageKind>{"cancelledByClient", MessageKind::clientLeft},
+    WireWord<MessageKind>{"result", MessageKind::attemptEnded},
+    WireWord<MessageKind>{"fired", MessageKind::timerFired},
+    WireWord<MessageKind>{"counted", MessageKind::counterCallEnded},
+    WireWord<MessageKind>{"peersKnown", MessageKind::endpointsUpdated},
+    // A response that breaks off after its head counts as answered: `result` says so.
+    WireWord<MessageKind>{"headReceived", MessageKind::ignored},
+    // The gateways send no health checks.
+    WireWord<MessageKind>{"pingResult", MessageKind::ignored},
+    // The gateways exchange no messages with one another.
+    WireWord<MessageKind>{"mail", MessageKind::ignored},
+};
+
+constexpr std::array kOutcomes{
+    WireWord<Outcome>{"served", Outcome::ok},
+    WireWord<Outcome>{"turned_away", Outcome::rejected},
+    WireWord<Outcome>{"no_answer", Outcome::noAnswer},
+    WireWord<Outcome>{"no_connection", Outcome::noConnection},
+    WireWord<Outcome>{"connection_lost", Outcome::lost},
+    WireWord<Outcome>{"called_off", Outcome::cancelled},
+    WireWord<Outcome>{"not_sent", Outcome::notSent},
+    WireWord<Outcome>{"server_error", Outcome::error},
+};
+
+template <class Value, std::size_t count>
+std::optional<Value> valueOf(std::string_view word, const std::array<WireWord<Value>, count>& words) {
+  for (const auto& known : words)
+    if (known.word == word) return known.value;
+  return std::nullopt;
+}
+
+Outcome parseOutcome(const Fields& fields) {
+  const auto outcome = valueOf(fields.need<std::string_view>("code"), kOutcomes);
+  if (!outcome) fields.blame("code", "is not known");
+  return *outcome;
+}
+
+CounterCallOutcome parseCounterOutcome(std::string_view code) {
+  if (code == "served") return CounterCallOutcome::ok;
+  if (code == "turned_away" || code == "no_connection") return CounterCallOutcome::notAdded;
+  return CounterCallOutcome::unknown;
+}
+
+LoadReport parseLoad(const Fields& fields, const std::vector<std::string>& figureNames) {
+  LoadReport load;
+  if (!fields.has("stats")) return load;
+  simdjson::dom::array stats;
+  if (fields.need<element>("stats").get(stats)) fields.blame("stats", "is not an array");
+  auto name = figureNames.begin();
+  for (const element stat : stats) {
+    double value = 0;
+    if (stat.get(value)) fields.blame("stats", "holds what is not a number");
+    if (name == figureNames.end()) break;
+    config::readLoadFigure(load, *name++, value);
+  }
+  return load;
+}
+
+config::Endpoint parseEndpoint(const Fields& fields) {
+  const auto state = fields.need<std::string_view>("stageState");
+  config::Endpoint endpoint;
+  endpoint.name = fields.need<std::string_view>("host");
+  endpoint.zone = std::to_string(fields.get("area", 0u));
+  endpoint.machine = std::to_string(fields.get("hw", 0u));
+  endpoint.cell = fields.get("bay", std::int64_t{-1});
+  endpoint.serving = state == "in_service";
+  endpoint.gone = state == "terminated";
+  endpoint.weight = fields.get("weight", 1.0);
+  endpoint.started = fields.duration("bootTime", Duration{0});
+  return endpoint;
+}
+
+}  // namespace
+
+std::optional<Message> MessageReader::next() {
+  do {
+    if (!std::getline(in_, line_)) return std::nullopt;
+  } while (line_.find_first_not_of(" \t\r") == std::string::npos);
+  line_.reserve(line_.size() + simdjson::SIMDJSON_PADDING);
+  simdjson::dom::object message;
+  if (parser_.parse(line_).get(message))
+    throw ConfigError("a line is not a JSON object: " + line_.substr(0, kQuotedCharacters));
+  if (message.size() != 1)
+    throw ConfigError("a message has not exactly one name: " + line_.substr(0, kQuotedCharacters));
+  const auto [name, body] = *message.begin();
+  if (!body.is_object()) throw ConfigError(std::string(name) + ": has no object of fields");
+  return Message{valueOf(name, kMessageNames).value_or(MessageKind::unknown), name, Fields(name, body)};
+}
+
+TimePoint parseBatchTime(const Fields& fields) {
+  return TimePoint(fields.duration("wall"));
+}
+
+std::int64_t parseGatewayNumber(const Fields& fields) {
+  return fields.need<std::int64_t>("i");
+}
+
+GatewayStart parseGatewayStart(const Fields& fields) {
+  const Fields profile = fields.part("profileData");
+  GatewayStart start{config::loadFieldNames(profile), config::readSettings(profile)};
+  start.config.seed = fields.need<std::uint64_t>("rngSeed");
+  return start;
+}
+
+WireRequestId parseRequestIdField(const Fields& fields) {
+  const auto id = parseRequestId(fields.need<std::string_view>("id"));
+  if (!id) fields.blame("id", "is not 16 hex digits");
+  return *id;
+}
+
+RequestArrival parseRequestArrival(const Fields& fields) {
+  RequestArrival arrival;
+  arrival.id = parseRequestIdField(fields);
+  Request& request = arrival.request;
+  request.customer = {fields.get("apiKey", std::uint64_t{0})};
+  request.plan = {fields.get("tariff", 0u)};
+  request.method = {fields.get("class", 0u)};
+  request.deadline = TimePoint(fields.duration("dropDead"));
+  request.units = fields.get("costUnits", 1.0);
+  request.gateways = fields.get("doors", 0u);
+  return arrival;
+}
+
+AttemptEnd parseAttemptEnd(const Fields& fields, const std::vector<std::string>& loadFigureNames) {
+  AttemptEnd end;
+  end.attempt = {fields.need<std::uint32_t>("sendNo")};
+  end.outcome = parseOutcome(fields);
+  end.trueUnits = fields.get("finalUnits", 0.0);
+  end.load = parseLoad(fields, loadFigureNames);
+  end.took = fields.duration("elapsed", Duration{0});
+  end.clientAnswered = fields.get("finished", false);
+  return end;
+}
+
+std::optional<CounterCallEnd> parseCounterCallEnd(const Fields& fields) {
+  const auto key = parseCounterName(fields.need<std::string_view>("counter"));
+  CounterCallEnd end;
+  end.outcome = parseCounterOutcome(fields.need<std::string_view>("code"));
+  if (!key) return std::nullopt;
+  end.key = *key;
+  if (end.outcome == CounterCallOutcome::ok) end.total = fields.get("level", 0.0);
+  end.took = fields.duration("elapsed", Duration{0});
+  return end;
+}
+
+std::optional<config::EndpointList> parseEndpointList(const Fields& fields) {
+  const auto how = fields.need<std::string_view>("how");
+  if (how == "lost") return std::nullopt;
+  config::EndpointList endpoints;
+  endpoints.generation = fields.get("gen", std::uint64_t{0});
+  endpoints.complete = how != "incr";
+  if (!fields.has("hosts")) return endpoints;
+  simdjson::dom::array entries;
+  if (fields.need<element>("hosts").get(entries)) fields.blame("hosts", "is not an array");
+  for (const element entry : entries)
+    endpoints.entries.push_back(parseEndpoint(Fields("peersKnown.hosts", entry)));
+  return endpoints;
+}
+
+}  // namespace merlinbridge::simulator_adapter
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -5,9 +5,12 @@
 #include <sstream>
 
 #include "config/json_fields.hpp"
+#include "simulator_adapter/message_reader.hpp"
+#include "simulator_adapter/message_writer.hpp"
+#include "simulator_adapter/wire_names.hpp"
 
-using merlinbridge::config::ConfigError;
-using merlinbridge::simulator_adapter::serve;
+using namespace merlinbridge;
+using namespace merlinbridge::simulator_adapter;
 
 namespace {
 
@@ -17,16 +20,16 @@
     R"("storeSize":9}],"siblings":1,"later":{}}}})";
 const std::string kHosts =
     R"({"peersKnown":{"i":0,"how":"warm_copy","gen":1,"hosts":[{"host":"h \"1\"","stageState":"in_service"}]}})";
-const std::string kAsk =
+const std::string kRequest =
     R"({"demand":{"i":0,"id":"00000000000000ff","dropDead":2000000,"costUnits":1,"doors":1}})";
 
 std::string batch(const std::string& lines) {
   return "{\"turn\":{\"wall\":1000}}\n" + lines + "\n{\"eofBatch\":{}}\n";
 }
 std::string reply(const std::string& input) {
-  std::istringstream in(input);
+  std::istringstream lines(input);
   std::ostringstream out;
-  serve(in, out);
+  serve(lines, out);
   return out.str();
 }
 
@@ -38,9 +41,8 @@
 
 }  // namespace
 
-// Recorded with the program before the adapter was divided into reader, writer, instance and session: 1,237
-// batches with rejections, retries, shed load, a silent counter service, a gateway that stops and starts,
-// late and ignored messages.
+// Recorded with the program of commit 43c0e38: 1,237 batches with rejections, retries, shed load, an
+// unresponsive counter service, a gateway that stops and starts, late messages and ignored ones.
 TEST_CASE(
     "the adapter answers a recorded conversation with the same bytes as the version that was recorded") {
   const std::string expected = contentOf("simulator_conversation_output.jsonl");
@@ -48,13 +50,13 @@
   CHECK(reply(contentOf("simulator_conversation_input.jsonl")) == expected);
 }
 
-TEST_CASE("a request goes out to the host and its words come back as they were") {
-  const auto out = reply(batch(kInit + "\n" + kHosts + "\n" + kAsk));
+TEST_CASE("a request is forwarded with its identifier, host name and deadline unchanged") {
+  const auto out = reply(batch(kInit + "\n" + kHosts + "\n" + kRequest));
   CHECK_THAT(out, Catch::Contains(R"("id":"00000000000000ff","host":"h \"1\"","abandonAt":2000000)"));
   CHECK_THAT(out, Catch::EndsWith("{\"ready\":{}}\n"));
 }
 
-TEST_CASE("late and doubled events are taken quietly") {
+TEST_CASE("late and duplicate messages are ignored") {
   const auto out = reply(batch(kInit) + batch(R"({"fired":{"i":0,"mark":"sweep"}})"
                                               "\n"
                                               R"({"cancelledByClient":{"i":0,"id":"00000000000000aa"}})"
@@ -65,7 +67,7 @@
   CHECK(out == "{\"ready\":{}}\n{\"ready\":{}}\n");
 }
 
-TEST_CASE("bad input is named") {
+TEST_CASE("the error for invalid input names the message and the field") {
   const auto [input, named] = GENERATE(table<std::string, std::string>({
       {"nonsense\n", "not a JSON object"},
       {batch(R"({"demand":{"i":4,"id":"00000000000000ff","dropDead":5}})"),
@@ -79,3 +81,58 @@
   }));
   CHECK_THROWS_WITH(reply(input), Catch::Contains(named));
 }
+
+TEST_CASE("the message reader gives messages a kind and skips blank lines") {
+  std::istringstream input("\n{\"fired\":{\"i\":3}}\r\n \t\n{\"mail\":{}}\n{\"dance\":{}}\n");
+  MessageReader reader(input);
+  auto message = reader.next();
+  REQUIRE(message);
+  CHECK(message->kind == MessageKind::timerFired);
+  CHECK(parseGatewayNumber(message->fields) == 3);
+  message = reader.next();
+  REQUIRE(message);
+  CHECK(message->kind == MessageKind::ignored);
+  message = reader.next();
+  REQUIRE(message);
+  CHECK(message->kind == MessageKind::unknown);
+  CHECK(message->name == "dance");
+  CHECK_FALSE(reader.next());
+}
+
+TEST_CASE("the end of an attempt is read with the load figures in the order of the gateway's settings") {
+  std::istringstream input(
+      R"({"result":{"sendNo":2,"code":"turned_away","elapsed":1500,"finalUnits":2.5,"stats":[7,0.5,9]}})");
+  MessageReader reader(input);
+  const auto message = reader.next();
+  REQUIRE(message);
+  const AttemptEnd end = parseAttemptEnd(message->fields, {"queue", "util"});
+  CHECK(end.attempt.value == 2);
+  CHECK(end.outcome == Outcome::rejected);
+  CHECK(end.took == std::chrono::microseconds(1500));
+  CHECK(end.trueUnits == 2.5);
+  CHECK(end.load.queued == 7);
+  CHECK(end.load.utilization == 0.5);
+  CHECK_FALSE(end.load.inFlight);
+  CHECK_FALSE(end.clientAnswered);
+}
+
+TEST_CASE("the message writer appends one line a message and escapes texts") {
+  ReplyBuffer reply;
+  MessageWriter writer(4, reply);
+  writer.reject({0xff}, std::chrono::milliseconds(2));
+  writer.log("a \"b\"\n");
+  MessageWriter::endReply(reply);
+  CHECK(fmt::to_string(reply) ==
+        "{\"sayNo\":{\"i\":4,\"id\":\"00000000000000ff\",\"holdOff\":2000}}\n"
+        R"({"writeLog":{"i":4,"bodyText":"a \"b\"\u000a"}})"
+        "\n{\"ready\":{}}\n");
+}
+
+TEST_CASE("a counter's name reads back as its key, and foreign names are recognized") {
+  for (const auto kind : {CounterKey::Kind::quotaUse, CounterKey::Kind::inFlightTime}) {
+    const CounterKey key{kind, {18446744073709551615u}, {-3}};
+    CHECK(parseCounterName(counterName(key)) == key);
+  }
+  for (const char* const foreign : {"", "u", "u12.", "u123", ".123", "u.1"})
+    CHECK_FALSE(parseCounterName(foreign));
+}
