--- a/src/gateway_core/gateway_core.hpp
+++ b/src/gateway_core/gateway_core.hpp
@@ -1,97 +1,78 @@
 #pragma once
 
-#include <deque>
+#include <optional>
 #include <string>
-#include <string_view>
-#include <variant>
 #include <vector>
 
 #include "config/gateway_config.hpp"
 #include "gateway_core/deadline_queue.hpp"
+#include "gateway_core/deferred_events.hpp"
+#include "gateway_core/host_directory.hpp"
 #include "gateway_core/request_parser.hpp"
+#include "gateway_core/request_table.hpp"
 #include "gateway_core/slot_table.hpp"
+#include "gateway_core/transport.hpp"
 #include "policy_api/decision_engine.hpp"
 
 namespace merlinbridge::core {
 
-/// What the core asks of its surroundings: sockets in the daemon, the wire in the simulator. The calls must
-/// not call the core in turn. A SlotRef that is not valid any more is ignored.
-class Transport {
- public:
-  virtual ~Transport() = default;
-  virtual void answerOk(SlotRef client, std::string_view body, std::string_view type) = 0;
-  virtual void answerRejected(SlotRef client, Duration retryAfter) = 0;
-  virtual void answerFailed(SlotRef client) = 0;
-  /// Writes the client's request to that host. Either the connection that carries it, or the outcome that it
-  /// had at once.
-  virtual std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
-                                                      AttemptDeadline) = 0;
-  /// Gives the attempt up. True: it has ended by that. False: its end is still to come.
-  virtual bool closeAttempt(SlotRef client, AttemptNumber, SlotRef link) = 0;
-  /// Whether not all of it is written yet: given up now, it never reaches a host.
-  virtual bool isUnsent(SlotRef) { return false; }
-  /// Whether the client waits; false where its connection has ended, be that end read yet or not.
-  virtual bool clientConnected(SlotRef) { return true; }
-  virtual void addToCounter(const CounterKey&, double units, Duration keepFor) = 0;
-  virtual void hostUnavailable(HostId) = 0;  ///< It drains or is gone: idle connections to it may be closed.
-  /// The decision engine has changed its state; see EngineEvent.
-  virtual void report(EngineEvent) = 0;
-  /// A host of the endpoint list is ignored: the table of hosts is full.
-  virtual void endpointTableFull(std::string_view hostName) = 0;
-};
-
-/// What a host's answer says besides its outcome.
-struct UpstreamResponse {
-  std::string_view body, type;
-  double trueUnits = 0;
-  LoadReport load{};
-  std::optional<Duration> took = {};  ///< Where the adapter knows it better than the clock does.
-  bool answered = false;              ///< The client has had its answer without the core's doing.
-};
-
-/// Who ends attempts at their deadline.
+/// Who ends attempts and requests at their deadlines: the core, or the adapter, which then reports the end of
+/// each attempt in time. With an adapter the core still fails a request that is unanswered after its
+/// deadline.
 enum class Timekeeper { core, adapter };
 
-/// The core of the gateway, without I/O: the requests in numbered slots, the hosts' names and addresses, and
-/// all deadlines. It carries the engine's decisions to the transport and hands back what came of them.
+/// The core of the gateway, without I/O. It keeps the pending requests with their attempts (RequestTable),
+/// the hosts (HostDirectory) and all deadlines, carries the decisions of the decision engine to the
+/// transport, and hands the engine what came of them.
+///
+/// Promises: each request gets at most one final answer, and gets one by its deadline unless its client has
+/// left; each attempt that the transport started is reported to the engine as ended exactly once.
+///
+/// Not thread-safe: all calls are made on one strand, that of the DeadlineQueue. Times are on the gateway's
+/// clock and never go back from call to call. No call may be made from within a call to the transport. A
+/// RequestId that is not known any more is ignored everywhere. Owns its engine; the queue and the transport
+/// must outlive the core, and the core must outlive the callbacks that it has added to the queue.
 class GatewayCore final : private DecisionSink {
  public:
+  /// Starts with the hosts that the configuration names. Calls the transport.
   GatewayCore(const config::GatewayConfig&, TimePoint now, DeadlineQueue&, Transport&,
               Timekeeper = Timekeeper::core);
 
+  /// The names that request parsing needs; valid as long as the core.
   const NameTables& names() const { return names_; }
+  /// The settings in force; valid as long as the core.
   const PolicySettings& settings() const { return settings_; }
-  const std::string& addressOf(HostId host) const { return addresses_[host.value]; }
-  const std::string& nameOf(HostId host) const { return hosts_.word(host); }
-  HostId hostNamed(std::string_view name) const;  ///< Throws std::out_of_range.
-  bool holds(RequestId requestId) { return find(requestId) != nullptr; }
-  std::size_t unanswered() const { return unanswered_; }
-  bool isPending(RequestId);  ///< It has had no answer, and its client is there to get one.
+  /// The host's address as "10.0.0.4:8080"; empty if discovery named none. Valid until the next
+  /// endpointsUpdated.
+  const std::string& addressOf(HostId host) const { return hosts_.addressOf(host); }
+  /// Discovery's name of the host. Valid until the next endpointsUpdated.
+  const std::string& nameOf(HostId host) const { return hosts_.nameOf(host); }
+  /// Returns whether the request is still in the table: it is unanswered or has attempts in flight.
+  bool holds(RequestId requestId) { return requests_.find(requestId) != nullptr; }
+  /// The number of requests without a final answer.
+  std::size_t unanswered() const { return requests_.unanswered(); }
+  /// Returns whether the request has no final answer yet and its client is still connected.
+  bool isPending(RequestId);
 
-  RequestId requestArrived(TimePoint now, SlotRef client, Request);
+  /// Takes a request from a client and returns its id. The request may have been answered, and its id may be
+  /// unknown, by the time this returns. `request.requestId` is ignored; `request.deadline` is the client's.
+  RequestId requestArrived(TimePoint now, SlotRef client, Request request);
+  /// The client has disconnected: the request gets no answer, and its unsent attempts are given up.
   void clientLeft(TimePoint now, RequestId);
+  /// An attempt has ended. Outcome::ok answers the client with the response, if the client has no answer yet.
+  /// The end of an attempt that is not in flight is ignored.
   void attemptEnded(TimePoint now, RequestId, AttemptNumber, Outcome, const UpstreamResponse& = {});
+  /// A call to the counter service has ended. `total` is the count after the call and is read only if the
+  /// outcome is ok; `took` is the duration of the call.
   void counterCallEnded(TimePoint now, const CounterKey&, CounterCallOutcome, double total, Duration took);
+  /// Applies a complete list or a change from discovery. Unsent attempts to hosts that no longer serve are
+  /// given up, so that they may go elsewhere.
   void endpointsUpdated(TimePoint now, const config::EndpointList&);
-  /// The process ends then: whatever is still without an answer gets one before.
-  void setAnswerDeadline(TimePoint);
+  /// Answers every request, present and future, by `answerBy` at the latest; for a process that ends soon
+  /// after.
+  void setAnswerDeadline(TimePoint answerBy);
 
  private:
-  struct Attempt {
-    HostId host;
-    TimePoint sentAt;
-    SlotRef link;
-    bool out = false;
-  };
-  struct PendingRequest {
-    SlotRef client;
-    TimePoint deadline;
-    DeadlineQueue::Ticket by;
-    bool answered = false;
-    std::uint32_t out = 0;
-    std::vector<Attempt> attempts;
-  };
-
   void startAttempt(RequestId, HostId, AttemptDeadline) override;
   void cancel(RequestId, AttemptNumber) override;
   void reject(RequestId, Duration retryAfter) override;
@@ -100,31 +81,30 @@
   void wakeAt(TimePoint, TimerId) override;
   void report(EngineEvent event) override { transport_.report(event); }
 
-  PendingRequest* find(RequestId requestId) { return requests_.find(SlotRef::unpacked(requestId.value)); }
-  PendingRequest* takeUnanswered(RequestId);
+  DeadlineQueue::Ticket addAnswerDeadlineTimer(TimePoint, RequestId);
+  void answerDeadlineReached(TimePoint now, RequestId);
   void abandonAttempt(TimePoint now, RequestId, AttemptNumber, Outcome);
-  void expire(TimePoint now, RequestId);
-  void runDeferred(TimePoint now, RequestId);
-  std::optional<HostId> hostIdFor(const config::Endpoint&);
+  void abandonAttemptsOfAnswered(TimePoint now, RequestId);
+  std::vector<HostUpdate> applyEndpoints(TimePoint now, const std::vector<config::Endpoint>&);
+  std::vector<bool> servingHosts(const config::EndpointList&, const std::vector<HostUpdate>&) const;
+  void deferAbandoningUnsent(const std::vector<bool>& isServing);
+  void finishInput(TimePoint now, std::optional<RequestId>);
+  void handle(TimePoint now, const ClientGone&);
+  void handle(TimePoint now, const AttemptEndedAtOnce&);
+  void handle(TimePoint now, const AttemptAbandoned&);
 
   const PolicySettings settings_;
-  const Duration answerSlack_, maxDeadline_;
+  const Duration answerSlack_;  ///< An answer so long after its deadline still counts.
   const bool enforcesDeadlines_;
-  TimePoint now_, answerAllBy_ = TimePoint::max();
+  TimePoint now_;  ///< Of the input being handled, for calls of the engine that carry no time.
+  TimePoint answerDeadline_ = TimePoint::max();  ///< Of all requests; see setAnswerDeadline.
   NameTables names_;
   DeadlineQueue& deadlines_;
   Transport& transport_;
-  SlotTable<PendingRequest> requests_;
-  std::size_t unanswered_ = 0;
-  std::deque<std::function<void(TimePoint)>> deferred_;  ///< ends that came while the module was still at it
-  bool runningDeferred_ = false;
-  NameTable<HostId> hosts_;
-  std::vector<std::string> addresses_;
-  std::vector<Duration> startedAt_;
-  std::vector<char> gone_;
-  std::vector<TimePoint> goneAt_;
-  std::vector<std::uint32_t> outAt_;
-  DecisionEngine engine_;
+  RequestTable requests_;
+  DeferredEvents deferred_;
+  HostDirectory hosts_;
+  DecisionEngine engine_;  ///< Last: the sink is complete before the engine exists.
 };
 
 }  // namespace merlinbridge::core
--- a/src/gateway_core/name_table.hpp
+++ b/src/gateway_core/name_table.hpp
@@ -9,33 +9,39 @@
 
 namespace merlinbridge::core {
 
-/// Names to dense ids, in the order in which they were first heard.
+/// Names and their dense ids, which count from 0 in the order in which the names were added. `Key` is an
+/// instance of Id with 32 bits. Grows without bound: its user limits what is added. Not thread-safe.
 template <class Key>
 class NameTable {
  public:
   NameTable() = default;
+  /// Gives each name its index as id, a repeated one too: the id of the first is the one that find() returns.
   explicit NameTable(const std::vector<std::string>& names) {
-    for (const std::string& name : names) {  ///< each has its place, even one without a name
+    for (const std::string& name : names) {
       ids_.emplace(name, static_cast<std::uint32_t>(names_.size()));
       names_.push_back(name);
     }
   }
+  /// Returns the id of a name, or nothing if the name is not known. Compares byte by byte.
   std::optional<Key> find(std::string_view name) const {
     const auto at = ids_.find(name);
     return at == ids_.end() ? std::nullopt : std::optional(Key{at->second});
   }
-  Key idOf(std::string_view name) {
+  /// Returns the id of a name; adds the name if it is not known.
+  Key findOrAdd(std::string_view name) {
     if (const auto known = find(name)) return *known;
     names_.emplace_back(name);
     return {ids_.emplace(name, static_cast<std::uint32_t>(names_.size() - 1)).first->second};
   }
-  /// Another name takes over the number of one that is no more.
-  void rename(Key id, std::string_view name) {
+  /// Gives an id to another name, which must not be known yet; the name that had it is forgotten.
+  void reassign(Key id, std::string_view name) {
     ids_.erase(names_[id.value]);
     names_[id.value] = name;
     ids_.emplace(name, id.value);
   }
-  const std::string& word(Key id) const { return names_.at(id.value); }
+  /// Returns the name of an id; valid until reassign() or findOrAdd(). Throws std::out_of_range.
+  const std::string& nameOf(Key id) const { return names_.at(id.value); }
+  /// All ids are below this number.
   std::size_t size() const { return names_.size(); }
 
  private:
--- /dev/null
+++ b/src/gateway_core/request_table.hpp
@@ -0,0 +1,66 @@
+#pragma once
+
+#include <cstdint>
+#include <vector>
+
+#include "gateway_core/deadline_queue.hpp"
+#include "gateway_core/slot_table.hpp"
+#include "policy_api/ids.hpp"
+
+namespace merlinbridge::core {
+
+/// One attempt of a request at a host.
+struct Attempt {
+  enum class State : std::uint8_t { inFlight, ended };
+  HostId host;
+  TimePoint startedAt;
+  SlotRef connection;  ///< Carries the attempt; empty while the transport starts it.
+  State state = State::inFlight;
+};
+
+/// A request that has no final answer yet, or still has attempts in flight, and all its attempts so far.
+struct PendingRequest {
+  /// The one transition is from unanswered to answered, by RequestTable::markAnswered.
+  enum class State : std::uint8_t { unanswered, answered };
+  SlotRef client;
+  TimePoint deadline;  ///< The core fails the request then if it is still unanswered.
+  DeadlineQueue::Ticket answerDeadlineTimer;
+  State state = State::unanswered;
+  std::uint32_t attemptsInFlight = 0;
+  std::vector<Attempt> attempts;  ///< By AttemptNumber.
+
+  /// Adds an attempt in flight and returns its number.
+  AttemptNumber addAttempt(HostId, TimePoint now);
+  /// Returns the attempt, or nullptr if there is none of that number or it has ended.
+  Attempt* findInFlight(AttemptNumber);
+  /// Ends an attempt in flight of this request.
+  void endAttempt(Attempt&);
+};
+
+/// The gateway's pending requests by RequestId; owns them. Not thread-safe.
+class RequestTable {
+ public:
+  /// Adds an unanswered request. Its id stays unique after the request is gone.
+  RequestId add(SlotRef client, TimePoint deadline);
+  /// Returns the request, or nullptr if the table does not contain it. Valid until the request is dropped.
+  PendingRequest* find(RequestId requestId) { return requests_.find(SlotRef::unpacked(requestId.value)); }
+  /// Moves an unanswered request to State::answered and returns it; nullptr if it is answered or not found.
+  /// Whoever gets the request sends its one final answer.
+  PendingRequest* markAnswered(RequestId);
+  /// Returns the number of attempts of the request so far; 0 if it is not found.
+  std::size_t attemptCount(RequestId);
+  void drop(RequestId requestId) { requests_.drop(SlotRef::unpacked(requestId.value)); }
+  /// The number of requests without a final answer.
+  std::size_t unanswered() const { return unanswered_; }
+  /// Calls `visitor(RequestId, PendingRequest&)` for each request. The visitor must not add or drop requests.
+  template <class Visitor>
+  void forEach(Visitor visitor) {
+    requests_.each([&](SlotRef ref, PendingRequest& request) { visitor(RequestId{ref.packed()}, request); });
+  }
+
+ private:
+  SlotTable<PendingRequest> requests_;
+  std::size_t unanswered_ = 0;
+};
+
+}  // namespace merlinbridge::core
--- a/src/gateway_core/slot_table.hpp
+++ b/src/gateway_core/slot_table.hpp
@@ -8,63 +8,77 @@
 
 namespace merlinbridge::core {
 
-/// A numbered slot, and which of its generations is meant: what comes late for an earlier one finds nothing.
+/// Refers to one element of a SlotTable: a numbered slot and the generation of the element in it. A reference
+/// that outlives its element finds nothing, even if the slot has been used again. A default-constructed one
+/// refers to no element.
 struct SlotRef {
-  std::uint32_t slot = 0, generation = 0;  ///< generations count from 1
+  std::uint32_t slot = 0;
+  std::uint32_t generation = 0;  ///< Counts from 1; 0: no element.
+  /// The reference as one number, for use as an id; 0 only if it refers to no element.
   std::uint64_t packed() const { return std::uint64_t{generation} << 32 | slot; }
-  static SlotRef unpacked(std::uint64_t from) {
-    return {static_cast<std::uint32_t>(from), static_cast<std::uint32_t>(from >> 32)};
+  /// The reference that packed() made the number from.
+  static SlotRef unpacked(std::uint64_t number) {
+    return {static_cast<std::uint32_t>(number), static_cast<std::uint32_t>(number >> 32)};
   }
   explicit operator bool() const { return generation != 0; }
   bool operator==(const SlotRef&) const = default;
 };
 
-/// A table of numbered slots. Rows stay where they are while others come and go.
+/// A table of elements in numbered slots; owns its elements. An element keeps its address until it is
+/// dropped, while others come and go. Freed slots are used again, the last freed first; memory is kept for
+/// the largest number of elements that there ever were. Not thread-safe.
 template <class T>
 class SlotTable {
  public:
+  /// Constructs an element from the arguments and returns the reference to it.
   template <class... Args>
   SlotRef add(Args&&... args) {
     std::uint32_t slot = 0;
-    if (free_.empty()) {
+    if (freeSlots_.empty()) {
       slot = static_cast<std::uint32_t>(rows_.size());
       rows_.emplace_back();
     } else {
-      slot = free_.back();
-      free_.pop_back();
+      slot = freeSlots_.back();
+      freeSlots_.pop_back();
     }
     Row& row = rows_[slot];
-    row.held.emplace(std::forward<Args>(args)...);
-    ++held_;
+    row.element.emplace(std::forward<Args>(args)...);
+    ++size_;
     return {slot, ++row.generation};
   }
+  /// Returns the element, which the table owns, or nullptr if it has been dropped.
   T* find(SlotRef ref) {
     if (ref.slot >= rows_.size()) return nullptr;
     Row& row = rows_[ref.slot];
-    return row.held && row.generation == ref.generation ? &*row.held : nullptr;
+    return row.element && row.generation == ref.generation ? &*row.element : nullptr;
   }
+  /// Destroys the element and frees its slot. Has no effect if it has been dropped already.
   void drop(SlotRef ref) {
     if (!find(ref)) return;
-    rows_[ref.slot].held.reset();
-    free_.push_back(ref.slot);
-    --held_;
+    rows_[ref.slot].element.reset();
+    freeSlots_.push_back(ref.slot);
+    --size_;
   }
-  std::size_t size() const { return held_; }
-  /// In the order of the slots; none may come or go meanwhile.
-  template <class What>
-  void each(What what) {
-    for (std::uint32_t slot = 0; slot < rows_.size(); ++slot)
-      if (Row& row = rows_[slot]; row.held) what(SlotRef{slot, row.generation}, *row.held);
+  /// The number of elements.
+  std::size_t size() const { return size_; }
+  /// Calls `visitor(SlotRef, T&)` for each element, in the order of the slots. The visitor must not add or
+  /// drop elements.
+  template <class Visitor>
+  void each(Visitor visitor) {
+    for (std::uint32_t slot = 0; slot < rows_.size(); ++slot) {
+      Row& row = rows_[slot];
+      if (row.element) visitor(SlotRef{slot, row.generation}, *row.element);
+    }
   }
 
  private:
   struct Row {
-    std::uint32_t generation = 0;
-    std::optional<T> held;
+    std::uint32_t generation = 0;  ///< Of the element here, or of the last one.
+    std::optional<T> element;
   };
   std::deque<Row> rows_;
-  std::vector<std::uint32_t> free_;
-  std::size_t held_ = 0;
+  std::vector<std::uint32_t> freeSlots_;
+  std::size_t size_ = 0;
 };
 
 }  // namespace merlinbridge::core
