--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -1,121 +1,110 @@
 #pragma once
 
-#include <boost/asio/coroutine.hpp>
 #include <initializer_list>
 #include <string_view>
 
 #include "net/buffer.hpp"
+#include "net/connection_callbacks.hpp"
 #include "net/event_loop.hpp"
-#include "net/system_calls.hpp"
+#include "net/stream_dialer.hpp"
+#include "net/stream_reader.hpp"
+#include "net/stream_socket.hpp"
+#include "net/stream_writer.hpp"
+#include "net/wait_timer.hpp"
 
 namespace merlinbridge::net {
 
-/// One stream socket and its buffer, which holds what has come and, behind it, what could not yet be written.
-/// Nothing is read while something waits to be written, so the two never mix.
-class Connection {
+/// One TCP connection, and the base of the client, upstream, counter and discovery connections. It joins the
+/// parts: StreamSocket (socket, state, failures), StreamDialer, StreamReader, StreamWriter and WaitTimer.
+///
+/// The one buffer holds the received bytes and, behind them, the unsent ones. Nothing is read while bytes are
+/// unsent, so the two never mix.
+///
+/// EventLoop::open() creates connections and owns them. All members are called on the event loop's one
+/// strand. A connection that EventLoop::closeDeferred() has closed lives on until the turn ends; waits and
+/// timers hold its slot reference and find nothing afterwards. See ConnectionCallbacks for what a derived
+/// class implements.
+class Connection : protected ConnectionCallbacks {
  public:
-  explicit Connection(EventLoop& loop) : loop_(loop), socket_(loop.strand) {}
-  Connection(EventLoop& loop, Socket socket) : loop_(loop), socket_(std::move(socket)) {}
+  /// A connection that connect() dials.
+  explicit Connection(EventLoop& loop);
+  /// An accepted connection; start() begins to read from it.
+  Connection(EventLoop& loop, Socket accepted);
+  Connection(const Connection&) = delete;
+  Connection& operator=(const Connection&) = delete;
   virtual ~Connection() = default;
 
-  SlotRef ref() const { return ref_; }
-  bool isUp() const { return up_; }
-  bool hasUnread() const;        ///< bytes have come that are not in the buffer yet
-  bool peerHungUp() const;       ///< the peer has ended or reset, though not all that it sent is read yet
-  bool nothingReceived() const;  ///< neither bytes nor the peer's end have come that were not seen yet
-  /// Dials until the connection is up or the wait for it is over. A failure of this machine is no end: it
-  /// dials again soon.
-  void connect(const SocketAddress&);
-  /// It did not come up, and all that is known is that this machine could not dial.
-  bool failedLocally() const { return !up_ && dial_.status == CallStatus::shortage; }
-  void start();  ///< an accepted one
+  /// The slot in the event loop by which this connection is found; empty during construction.
+  SlotRef ref() const { return socket_.ref(); }
+  /// Returns true from the time the connection is established until close().
+  bool isUp() const { return socket_.isUp(); }
+  /// Returns true if bytes have come that are not in the buffer yet. If the system cannot say for lack of
+  /// resources, unread bytes are assumed: closing now could drop a request.
+  bool hasUnread() const;
+  /// Returns true if the peer has ended its stream or reset it, even if not all it sent has been read.
+  bool peerHungUp() const;
+  /// Returns true if the connection is up and neither bytes nor the peer's end wait to be read.
+  bool nothingReceived() const;
+  /// Dials until the connection is up or waitDeadline() passes. A shortage of this machine does not end the
+  /// dial; it is repeated after a pause. Called once; onConnected() or onClosed() come in a later turn.
+  void connect(const SocketAddress& peer);
+  /// Returns true if the connection is not up and the last dial failed for a shortage of this machine.
+  bool failedLocally() const { return !isUp() && dialer_.failedLocally(); }
+  /// Begins to read from an accepted connection. Called once.
+  void start();
+  /// Closes the socket and cancels the wait timer. Called by EventLoop::closeDeferred() only.
   void close();
-  void discard();  ///< reads what has come, for nobody
+  /// Reads and drops what has come, within a bound, so that the close that follows resets nothing.
+  void discard();
+  /// Writes the unsent bytes if no wait for the socket is open. The event loop calls it at the end of a turn
+  /// in which sendLater() was called.
   void flush();
 
- protected:
-  /// The peer is there; bytes have come; it is over, by the peer or by a fault of the way to it.
-  virtual void onConnected() {}
-  virtual void onData() = 0;
-  virtual void onClosed() = 0;
-  /// Holds all that it may for now.
-  virtual bool mustPause() const { return false; }
-  /// A message has begun to come and is not whole.
-  virtual bool expectsMore() const { return false; }
-  /// Reads on, up to so much, before it says that bytes have come: where the peer's end right behind them
-  /// counts.
-  virtual std::size_t readAheadLimit() const { return 0; }
-  /// All that waited is written.
-  virtual void onAllWritten() {}
-  /// What waits to be written is about to be tried again.
-  virtual void beforeRetry() {}
-  /// False: what is not written by now must never be.
-  virtual bool mayWrite() const { return true; }
-  /// Until when the present wait may last, and what comes if it lasts longer.
-  virtual TimePoint waitDeadline() const = 0;
-  virtual void onTimeout() = 0;
+  /// Called by EventLoop::open() once, right after construction.
+  void assignSlot(SlotRef ref) { socket_.assignSlot(ref); }
+  /// Goes on with a step whose wait has ended. Called by the completions of StreamSocket only.
+  void runStep(ConnectionStep step, const Error& error);
+  /// For the event loop's check for missed readiness, and the completions of StreamSocket.
+  StreamSocket& socket() { return socket_; }
 
-  void send(std::initializer_list<std::string_view> parts);  ///< now, and what does not go now in its turn
-  void sendLater(std::string_view part);                     ///< with all else at the end of this turn
-  void shutdownSend();
-  std::size_t received() const { return buffer_.size() - unsent_; }  // bytes to be read, at the front
-  bool allWritten() const { return unsent_ == 0; }
-  std::size_t unsentBytes() const { return unsent_; }
-  std::string_view unsent() const { return buffer_.view().substr(received()); }
-  void replaceUnsent(std::string_view text);
-  bool peerEnded() const { return peerEnded_; }  // in good order, by an end of its stream
-  int lastError() const { return lastError_; }   ///< the errno that broke it; 0 where none did
-  void resumeReading();                          ///< to be called where it may no longer be full
-  void updateWaitTimer();  ///< to be called where a wait begins that may end earlier than the one before
+ protected:
+  /// Writes `parts` (four at the most) in order, at once if the connection is up and nothing is unsent; the
+  /// rest is written when the socket takes it. May call onAllWritten() or onClosed() before it returns.
+  void send(std::initializer_list<std::string_view> parts);
+  /// Appends to the unsent bytes, which are written together at the end of this turn.
+  void sendLater(std::string_view part);
+  /// Ends the gateway's direction of the stream; the peer reads an end of stream.
+  void shutdownSend() { socket_.shutdownSend(); }
+  /// The number of received bytes, which are at the front of the buffer.
+  std::size_t received() const { return buffer_.size() - writer_.unsentBytes(); }
+  bool allWritten() const { return writer_.allWritten(); }
+  std::size_t unsentBytes() const { return writer_.unsentBytes(); }
+  /// The unsent bytes; valid until the buffer changes.
+  std::string_view unsent() const { return writer_.unsent(); }
+  /// Replaces all unsent bytes. `text` must not point into the buffer.
+  void replaceUnsent(std::string_view text) { writer_.replaceUnsent(text); }
+  /// Returns true if the peer has ended its stream in good order and the connection is not closed yet.
+  bool peerEnded() const { return socket_.state() == ConnectionState::peerEnded; }
+  /// The errno that broke the connection; 0 if none did.
+  int lastError() const { return socket_.lastError(); }
+  /// Reads on if reading has paused; to be called where mustPause() may have become false.
+  void resumeReading() { reader_.resume(); }
+  /// Sets the wait timer; to be called where a wait begins that may end earlier than the one before.
+  void updateWaitTimer();
 
   EventLoop& loop_;
   Buffer buffer_;
 
  private:
-  friend class EventLoop;
-  /// What an operation leaves behind: where to go on, if the connection is still there.
-  struct Resume {
-    EventLoop* loop = nullptr;
-    SlotRef ref;
-    void (Connection::*step)(Error) = nullptr;
-    short awaited = 0;  ///< The readiness that it waited for, as poll() names it.
-    void operator()(const Error& error) const;
-  };
-
-  using Step = void (Connection::*)(Error);
-  void connectStep(Error error);
-  void readStep(Error error);
-  void writeStep(Error error);
-  CallResult dial();
-  CallResult open();
-  void becomeUp();
-  CallStatus readAll();
-  CallStatus fill();
-  CallStatus pushOut();
-  void waitFor(Socket::wait_type readiness, Step step);
-  void tryLater(Step step);
-  void endMissedWaits();
-  void checkWait(TimePoint now);
-  void recordFailure(SystemCall call, const CallResult& result);
-  void recordFailedWait(const Error& error);
-  void disableDelay();
-  int descriptor() const { return socket_.native_handle(); }
+  void continueDial(const Error& error);
+  void handle(WriteEvent event);
+  void waitTimerFired(TimePoint now);
 
-  mutable Socket socket_;
-  SocketAddress peer_;
-  SlotRef ref_;
-  bool up_ = false, readPaused_ = false, writing_ = false, later_ = false, peerEnded_ = false;
-  bool delayDisabled_ = false;  ///< TCP_NODELAY is set.
-  std::size_t unsent_ = 0;
-  asio::coroutine connector_, reader_, writer_;
-  CallResult dial_;                          ///< How the last dial stands.
-  CallStatus readStatus_{}, writeStatus_{};  ///< Of the last read and write.
-  short awaited_ = 0;                        ///< Readiness that is waited for, as poll() names it.
-  bool readyUnnoticed_ = false;              ///< It was ready at the last check, and no wait has ended since.
-  int shortagesInRow_ = 0;                   ///< Each doubles the pause before the next try.
-  int lastError_ = 0;
-  TimePoint waitTimerAt_ = TimePoint::max();
-  core::DeadlineQueue::Ticket waitTimer_{};
+  StreamSocket socket_;
+  StreamDialer dialer_;
+  StreamWriter writer_;
+  StreamReader reader_;
+  WaitTimer waitTimer_;
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -60,16 +60,17 @@
   polled_.clear();
   polledConnections_.clear();
   connections_.each([this](SlotRef ref, const std::unique_ptr<Connection>& connection) {
-    if (connection->awaited_ == 0) return;
-    polled_.push_back({connection->descriptor(), connection->awaited_, 0});
+    const pollfd awaited = connection->socket().awaitedReadiness();
+    if (awaited.events == 0) return;
+    polled_.push_back(awaited);
     polledConnections_.push_back(ref);
   });
   if (polled_.empty() || ::poll(polled_.data(), polled_.size(), 0) <= 0) return;
   for (std::size_t n = 0; n < polled_.size(); ++n)
-    if (polled_[n].revents != 0) find(polledConnections_[n])->readyUnnoticed_ = true;
+    if (polled_[n].revents != 0) find(polledConnections_[n])->socket().readiness().markReady();
   io.poll();
   for (std::size_t n = 0; n < polled_.size(); ++n)
-    if (Connection* const connection = find(polledConnections_[n])) connection->endMissedWaits();
+    if (Connection* const connection = find(polledConnections_[n])) connection->socket().endMissedWait();
 }
 
 void EventLoop::endTurn() {
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -54,7 +54,7 @@
   Kind& open(Args&&... args) {
     const SlotRef ref = connections_.add(std::make_unique<Kind>(*this, std::forward<Args>(args)...));
     auto& made = static_cast<Kind&>(**connections_.find(ref));
-    made.ref_ = ref;
+    made.assignSlot(ref);
     return made;
   }
   /// What is due may wait for so long to ride on a turn that comes for something else.
--- /dev/null
+++ b/src/net/stream_reader.cpp
@@ -0,0 +1,88 @@
+#include "net/stream_reader.hpp"
+
+#include <array>
+#include <boost/asio/yield.hpp>
+#include <utility>
+
+namespace merlinbridge::net {
+namespace {
+
+// The least free space, in bytes, that a read into an empty buffer is given.
+constexpr std::size_t kMinReadSize = 2048;
+// Reads of one connection in one turn, so that one that never stops sending cannot hold the event loop.
+constexpr int kMaxReadsPerTurn = 256;
+// Discarded reads before a close, for the same reason.
+constexpr int kMaxDiscardedReads = 64;
+constexpr std::size_t kDiscardSize = 4096;
+
+}  // namespace
+
+// NOLINTNEXTLINE(readability-function-cognitive-complexity): Asio's coroutine macros are counted
+void StreamReader::step(const Error& error) {
+  reenter(coroutine_) {
+    while (socket_.isUp()) {
+      if (!writer_.allWritten() || callbacks_.mustPause()) {
+        paused_ = true;
+        yield return;
+      }
+      yield socket_.waitFor(Socket::wait_read, ConnectionStep::read);
+      if (!socket_.isUp()) return;
+      if (waitFailed(error)) {
+        socket_.recordFailedWait(error);
+        yield socket_.retryLater(ConnectionStep::read);
+        continue;
+      }
+      if (!writer_.allWritten()) continue;
+      lastStatus_ = readMessages();
+      if (lastStatus_ == CallStatus::ended || lastStatus_ == CallStatus::broken) return callbacks_.onClosed();
+      if (lastStatus_ == CallStatus::shortage) {
+        yield socket_.retryLater(ConnectionStep::read);
+      }
+    }
+  }
+}
+
+void StreamReader::resume() {
+  if (socket_.isUp() && writer_.allWritten() && !callbacks_.mustPause() && std::exchange(paused_, false))
+    step({});
+}
+
+// Reads and calls onData() for as long as a message that has begun is incomplete. Returns the status of the
+// last read.
+CallStatus StreamReader::readMessages() {
+  CallStatus status = fill();
+  for (int reads = 1; status == CallStatus::done; ++reads) {
+    callbacks_.onData();
+    const bool goesOn = socket_.isUp() && writer_.allWritten() && !callbacks_.mustPause() &&
+                        callbacks_.expectsMore() && reads < kMaxReadsPerTurn;
+    if (!goesOn) return CallStatus::wouldBlock;
+    status = fill();
+  }
+  return status;
+}
+
+// Reads into the buffer. Returns `done` if at least one byte came; an end or a failure right behind it wins.
+CallStatus StreamReader::fill() {
+  const std::size_t sizeBefore = buffer_.size();
+  do {
+    char* const into = buffer_.room(buffer_.size() == sizeBefore ? kMinReadSize : 1);
+    const CallResult got = receive(socket_.descriptor(), into, buffer_.spare());
+    if (got.status == CallStatus::ended) socket_.recordPeerEnd();
+    socket_.recordResult(SystemCall::receive, got);
+    const bool over = got.status == CallStatus::ended || got.status == CallStatus::broken;
+    if (got.status != CallStatus::done)
+      return over || buffer_.size() == sizeBefore ? got.status : CallStatus::done;
+    buffer_.filled(got.bytes);
+  } while (buffer_.size() < callbacks_.readAheadLimit());
+  return CallStatus::done;
+}
+
+void StreamReader::discard() {
+  std::array<char, kDiscardSize> bytes{};
+  for (int reads = 0; reads < kMaxDiscardedReads && socket_.isUp(); ++reads)
+    if (receive(socket_.descriptor(), bytes.data(), bytes.size()).status != CallStatus::done) return;
+}
+
+}  // namespace merlinbridge::net
+
+#include <boost/asio/unyield.hpp>
--- /dev/null
+++ b/src/net/stream_writer.cpp
@@ -0,0 +1,97 @@
+#include "net/stream_writer.hpp"
+
+#include <algorithm>
+#include <boost/asio/yield.hpp>
+#include <utility>
+
+namespace merlinbridge::net {
+
+WriteEvent StreamWriter::send(std::initializer_list<std::string_view> parts) {
+  std::size_t written = 0;
+  if (socket_.isUp() && unsent_ == 0) {
+    SendParts atOnce{};
+    std::copy(parts.begin(), parts.end(), atOnce.begin());
+    socket_.ensureNoDelay();
+    const CallResult sent = net::send(socket_.descriptor(), atOnce);
+    socket_.recordResult(SystemCall::send, sent);
+    if (sent.status == CallStatus::broken) return WriteEvent::failed;
+    written = sent.bytes;
+  }
+  for (std::string_view part : parts) {
+    const std::size_t writtenOfPart = std::min(written, part.size());
+    written -= writtenOfPart;
+    part.remove_prefix(writtenOfPart);
+    buffer_.add(part);
+    unsent_ += part.size();
+  }
+  return unsent_ > 0 ? WriteEvent::none : WriteEvent::allWritten;
+}
+
+void StreamWriter::sendLater(std::string_view part) {
+  buffer_.add(part);
+  unsent_ += part.size();
+  if (!std::exchange(flushScheduled_, true)) socket_.loop().flushLater(socket_.ref());
+}
+
+WriteEvent StreamWriter::flush() {
+  flushScheduled_ = false;
+  if (!socket_.isUp() || unsent_ == 0 || waiting_) return WriteEvent::none;
+  lastStatus_ = writeUnsent();
+  if (lastStatus_ == CallStatus::broken) return WriteEvent::failed;
+  if (unsent_ == 0) return WriteEvent::allWritten;
+  waiting_ = true;
+  coroutine_ = {};
+  return step({});
+}
+
+// NOLINTNEXTLINE(readability-function-cognitive-complexity): Asio's coroutine macros are counted
+WriteEvent StreamWriter::step(const Error& error) {
+  reenter(coroutine_) {
+    do {
+      if (lastStatus_ == CallStatus::shortage) {
+        yield socket_.retryLater(ConnectionStep::write);
+      } else {
+        yield socket_.waitFor(Socket::wait_write, ConnectionStep::write);
+      }
+      if (!socket_.isUp()) return WriteEvent::none;
+      if (waitFailed(error)) {
+        socket_.recordFailedWait(error);
+        lastStatus_ = CallStatus::shortage;
+      } else {
+        lastStatus_ = writeUnsent();
+      }
+      if (lastStatus_ == CallStatus::broken) return WriteEvent::failed;
+    } while (unsent_ > 0);
+  }
+  // A yield leaves the block above, too: only a completed coroutine has written all.
+  const bool completed = coroutine_.is_complete() && socket_.isUp() && std::exchange(waiting_, false);
+  return completed ? WriteEvent::allWritten : WriteEvent::none;
+}
+
+// Writes until all is written or the socket takes no more. Returns the status of the last call, or `broken`
+// if nothing may be written any more.
+CallStatus StreamWriter::writeUnsent() {
+  if (!callbacks_.mayWrite()) return CallStatus::broken;
+  callbacks_.beforeRetry();
+  socket_.ensureNoDelay();
+  CallResult sent;
+  while (unsent_ > 0 && sent.status == CallStatus::done) {
+    sent = net::send(socket_.descriptor(), {unsent()});
+    socket_.recordResult(SystemCall::send, sent);
+    const std::size_t received = buffer_.size() - unsent_;
+    buffer_.cut(received, received + sent.bytes);
+    unsent_ -= sent.bytes;
+  }
+  if (buffer_.empty()) buffer_.drop(0);
+  return sent.status;
+}
+
+void StreamWriter::replaceUnsent(std::string_view text) {
+  buffer_.cut(buffer_.size() - unsent_, buffer_.size());
+  buffer_.add(text);
+  unsent_ = text.size();
+}
+
+}  // namespace merlinbridge::net
+
+#include <boost/asio/unyield.hpp>
