--- /dev/null
+++ b/src/net/counter/counter_outcome.cpp
@@ -0,0 +1,42 @@
+#include "net/counter/counter_outcome.hpp"
+
+#include <charconv>
+#include <cmath>
+#include <optional>
+#include <system_error>
+
+namespace merlinbridge::net {
+namespace {
+
+// Statuses of the counter protocol. The three errors promise that nothing was added.
+constexpr int kStatusAdded = 200;
+constexpr int kStatusBadCall = 400;
+constexpr int kStatusUnknownCounter = 404;
+constexpr int kStatusOverloaded = 503;
+
+bool promisesNothingAdded(int status) {
+  return status == kStatusOverloaded || status == kStatusBadCall || status == kStatusUnknownCounter;
+}
+
+// std::from_chars also accepts "inf" and "nan", neither of which is a total.
+std::optional<double> readTotal(std::string_view body) {
+  double total = 0;
+  const bool isNumber = std::from_chars(body.data(), body.data() + body.size(), total).ec == std::errc{};
+  if (!isNumber || !std::isfinite(total)) return std::nullopt;
+  return total;
+}
+
+}  // namespace
+
+CounterAnswer readCounterAnswer(int status, std::string_view body) {
+  if (promisesNothingAdded(status)) return {CounterCallOutcome::notAdded, 0};
+  if (status != kStatusAdded) return {CounterCallOutcome::unknown, 0};
+  const std::optional<double> total = readTotal(body);
+  return total ? CounterAnswer{CounterCallOutcome::ok, *total} : CounterAnswer{};
+}
+
+CounterCallOutcome outcomeWithoutAnswer(CallDelivery delivery) {
+  return delivery == CallDelivery::neverWritten ? CounterCallOutcome::notAdded : CounterCallOutcome::unknown;
+}
+
+}  // namespace merlinbridge::net
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -40,8 +40,8 @@
       clients_(loop, parseAddress(config.listen), shareOf(config.sockets), config.idle,
                config.longestDeadline),
       hosts_(loop, shareOf(config.sockets), config.idle, config.settings.connectTimeout),
-      counter_(loop, config.counter, config.settings.counterTimeout, config.settings.connectTimeout,
-               config.idle),
+      counter_(loop, config.counter,
+               {config.settings.counterTimeout, config.settings.connectTimeout, config.idle}),
       watch_(loop, config.discovery, config.known.generation, config.settings.connectTimeout,
              config.drainGrace, config.seed),
       core_(config, loop.now(), loop.deadlines, *this) {
@@ -60,7 +60,7 @@
 void Server::moveTo(const std::string& discovery, const std::string& counter) {
   if (!counter.empty()) parseAddress(counter);
   watch_.moveTo(discovery);
-  counter_.moveTo(counter);
+  counter_.setAddress(counter);
 }
 
 void Server::leave(TimePoint by) {
@@ -124,8 +124,8 @@
   return client && !client->peerHungUp();
 }
 
-void Server::addToCounter(const CounterKey& name, double units, Duration keepFor) {
-  counter_.add(name, units, keepFor);
+void Server::addToCounter(const CounterKey& key, double units, Duration keepFor) {
+  counter_.addToCounter(key, units, keepFor);
 }
 
 }  // namespace merlinbridge::net
--- a/src/net/server.hpp
+++ b/src/net/server.hpp
@@ -44,7 +44,7 @@
   bool closeAttempt(SlotRef, AttemptNumber, SlotRef link) override { return hosts_.closeAttempt(link), true; }
   bool isUnsent(SlotRef link) override { return hosts_.isUnsent(link); }
   bool clientConnected(SlotRef client) override;
-  void addToCounter(const CounterKey& name, double units, Duration keepFor) override;
+  void addToCounter(const CounterKey& key, double units, Duration keepFor) override;
   void hostUnavailable(HostId host) override { hosts_.closeIdle(host); }
   void report(EngineEvent event) override { loop_.log(core::logEventOf(event)); }
   void endpointTableFull(std::string_view hostName) override {
