--- a/src/policy_api/time.hpp
+++ b/src/policy_api/time.hpp
@@ -2,12 +2,15 @@
 
 #include <chrono>
 
+/// Times and durations of the decision engine and of all that calls it.
 namespace merlinbridge {
 
-/// Whole nanoseconds on the gateway's clock, whose origin means nothing.
+/// A duration in whole nanoseconds.
 using Duration = std::chrono::nanoseconds;
-/// The names are those that std::chrono wants of a clock.
-// NOLINTBEGIN(readability-identifier-naming)
+
+/// The gateway's steady clock, as a tag for TimePoint. It has no now(): the engine is given the time with
+/// every input and reads no clock. The origin has no meaning; only differences and slots of time are used.
+// NOLINTBEGIN(readability-identifier-naming): std::chrono prescribes the names of a clock's members
 struct GatewayClock {
   using rep = Duration::rep;
   using period = Duration::period;
@@ -16,16 +19,24 @@
   static constexpr bool is_steady = true;
 };
 // NOLINTEND(readability-identifier-naming)
+
+/// A point in time on the gateway's clock.
 using TimePoint = GatewayClock::time_point;
 
+/// The duration in seconds.
 inline double seconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
 }
-inline Duration durationOf(double s) {
-  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(s));
+
+/// The duration of so many seconds, cut to whole nanoseconds toward 0. The caller keeps `secondsCount` within
+/// the range of Duration, about 292 years.
+inline Duration durationOf(double secondsCount) {
+  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(secondsCount));
 }
-inline Duration scaled(Duration duration, double by) {
-  return durationOf(seconds(duration) * by);
+
+/// The duration multiplied by `factor`, cut to whole nanoseconds toward 0.
+inline Duration scaled(Duration duration, double factor) {
+  return durationOf(seconds(duration) * factor);
 }
 
 }  // namespace merlinbridge
