--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -5,22 +5,36 @@
 namespace merlinbridge::policy {
 namespace {
 
-constexpr double kMinDividedSlots =
-    1.0;  // attempts that each gateway may have in flight while it knows no other
+/// Attempts that each gateway may have in flight while it does not know the other gateways' usage.
+constexpr double kMinDividedSlots = 1.0;
 
 }  // namespace
 
 ConcurrencyLimit::ConcurrencyLimit(const Plan& plan, double gateways) : plan_(plan), gateways_(gateways) {}
 
 bool ConcurrencyLimit::publishesUsage(const Plan& plan) {
-  return plan.rate <= 0 && plan.open > 0;
+  const bool hasQuota = plan.rate > 0;
+  const bool hasLimit = plan.open > 0;
+  return hasLimit && !hasQuota;
+}
+
+double ConcurrencyLimit::freeSlots(double share, double othersRate) const {
+  if (share < 1) return std::max(kMinDividedSlots, plan_.open / gateways_) - inFlight_;
+  const double othersInFlight = publishesUsage(plan_) ? othersRate : 0;
+  return plan_.open - inFlight_ - othersInFlight;
 }
 
 bool ConcurrencyLimit::admits(double share, double othersRate, util::RandomSource& random) const {
   if (plan_.open <= 0) return true;
-  const double freeSlots = share < 1 ? std::max(kMinDividedSlots, plan_.open / gateways_) - inFlight_
-                                     : plan_.open - inFlight_ - (publishesUsage(plan_) ? othersRate : 0);
-  return random.bernoulli(freeSlots);
+  return random.bernoulli(freeSlots(share, othersRate));
+}
+
+void ConcurrencyLimit::attemptStarted() {
+  ++inFlight_;
+}
+
+void ConcurrencyLimit::attemptEnded() {
+  --inFlight_;
 }
 
 }  // namespace merlinbridge::policy
--- a/src/policy/count_slot.cpp
+++ b/src/policy/count_slot.cpp
@@ -3,7 +3,10 @@
 namespace merlinbridge::policy {
 namespace {
 
-constexpr Duration kSlotLength = std::chrono::seconds(10);  // the source design's value
+/// The source design's value.
+constexpr Duration kSlotLength = std::chrono::seconds(10);
+
+/// Retention of a count, in slots.
 constexpr double kRetentionSlots = 3.0;
 
 }  // namespace
@@ -21,7 +24,8 @@
 }
 
 double secondsIntoSlot(TimePoint now, SlotId slot) {
-  return seconds(now.time_since_epoch() - slot.value * kSlotLength);
+  const Duration slotStart = slot.value * kSlotLength;
+  return seconds(now.time_since_epoch() - slotStart);
 }
 
 }  // namespace merlinbridge::policy
--- a/src/policy/counter_exchange.hpp
+++ b/src/policy/counter_exchange.hpp
@@ -1,66 +1,71 @@
 #pragma once
 
 #include <deque>
-#include <functional>
 #include <map>
 
+#include "policy/counter_health.hpp"
 #include "policy/customer_state.hpp"
 #include "policy/engine_context.hpp"
-#include "policy/state_notice.hpp"
 #include "util/call_pacer.hpp"
 
 namespace merlinbridge::policy {
 
 /// Decides when a customer's units are exchanged with the counter service: one call a round for each customer
-/// that sends requests, paced by how the service answers (additive increase, multiplicative decrease), and
-/// quotas divided among the gateways while it is silent.
+/// that sends requests, at a pace that follows how the service answers (additive increase, multiplicative
+/// decrease). While the service is unreachable, customers' quotas are divided among the gateways. Called for
+/// each request of a customer, at the end of each call, and by its own timers.
 class CounterExchange {
  public:
+  /// The context must outlive this object.
   explicit CounterExchange(EngineContext& context);
 
   /// Seconds over which a customer's use is remembered.
   static double lookBack(const PolicySettings& settings);
 
-  /// Brings a customer's bucket and ceiling up to now; divides the quota while the service is silent.
+  /// Brings the customer's quota bucket and ceiling up to now, and divides the quota while the service is
+  /// unreachable.
   void refill(CustomerState& customer) const;
-  /// A request has come: the customer gets a round, now or when its last one is over.
+
+  /// A request of the customer has arrived: its units are exchanged now, or when the customer's last round is
+  /// over. The customer must not be destroyed before idle() is true.
   void schedule(CustomerState& customer);
-  /// A call has ended. `total`: of that count, where `end` is ok. `took`: the call's duration.
-  void callEnded(const CounterKey& name, CounterCallOutcome end, double total, Duration took);
-  /// Nothing of that customer waits for the service.
-  static bool idle(const CustomerState& customer) {
-    return !customer.round.callInFlight && !customer.round.queued;
-  }
+
+  /// A call has ended. `total`: of the count after the call, where `outcome` is ok. `duration`: of the call.
+  void callEnded(const CounterKey& key, CounterCallOutcome outcome, double total, Duration duration);
+
+  /// Whether nothing of that customer waits for the counter service.
+  static bool idle(const CustomerState& customer);
 
  private:
-  /// Called once, when the call ends.
-  using CallEnded = std::function<void(CounterCallOutcome, double total)>;
+  /// A call that has not ended, by its key: a customer has one at most.
+  struct CallInFlight {
+    CustomerState* customer;
+    double units;  ///< That the call is to add.
+  };
 
-  Duration roundTime() const;
-  /// All calls of three rounds have failed: no customer need find it out on its own.
-  bool silent() const;
-  void enqueue(CustomerState& customer) {
-    queue_.push_back(&customer);
-    drainQueue();
-  }
-  /// Paces the calls against a crowded, slow or silent service. Costs fresh totals for a moment when the
-  /// service is back, until the pace has grown again.
+  /// Puts the customer, whose round is over, at the end of the queue.
+  void enqueue(CustomerState& customer);
+  /// Starts the calls of queued customers while the pace allows, so that the gateways do not press a crowded
+  /// or slow service. The cost is stale totals for a moment when the service is back, until the pace has
+  /// grown again.
   void drainQueue();
-  /// One call a round. A slot's last total is not read when the slot turns, nor the slot before for a new
-  /// customer: a busy service must not fill up with calls that only read. Costs accuracy right after a
-  /// turn.
+  void startDueCalls();
+  /// Starts the one call of the customer's round. The last total of a slot is not read when the slot turns,
+  /// nor the slot before for a new customer: a busy service must not fill up with calls that only read. The
+  /// cost is accuracy right after a turn.
   void startCall(CustomerState& customer);
-  void finishCall(CustomerState& customer, SlotId slot, double units, CounterCallOutcome end, double total);
-  void adjustPace(CounterCallOutcome end, Duration took);
+  void finishCall(const CallInFlight& call, SlotId slot, CounterCallOutcome outcome, double total);
+  /// Raises the pace after a quick answer, and cuts it after a late one or none.
+  void adjustPace(CounterCallOutcome outcome, Duration duration);
+  /// The counter timeout in seconds, above 0: the period that the pace counts calls in.
+  double paceSeconds() const;
 
   EngineContext& context_;
-  std::map<CounterKey, std::deque<CallEnded>> callsInFlight_;
+  std::map<CounterKey, CallInFlight> callsInFlight_;
   std::deque<CustomerState*> queue_;  ///< Customers whose round is due.
-  util::CallPacer pacer_;             ///< Calls in one counter timeout.
-  TimePoint lastSuccessAt_;
-  int failuresInRow_ = 0;
-  bool drainScheduled_ = false;
-  StateNotice silenceNotice_;
+  util::CallPacer pacer_;             ///< In calls per counter timeout.
+  bool drainScheduled_ = false;       ///< Whether a timer will call drainQueue().
+  CounterHealth health_;
 };
 
 }  // namespace merlinbridge::policy
--- /dev/null
+++ b/src/policy/counter_health.cpp
@@ -0,0 +1,45 @@
+#include "policy/counter_health.hpp"
+
+#include "policy/count_slot.hpp"
+
+namespace merlinbridge::policy {
+namespace {
+
+/// Length of a round, in counter timeouts.
+constexpr double kRoundTimeouts = 2.0;
+
+/// Rounds, and calls in a row, that must have failed. The source design's value.
+constexpr int kUnreachableAfterFailures = 3;
+
+}  // namespace
+
+CounterHealth::CounterHealth(EngineContext& context)
+    : context_(context),
+      lastSuccessAt_(context.startedAt),
+      notice_(EngineEvent::counterUnreachable, EngineEvent::counterRestored, slotLength()) {}
+
+Duration CounterHealth::roundLength(const PolicySettings& settings) {
+  return scaled(settings.counterTimeout, kRoundTimeouts);
+}
+
+bool CounterHealth::unreachableAfter(int failedRounds) {
+  return failedRounds >= kUnreachableAfterFailures;
+}
+
+void CounterHealth::recordCall(CounterCallOutcome outcome) {
+  if (outcome == CounterCallOutcome::ok) {
+    failuresInRow_ = 0;
+    lastSuccessAt_ = context_.now;
+  } else {
+    ++failuresInRow_;
+  }
+  notice_.set(unreachable(), context_.now, context_.sink);
+}
+
+bool CounterHealth::unreachable() const {
+  const Duration sinceSuccess = context_.now - lastSuccessAt_;
+  return failuresInRow_ >= kUnreachableAfterFailures &&
+         sinceSuccess > kUnreachableAfterFailures * roundLength(context_.settings);
+}
+
+}  // namespace merlinbridge::policy
--- /dev/null
+++ b/src/policy/customer_state.cpp
@@ -0,0 +1,16 @@
+#include "policy/customer_state.hpp"
+
+#include "policy/counter_exchange.hpp"
+
+namespace merlinbridge::policy {
+
+CustomerState::CustomerState(CustomerId customerId, const Plan& customerPlan, double gateways,
+                             const EngineContext& context)
+    : id(customerId),
+      plan(customerPlan),
+      bucket(customerPlan, gateways, context.settings.maxUnits, CounterExchange::lookBack(context.settings),
+             context.now),
+      ceiling(customerPlan, gateways, context.startedAt),
+      concurrency(customerPlan, gateways) {}
+
+}  // namespace merlinbridge::policy
--- a/src/policy/customer_state.hpp
+++ b/src/policy/customer_state.hpp
@@ -1,29 +1,36 @@
 #pragma once
 
 #include "policy/concurrency_limit.hpp"
+#include "policy/engine_context.hpp"
 #include "policy/hard_ceiling.hpp"
 #include "policy/quota_bucket.hpp"
 
 namespace merlinbridge::policy {
 
-/// Where a customer stands with the counter service. Owned by CounterExchange; nobody else changes it.
+/// Where a customer is in the exchange with the counter service. Changed by CounterExchange alone.
 struct CounterRound {
-  bool callInFlight = false;
-  bool queued = false;  ///< Waits for its turn, or for the round to be over.
-  bool wanted = false;  ///< The customer has sent requests since the last call.
-  int failedInRow = 0;  ///< Rounds.
-  TimePoint startedAt{};
+  /// idle -> queued when the customer sends a request; queued -> callInFlight when the pace allows the call;
+  /// callInFlight -> idle when the call ends, and on to queued where requests came meanwhile or the call
+  /// failed.
+  enum class State {
+    idle,         ///< Nothing of the customer waits for the counter service.
+    queued,       ///< Waits for the round to be over, or for its turn under the pace.
+    callInFlight  ///< A call to the counter service has not ended.
+  };
+
+  State state = State::idle;
+  bool requestedSinceCall = false;  ///< Whether the customer has sent requests since the last call started.
+  int failedInRow = 0;              ///< Rounds whose call failed, since the last one that did not.
+  TimePoint startedAt{};            ///< Start of the round: of its call.
 };
 
-/// All that one gateway keeps about one customer. The plan must outlive it.
+/// All that one gateway keeps about one customer: its limits, and its place in the exchange with the counter
+/// service. The limits are classes of their own; this is what holds them together.
 struct CustomerState {
-  CustomerState(CustomerId customerId, const Plan& customerPlan, double gateways, double maxUnits,
-                double lookBack, TimePoint startedAt, TimePoint now)
-      : id(customerId),
-        plan(customerPlan),
-        bucket(customerPlan, gateways, maxUnits, lookBack, now),
-        ceiling(customerPlan, gateways, startedAt),
-        concurrency(customerPlan, gateways) {}
+  /// `gateways`: how many the customer's requests come through, at least 1. The plan must outlive this
+  /// object.
+  CustomerState(CustomerId customerId, const Plan& customerPlan, double gateways,
+                const EngineContext& context);
 
   const CustomerId id;
   const Plan& plan;
@@ -31,7 +38,7 @@
   HardCeiling ceiling;
   ConcurrencyLimit concurrency;
   CounterRound round;
-  TimePoint lastSeen{};
+  TimePoint lastSeen{};  ///< Arrival of the customer's last request.
 };
 
 }  // namespace merlinbridge::policy
--- a/src/policy/decision_engine.cpp
+++ b/src/policy/decision_engine.cpp
@@ -1,6 +1,8 @@
+#include "policy_api/decision_engine.hpp"
+
 #include <algorithm>
+#include <utility>
 
-#include "policy/count_slot.hpp"
 #include "policy/engine_impl.hpp"
 
 namespace merlinbridge {
@@ -9,58 +11,65 @@
 
 namespace {
 
+/// Time between sweeps. Also the Retry-After of a request that no host may be sent.
 constexpr Duration kSweepInterval = std::chrono::milliseconds(50);
 
 }  // namespace
 
-void DecisionEngine::Impl::updateHosts(const std::vector<HostUpdate>& updates, bool complete) {
-  if (complete) hosts_.retainOnly(updates);
-  for (const HostUpdate& update : updates) {
-    const bool fresh = hosts_.update(update);
-    statistics_.add(update.host);
-    outliers_.add(update.host);
-    slowStart_.add(update.host);
-    selection_.add(update.host);
-    if (!fresh) continue;
-    statistics_.reset(update.host);
-    outliers_.reset(update.host);
-    selection_.reset(update.host);
-  }
+DecisionEngine::Impl::Impl(PolicySettings settings, std::uint64_t seed, TimePoint now, DecisionSink& sink)
+    : context_(std::move(settings), seed, now, sink) {}
+
+void DecisionEngine::Impl::advanceTo(TimePoint now) {
+  context_.now = now;
 }
 
-CustomerState& DecisionEngine::Impl::customerOf(const Request& request) {
-  const PolicySettings& settings = context_.settings;
-  const std::uint32_t gateways = std::clamp(request.gateways, 1u, std::max(1u, settings.gateways));
-  const auto [found, isNew] = customers_.try_emplace(
-      request.customer, request.customer, settings.plans[request.plan.value], gateways, settings.maxUnits,
-      CounterExchange::lookBack(settings), context_.startedAt, context_.now);
-  found->second.lastSeen = context_.now;
-  return found->second;
+void DecisionEngine::Impl::updateAllHosts(const std::vector<HostUpdate>& updates) {
+  hosts_.retainOnly(updates);
+  updateHosts(updates);
+}
+
+void DecisionEngine::Impl::updateHosts(const std::vector<HostUpdate>& updates) {
+  for (const HostUpdate& update : updates) updateHost(update);
+}
+
+void DecisionEngine::Impl::updateHost(const HostUpdate& update) {
+  const bool isFresh = hosts_.update(update);
+  statistics_.add(update.host);
+  outliers_.add(update.host);
+  slowStart_.add(update.host);
+  selection_.add(update.host);
+  if (!isFresh) return;
+  statistics_.reset(update.host);
+  outliers_.reset(update.host);
+  selection_.reset(update.host);
 }
 
 void DecisionEngine::Impl::admit(const Request& request) {
-  CustomerState& customer = customerOf(request);
+  CustomerState& customer = customers_.customerOf(request);
   exchange_.refill(customer);
   exchange_.schedule(customer);
-  const QuotaBucket& bucket = customer.bucket;
-  if (!bucket.admits(context_.now, request.units, context_.random))
-    return reject(request, bucket.secondsUntil(request.units));
-  if (!customer.concurrency.admits(bucket.share(), bucket.othersRate(), context_.random))
-    return reject(request, statistics_.meanLatency());
-  if (!customer.ceiling.admits(request.units))
-    return reject(request, customer.ceiling.secondsUntil(request.units));
+  if (const auto retryAfter = exceededLimit(request, customer)) return reject(request, *retryAfter);
   if (!shedding_.admits(request)) return shed(request, statistics_.meanLatency());
-  const auto [added, isNew] =
-      requests_.emplace(request.requestId.value, RequestInFlight{request, context_.now, &customer});
-  if (!startAttempt(added->second)) {
+  RequestInFlight& added = requests_.add(request, context_.now, customer);
+  if (!startAttempt(added)) {
     shed(request, seconds(kSweepInterval));
-    requests_.erase(request.requestId.value);
+    requests_.remove(request.requestId);
     return;
   }
   customer.ceiling.spend(request.units);
   customer.bucket.spend(request.units);
 }
 
+std::optional<double> DecisionEngine::Impl::exceededLimit(const Request& request,
+                                                          const CustomerState& customer) {
+  const QuotaBucket& bucket = customer.bucket;
+  if (!bucket.admits(context_.now, request.units, context_.random)) return bucket.secondsUntil(request.units);
+  if (!customer.concurrency.admits(bucket.share(), bucket.othersRate(), context_.random))
+    return statistics_.meanLatency();
+  if (!customer.ceiling.admits(request.units)) return customer.ceiling.secondsUntil(request.units);
+  return std::nullopt;
+}
+
 void DecisionEngine::Impl::reject(const Request& request, double retryAfterSeconds) {
   const PolicySettings& settings = context_.settings;
   const Duration retryAfter = std::clamp(durationOf(retryAfterSeconds), Duration{0}, settings.maxRetryAfter);
@@ -69,37 +78,42 @@
 
 void DecisionEngine::Impl::shed(const Request& request, double retryAfterSeconds) {
   shedding_.recordShed();
-  scheduleSweep(kSweepInterval);
+  scheduleSweep();
   reject(request, retryAfterSeconds);
 }
 
-bool DecisionEngine::Impl::startAttempt(RequestInFlight& request) {
-  const auto host = selection_.select(request.request, [&](HostId candidate) {
-    const bool sameAgain = !request.attempts.empty() && request.attempts.back().host == candidate;
+std::optional<HostId> DecisionEngine::Impl::selectHost(const RequestInFlight& request) {
+  return selection_.select(request.request, [&](HostId candidate) {
+    const bool sameAgain = !request.attempts.empty() && request.attempts.back().host() == candidate;
     return !sameAgain && retries_.allowsHost(request, candidate);
   });
+}
+
+bool DecisionEngine::Impl::startAttempt(RequestInFlight& request) {
+  const auto host = selectHost(request);
   if (!host) return false;
-  const std::size_t number = request.attempts.size();
-  request.attempts.push_back({*host, context_.now, [this, &request, number](const AttemptResult& result) {
-                                finishAttempt(request, number, result);
-                              }});
+  const auto kind =
+      request.attempts.empty() ? RetryPolicy::AttemptKind::first : RetryPolicy::AttemptKind::further;
+  request.attempts.emplace_back(*host, context_.now);
   request.customer->concurrency.attemptStarted();
   statistics_.attemptStarted(*host);
   slowStart_.spend(*host, request.request.units);
-  retries_.attemptStarted(number == 0);
-  attemptsByStart_.push_back({request.request.requestId.value, number});
-  context_.sink.startAttempt(request.request.requestId, *host,
-                             {request.request.deadline, retries_.writeDeadline(request)});
-  scheduleSweep(kSweepInterval);
+  retries_.attemptStarted(kind);
+  requests_.attemptStarted(request);
+  const AttemptDeadline deadline{request.request.deadline, retries_.writeDeadline(request)};
+  context_.sink.startAttempt(request.request.requestId, *host, deadline);
+  scheduleSweep();
   return true;
 }
 
-void DecisionEngine::Impl::finishAttempt(RequestInFlight& request, std::size_t number,
-                                         const AttemptResult& result) {
-  Attempt& attempt = request.attempts[number];
-  attempt.inFlight = false;
-  attempt.mayHaveRun = result.outcome != Outcome::rejected && result.outcome != Outcome::noConnection &&
-                       result.outcome != Outcome::notSent;
+void DecisionEngine::Impl::endAttempt(const AttemptResult& result) {
+  RequestInFlight* const request = requests_.find(result.requestId);
+  if (request == nullptr || result.attemptNumber.value >= request->attempts.size()) return;
+  if (request->attempts[result.attemptNumber.value].inFlight()) finishAttempt(*request, result);
+}
+
+void DecisionEngine::Impl::finishAttempt(RequestInFlight& request, const AttemptResult& result) {
+  request.attempts[result.attemptNumber.value].end(result.outcome);
   request.customer->concurrency.attemptEnded();
   statistics_.attemptEnded(result.host);
   learnFrom(result, request);
@@ -108,7 +122,7 @@
   const bool retried = !request.answered && retries_.allowsRetry(request) && startAttempt(request);
   if (request.hasAttemptInFlight()) return;
   if (!request.answered && !retried) giveUp(request);
-  requests_.erase(request.request.requestId.value);
+  requests_.remove(request.request.requestId);
 }
 
 void DecisionEngine::Impl::learnFrom(const AttemptResult& result, const RequestInFlight& request) {
@@ -118,10 +132,10 @@
     outliers_.recordUnreachable(result.host);
   if (result.outcome != Outcome::ok) return;
   outliers_.recordAnswer(result.host);
-  if (result.load.inFlight && result.load.answersPerSecond) {
+  if (const auto load = usableLoad(result.load)) {
     const Method& method = context_.settings.methods[request.request.method.value];
-    shedding_.recordLoad(result.load, method);
-    outliers_.recordLoad(result.host, result.load, method);
+    shedding_.recordLoad(*load, method);
+    outliers_.recordLoad(result.host, *load, method);
   }
   slowStart_.recordAnswer(result.host, request.request.units);
 }
@@ -129,8 +143,8 @@
 void DecisionEngine::Impl::account(const AttemptResult& result, const RequestInFlight& request) {
   CustomerState& customer = *request.customer;
   if (ConcurrencyLimit::publishesUsage(customer.plan)) customer.bucket.recordUse(seconds(result.took));
-  if (result.outcome == Outcome::ok && result.trueUnits > 0)
-    customer.bucket.correct(result.trueUnits - request.request.units);
+  const bool statesTrueUnits = result.outcome == Outcome::ok && result.trueUnits > 0;
+  if (statesTrueUnits) customer.bucket.correct(result.trueUnits - request.request.units);
 }
 
 void DecisionEngine::Impl::giveUp(RequestInFlight& request) {
@@ -139,46 +153,51 @@
   context_.sink.fail(request.request.requestId);
 }
 
-void DecisionEngine::Impl::handleOverdue(RequestInFlight& request, std::size_t number) {
-  const Attempt& attempt = request.attempts[number];
-  statistics_.recordOverdue(attempt.host, context_.now - attempt.startedAt);
-  if (request.answered || !retries_.allowsHedge(request)) return;
-  if (context_.settings.allowHedging)
-    startAttempt(request);
-  else if (context_.settings.allowCancel)
-    context_.sink.cancel(request.request.requestId, {static_cast<std::uint32_t>(number)});
+void DecisionEngine::Impl::endClient(RequestId id) {
+  if (RequestInFlight* const request = requests_.find(id)) request->answered = true;
+}
+
+void DecisionEngine::Impl::endCounterCall(const CounterKey& key, CounterCallOutcome outcome, double total,
+                                          Duration duration) {
+  exchange_.callEnded(key, outcome, total, duration);
+}
+
+void DecisionEngine::Impl::fire(TimerId timer) {
+  context_.timers.fire(timer);
+}
+
+void DecisionEngine::Impl::scheduleSweep() {
+  if (sweepScheduled_) return;
+  sweepScheduled_ = true;
+  context_.runAt(context_.now + kSweepInterval, [this] {
+    sweepScheduled_ = false;
+    sweep();
+  });
 }
 
 void DecisionEngine::Impl::sweep() {
-  sweepAttempts();
+  requests_.sweepAttempts(
+      [this](RequestInFlight& request, AttemptNumber number) { return checkAttempt(request, number); });
   shedding_.sweep();
-  forgetIdleCustomers();
-  if (statistics_.inFlight() > 0 || shedding_.active()) scheduleSweep(kSweepInterval);
-}
-
-void DecisionEngine::Impl::sweepAttempts() {
-  for (std::size_t left = attemptsByStart_.size(); left > 0; --left) {
-    const AttemptRef ref = attemptsByStart_.front();
-    attemptsByStart_.pop_front();
-    const auto found = requests_.find(ref.request);
-    if (found == requests_.end()) continue;
-    const Attempt& attempt = found->second.attempts[ref.number];
-    if (!attempt.inFlight) continue;
-    if (statistics_.overdue(attempt.host, attempt.startedAt))
-      handleOverdue(found->second, ref.number);
-    else
-      attemptsByStart_.push_back(ref);
-  }
+  customers_.sweep();
+  if (statistics_.inFlight() > 0 || shedding_.active()) scheduleSweep();
 }
 
-void DecisionEngine::Impl::forgetIdleCustomers() {
-  if (context_.now - customersSweptAt_ <= slotLength()) return;
-  customersSweptAt_ = context_.now;
-  std::erase_if(customers_, [this](const auto& entry) {
-    const CustomerState& customer = entry.second;
-    return CounterExchange::idle(customer) && customer.concurrency.idle() &&
-           context_.now - customer.lastSeen > countRetention();
-  });
+RequestTable::Check DecisionEngine::Impl::checkAttempt(RequestInFlight& request, AttemptNumber number) {
+  const Attempt& attempt = request.attempts[number.value];
+  if (!statistics_.overdue(attempt.host(), attempt.startedAt())) return RequestTable::Check::again;
+  handleOverdue(request, number);
+  return RequestTable::Check::done;
+}
+
+void DecisionEngine::Impl::handleOverdue(RequestInFlight& request, AttemptNumber number) {
+  const Attempt& attempt = request.attempts[number.value];
+  statistics_.recordOverdue(attempt.host(), context_.now - attempt.startedAt());
+  if (request.answered || !retries_.allowsHedge(request)) return;
+  if (context_.settings.allowHedging)
+    startAttempt(request);
+  else if (context_.settings.allowCancel)
+    context_.sink.cancel(request.request.requestId, number);
 }
 
 }  // namespace merlinbridge
--- a/src/policy/engine_context.hpp
+++ b/src/policy/engine_context.hpp
@@ -1,23 +1,22 @@
 #pragma once
 
-#include <algorithm>
-#include <utility>
-
 #include "policy_api/decision_engine.hpp"
 #include "util/random_source.hpp"
 #include "util/timer_table.hpp"
 
 namespace merlinbridge::policy {
 
-/// What all parts of one engine share. The engine sets `now` before it hands an input on.
+/// What all parts of one engine share: settings, time, random draws, timers and the sink. The engine sets
+/// `now` before it hands an input on; the parts only read it.
 struct EngineContext {
-  EngineContext(PolicySettings policySettings, std::uint64_t seed, TimePoint startTime, DecisionSink& out)
-      : settings(std::move(policySettings)), startedAt(startTime), now(startTime), random(seed), sink(out) {}
+  /// `seed` determines all random draws. `startTime`: start of this gateway process. The sink must outlive
+  /// the context.
+  EngineContext(PolicySettings policySettings, std::uint64_t seed, TimePoint startTime,
+                DecisionSink& decisionSink);
 
-  /// Runs the callback at that time, or as soon as possible where it has passed.
-  void runAt(TimePoint at, util::TimerTable::Callback callback) {
-    sink.wakeAt(std::max(at, now), timers.add(std::move(callback)));
-  }
+  /// Runs the callback at that time, or as soon as possible where it has passed. The callback runs once,
+  /// while the engine handles the timer's input; what it captures must live until then.
+  void runAt(TimePoint at, util::TimerTable::Callback callback);
 
   const PolicySettings settings;
   const TimePoint startedAt;  ///< Of this gateway process.
--- a/src/policy/engine_impl.hpp
+++ b/src/policy/engine_impl.hpp
@@ -1,74 +1,67 @@
 #pragma once
 
-#include <deque>
-#include <map>
-#include <unordered_map>
-#include <utility>
+#include <optional>
 
 #include "policy/counter_exchange.hpp"
+#include "policy/customer_table.hpp"
 #include "policy/host_selection.hpp"
 #include "policy/load_shedding.hpp"
+#include "policy/request_table.hpp"
 #include "policy/retry_policy.hpp"
 
 namespace merlinbridge {
 
 /// Decides the order of the checks for a request, and hands every event on to the parts that learn from it.
-/// Owns all parts; the order of the members is the order in which they need each other.
+/// Owns all parts; the order of the members is the order in which they need each other. Each public function
+/// but advanceTo() handles one input of DecisionEngine, after advanceTo() has set its time.
 class DecisionEngine::Impl {
  public:
-  Impl(PolicySettings settings, std::uint64_t seed, TimePoint now, DecisionSink& sink)
-      : context_(std::move(settings), seed, now, sink) {}
+  Impl(PolicySettings settings, std::uint64_t seed, TimePoint now, DecisionSink& sink);
 
-  void advanceTo(TimePoint now) { context_.now = now; }
-  void updateHosts(const std::vector<HostUpdate>& updates, bool complete);
-  /// Quota first, then the limits that need no counter, then the hosts' utilization.
+  /// Sets the time of the input that is handled next.
+  void advanceTo(TimePoint now);
+
+  void updateHosts(const std::vector<HostUpdate>& updates);
+  void updateAllHosts(const std::vector<HostUpdate>& updates);
   void admit(const Request& request);
-  void endAttempt(const AttemptResult& result) {
-    const auto found = requests_.find(result.requestId.value);
-    if (found == requests_.end() || result.attemptNumber.value >= found->second.attempts.size()) return;
-    const policy::Attempt::Ended ended =
-        std::exchange(found->second.attempts[result.attemptNumber.value].ended, nullptr);
-    if (ended) ended(result);
-  }
-  void endClient(RequestId id) {
-    const auto found = requests_.find(id.value);
-    if (found != requests_.end()) found->second.answered = true;
-  }
-  void endCounterCall(const CounterKey& name, CounterCallOutcome end, double total, Duration took) {
-    exchange_.callEnded(name, end, total, took);
-  }
-  void fire(TimerId timer) { context_.timers.fire(timer); }
+  void endAttempt(const AttemptResult& result);
+  void endClient(RequestId id);
+  void endCounterCall(const CounterKey& key, CounterCallOutcome outcome, double total, Duration duration);
+  void fire(TimerId timer);
 
  private:
-  /// An attempt by the number of its request and its place among that one's attempts.
-  struct AttemptRef {
-    std::uint64_t request;
-    std::size_t number;
-  };
+  void updateHost(const HostUpdate& update);
 
-  policy::CustomerState& customerOf(const Request& request);
+  /// Checks the customer's limits, quota first, then those that need no counter service. Returns the seconds
+  /// until the request may be repeated where one of them rejects it, empty where all admit it.
+  std::optional<double> exceededLimit(const Request& request, const policy::CustomerState& customer);
   void reject(const Request& request, double retryAfterSeconds);
+  /// Rejects the request for lack of capacity.
   void shed(const Request& request, double retryAfterSeconds);
+
+  /// Starts an attempt of the request; false where no host may be sent it now.
   bool startAttempt(policy::RequestInFlight& request);
-  void finishAttempt(policy::RequestInFlight& request, std::size_t number, const AttemptResult& result);
+  std::optional<HostId> selectHost(const policy::RequestInFlight& request);
+  /// Starts a retry where the attempt's end calls for one, and removes the request with its last attempt.
+  void finishAttempt(policy::RequestInFlight& request, const AttemptResult& result);
+  /// Hands the result on to what learns about hosts.
   void learnFrom(const AttemptResult& result, const policy::RequestInFlight& request);
+  /// Corrects the customer's use by what the result states.
   static void account(const AttemptResult& result, const policy::RequestInFlight& request);
+  /// Gives the request its final answer, after its last attempt has ended without one.
   void giveUp(policy::RequestInFlight& request);
-  /// Answers that never come, whatever swallows them: a hedged request where two attempts may be in
-  /// flight, else the attempt is cancelled and its end leads to a retry. Costs work done twice where
-  /// every host is slow.
-  void handleOverdue(policy::RequestInFlight& request, std::size_t number);
-  void scheduleSweep(Duration interval) {
-    if (sweepScheduled_) return;
-    sweepScheduled_ = true;
-    context_.runAt(context_.now + interval, [this] {
-      sweepScheduled_ = false;
-      sweep();
-    });
-  }
+
+  /// Deals with an attempt whose answer is not expected any more, whatever swallowed it: hedges the request
+  /// where two attempts may be in flight, else cancels the attempt, whose end then leads to a retry. The cost
+  /// is work done twice where every host is slow.
+  void handleOverdue(policy::RequestInFlight& request, AttemptNumber number);
+
+  /// Makes sure that a sweep follows within the sweep interval.
+  void scheduleSweep();
+  /// Checks what only time brings about: overdue attempts, changed capacity, idle customers. Repeated while
+  /// attempts are in flight or load is shed.
   void sweep();
-  void sweepAttempts();
-  void forgetIdleCustomers();
+  policy::RequestTable::Check checkAttempt(policy::RequestInFlight& request, AttemptNumber number);
 
   policy::EngineContext context_;
   util::HostTable hosts_;
@@ -79,10 +72,8 @@
   policy::RetryPolicy retries_{context_, hosts_};
   policy::LoadShedding shedding_{context_, hosts_, statistics_, outliers_};
   policy::CounterExchange exchange_{context_};
-  std::map<CustomerId, policy::CustomerState> customers_;
-  TimePoint customersSweptAt_{};
-  std::unordered_map<std::uint64_t, policy::RequestInFlight> requests_;  ///< By id; never iterated.
-  std::deque<AttemptRef> attemptsByStart_;
+  policy::CustomerTable customers_{context_};
+  policy::RequestTable requests_;
   bool sweepScheduled_ = false;
 };
 
--- a/src/policy/host_selection.cpp
+++ b/src/policy/host_selection.cpp
@@ -6,28 +6,51 @@
 namespace merlinbridge::policy {
 namespace {
 
-constexpr double kMaxSpeedWeight =
-    4.0;  // most, and 1 / least, that the square of a host's relative speed counts
+/// Bound of the factor by which a host's relative speed, squared, counts in its weight: from 1 / this to
+/// this.
+constexpr double kMaxSpeedWeight = 4.0;
 
 }  // namespace
 
+HostSelection::HostSelection(EngineContext& context, const util::HostTable& hosts,
+                             const HostStatistics& statistics, const OutlierDetection& outliers,
+                             SlowStart& slowStart)
+    : context_(context), hosts_(hosts), statistics_(statistics), outliers_(outliers), slowStart_(slowStart) {}
+
+void HostSelection::add(HostId host) {
+  if (host.value < credit_.size()) return;
+  credit_.resize(host.value + 1);
+  unplaced_.resize(host.value + 1);
+}
+
+void HostSelection::reset(HostId host) {
+  unplaced_[host.value] = 1;
+}
+
 double HostSelection::weight(HostId host) const {
-  const double ramp = slowStart_.rampFactor(host), speed = statistics_.relativeSpeed(host);
+  const double ramp = slowStart_.rampFactor(host);
+  const double speed = statistics_.relativeSpeed(host);
   return ramp * ramp * std::clamp(speed * speed, 1 / kMaxSpeedWeight, kMaxSpeedWeight);
 }
 
+bool HostSelection::hasFreeCapacity(HostId host, const Method& method) const {
+  const double capacity = std::max(1.0, statistics_.capacity(host, method));
+  return statistics_.inFlight(host) + 1 <= capacity;
+}
+
 bool HostSelection::available(HostId host, const Request& request) {
   const Method& method = context_.settings.methods[request.method.value];
   if (outliers_.ejected(host) || statistics_.unresponsive(host)) return false;
-  if (statistics_.inFlight(host) + 1 > std::max(1.0, statistics_.capacity(host, method))) return false;
+  if (!hasFreeCapacity(host, method)) return false;
   const double trusted = statistics_.successFraction(host, request.method, request.plan);
   return trusted >= 1 || context_.random.bernoulli(trusted);
 }
 
-void HostSelection::creditTurn(HostId host) {
+void HostSelection::addCandidate(HostId host) {
   const double hostWeight = weight(host);
   double& credit = credit_[host.value];
-  if (std::exchange(unplaced_[host.value], 0)) credit = -hosts_.servingCount() * context_.random.uniform01();
+  const bool isUnplaced = std::exchange(unplaced_[host.value], 0) != 0;
+  if (isUnplaced) credit = -hosts_.servingCount() * context_.random.uniform01();
   credit += hostWeight;
   totalWeight_ += hostWeight;
   candidates_.push_back(host);
@@ -38,24 +61,28 @@
   totalWeight_ = 0;
   slowStart_.countWarmHosts();
   forEachHost(hosts_, [&](HostId host) {
-    if (hosts_.serving(host) && allowed(host) && available(host, request)) creditTurn(host);
+    if (hosts_.serving(host) && allowed(host) && available(host, request)) addCandidate(host);
   });
   return takeTurn(request.units);
 }
 
+std::vector<HostId>::iterator HostSelection::highestCredit() {
+  return std::max_element(candidates_.begin(), candidates_.end(),
+                          [this](HostId a, HostId b) { return credit_[a.value] < credit_[b.value]; });
+}
+
 std::optional<HostId> HostSelection::takeTurn(double units) {
   while (!candidates_.empty()) {
-    const auto best = std::max_element(candidates_.begin(), candidates_.end(), [this](HostId a, HostId b) {
-      return credit_[a.value] < credit_[b.value];
-    });
-    const HostId host = *best;
+    const auto next = highestCredit();
+    const HostId host = *next;
     if (slowStart_.admits(host, units)) {
       credit_[host.value] -= totalWeight_;
       return host;
     }
+    // Not a candidate after all: as if the selection had not seen the host.
     credit_[host.value] -= weight(host);
     totalWeight_ -= weight(host);
-    candidates_.erase(best);
+    candidates_.erase(next);
   }
   return std::nullopt;
 }
--- a/src/policy/host_selection.hpp
+++ b/src/policy/host_selection.hpp
@@ -12,49 +12,54 @@
 
 namespace merlinbridge::policy {
 
-/// Picks the host of an attempt: weighted round robin over the hosts that may be sent it.
+/// Decides which host an attempt goes to: weighted round robin over the hosts that serve and may be sent the
+/// request. A host's weight follows its speed and its slow start. Called for each attempt.
+///
+/// Each host has a credit: a selection adds its weight to every candidate, and takes the candidates' total
+/// weight from the one that is chosen, which is the one with the highest credit.
 class HostSelection {
  public:
-  /// Whether the request may go to that host at all; asked once for each host that serves.
+  /// Whether the request may go to that host at all. Asked once in a selection for each host that serves.
   using HostFilter = std::function<bool(HostId)>;
 
+  /// All arguments must outlive this object.
   HostSelection(EngineContext& context, const util::HostTable& hosts, const HostStatistics& statistics,
-                const OutlierDetection& outliers, SlowStart& slowStart)
-      : context_(context),
-        hosts_(hosts),
-        statistics_(statistics),
-        outliers_(outliers),
-        slowStart_(slowStart) {}
-
-  void add(HostId host) {
-    if (host.value < credit_.size()) return;
-    credit_.resize(host.value + 1);
-    unplaced_.resize(host.value + 1);
-  }
+                const OutlierDetection& outliers, SlowStart& slowStart);
+
+  /// Extends the arrays to that host. No effect where it is known.
+  void add(HostId host);
+
   /// The host is new, back or restarted: its place in the rotation is drawn anew.
-  void reset(HostId host) { unplaced_[host.value] = 1; }
-  /// Empty where no host may be sent the request now. Draws at random.
+  void reset(HostId host);
+
+  /// Selects the host of an attempt; empty where no host may be sent the request now. Draws at random.
   std::optional<HostId> select(const Request& request, const HostFilter& allowed);
 
  private:
+  /// The host's weight in the rotation, above 0.
   double weight(HostId host) const;
-  /// Passes over hosts that are ejected, unresponsive or full, and by chance those that fail this kind of
+  /// Whether the host may be sent the request now: not where it is ejected, unresponsive or full, and by
+  /// chance not where it fails this kind of request. Draws at random for a host that has failed this kind of
   /// request.
   bool available(HostId host, const Request& request);
-  /// The place in the rotation is drawn, so that many gateways do not give one host its turn at once:
-  /// this gateway may just have started, or the host.
-  void creditTurn(HostId host);
-  /// A host that warms up and has no budget left keeps its turn until it has.
+  bool hasFreeCapacity(HostId host, const Method& method) const;
+  /// Makes the host a candidate and adds its weight to its credit. Its place in the rotation is drawn the
+  /// first time, so that many gateways do not give one host its turn at once: this gateway may just have
+  /// started, or the host.
+  void addCandidate(HostId host);
+  /// Chooses the candidate with the highest credit that slow start admits. A host that warms up and has no
+  /// budget left keeps its credit, and so its turn, until it has.
   std::optional<HostId> takeTurn(double units);
+  std::vector<HostId>::iterator highestCredit();
 
   EngineContext& context_;
   const util::HostTable& hosts_;
   const HostStatistics& statistics_;
   const OutlierDetection& outliers_;
   SlowStart& slowStart_;
-  std::vector<double> credit_;      ///< By HostId; the highest has the next turn.
-  std::vector<char> unplaced_;      ///< By HostId; has had no turn since it came.
-  std::vector<HostId> candidates_;  ///< Of the present selection.
+  std::vector<double> credit_;      ///< By HostId, in units of weight; the highest has the next turn.
+  std::vector<char> unplaced_;      ///< By HostId; 1: has had no turn since it came.
+  std::vector<HostId> candidates_;  ///< Of the present selection, in ascending order.
   double totalWeight_ = 0;          ///< Of the candidates.
 };
 
--- a/src/policy/host_statistics.cpp
+++ b/src/policy/host_statistics.cpp
@@ -6,89 +6,171 @@
 namespace merlinbridge::policy {
 namespace {
 
-// Weight of one answer in a host's latency; the more the longer ago the last one came, over so many seconds.
-constexpr double kLatencyGain = 0.06, kMaxLatencyGain = 0.3, kLatencySeconds = 10.0;
-constexpr double kMeanLatencyGain = kLatencyGain / 4;  // weight of one answer in the latency of all hosts
-constexpr double kOutcomeSeconds = 20.0;    // time constant of what came of one kind of request at a host
-constexpr double kOutcomePrior = 0.1;       // of a success: what is trusted whatever came
-constexpr double kAnswerSeconds = 4.5;      // time constant of a host's answers
-constexpr double kMinCapacity = 3.0;        // attempts at a host, of all gateways, whatever was seen
-constexpr double kSpareCapacity = 2.0;      // attempts at a host over what it answers, of all gateways
-constexpr double kQueueTime = 0.2;          // of the soft deadline: what may wait at one host
-constexpr double kUnresponsiveAfter = 5.0;  // mean latencies without a sign of a host that owes an answer
-constexpr double kOverdueLimits = 2.0;      // of that time, until what the host owes counts as overdue
+/// Least weight of one answer in its host's latency, 0 to 1.
+constexpr double kLatencyGain = 0.06;
+
+/// Greatest weight of one answer in its host's latency, 0 to 1. Reached where the last answer is long ago.
+constexpr double kMaxLatencyGain = 0.3;
+
+/// Time constant, in seconds, by which the weight of an answer grows with the time since the last one.
+constexpr double kLatencySeconds = 10.0;
+
+/// Weight of one answer in the mean latency of all hosts, 0 to 1.
+constexpr double kMeanLatencyGain = kLatencyGain / 4;
+
+/// Time constant, in seconds, of the outcomes of one kind of request at a host.
+constexpr double kOutcomeSeconds = 20.0;
+
+/// Successes that are counted beside those seen, so that a host that only failed is tried again.
+constexpr double kOutcomePrior = 0.1;
+
+/// Time constant, in seconds, of the answers that are counted for a host's capacity.
+constexpr double kAnswerSeconds = 4.5;
+
+/// Least capacity of a host from its answers: attempts in flight, of all gateways together.
+constexpr double kMinCapacity = 3.0;
+
+/// Attempts in flight that a host may have beyond what its answers allow, of all gateways together.
+constexpr double kSpareCapacity = 2.0;
+
+/// Time for which a request may wait at a host, as a fraction of the method's soft deadline.
+constexpr double kQueueTime = 0.2;
+
+/// Mean latencies without a sign of a host that owes an answer, after which the host is unresponsive.
+constexpr double kUnresponsiveAfter = 5.0;
+
+/// The time after which what a silent host owes is overdue, as a multiple of the time until it is
+/// unresponsive.
+constexpr double kOverdueLimits = 2.0;
 
 }  // namespace
 
+void HostStatistics::add(HostId host) {
+  const std::size_t size = host.value + 1;
+  if (size <= latency_.size()) return;
+  const std::size_t kinds = context_.settings.methods.size() + context_.settings.plans.size();
+  latency_.resize(size);
+  inFlight_.resize(size);
+  heardAt_.resize(size);
+  answers_.resize(size);
+  outcomes_.resize(size, std::vector<Outcomes>(kinds));
+}
+
+void HostStatistics::reset(HostId host) {
+  std::vector<Outcomes>& outcomes = outcomes_[host.value];
+  std::fill(outcomes.begin(), outcomes.end(), Outcomes{});
+  latency_[host.value] = 0;
+  answers_[host.value] = {};
+}
+
+void HostStatistics::attemptStarted(HostId host) {
+  if (inFlight_[host.value] == 0) heardAt_[host.value] = context_.now;
+  ++inFlight_[host.value];
+  ++totalInFlight_;
+}
+
+void HostStatistics::attemptEnded(HostId host) {
+  --inFlight_[host.value];
+  --totalInFlight_;
+}
+
 void HostStatistics::recordOutcome(const Request& request, const AttemptResult& result) {
   const HostId host = result.host;
   const Outcome outcome = result.outcome;
-  const bool ok = outcome == Outcome::ok, rejected = outcome == Outcome::rejected;
-  const auto record = [this](Outcomes& outcomes, bool failed) {
-    (failed ? outcomes.failed : outcomes.succeeded).add(context_.now, kOutcomeSeconds, 1);
-  };
+  const bool ok = outcome == Outcome::ok;
+  const bool rejected = outcome == Outcome::rejected;
   // A rejection goes by the plan, an error or a missing answer by the method.
   if (ok || outcome == Outcome::error || outcome == Outcome::noAnswer)
-    record(outcomesOf(host, request.method), !ok);
-  if (ok || rejected) record(outcomesOf(host, request.plan), rejected);
+    recordKind(outcomesOf(host, request.method), ok);
+  if (ok || rejected) recordKind(outcomesOf(host, request.plan), ok);
   const TimePoint heardBefore = heardAt_[host.value];
-  if (outcome != Outcome::noAnswer && outcome != Outcome::noConnection) heardAt_[host.value] = context_.now;
+  const bool hostWasHeard = outcome != Outcome::noAnswer && outcome != Outcome::noConnection;
+  if (hostWasHeard) heardAt_[host.value] = context_.now;
   if (!ok) return;
   recordLatency(host, seconds(result.took), heardBefore);
   answers_[host.value].add(context_.now, kAnswerSeconds, 1);
   allAnswers_.add(context_.now, kAnswerSeconds, 1);
 }
 
+void HostStatistics::recordKind(Outcomes& outcomes, bool succeeded) const {
+  util::DecayingCounter& counter = succeeded ? outcomes.succeeded : outcomes.failed;
+  counter.add(context_.now, kOutcomeSeconds, 1);
+}
+
 void HostStatistics::recordOverdue(HostId host, Duration elapsed) {
   recordLatency(host, seconds(elapsed), TimePoint{});
 }
 
-void HostStatistics::recordLatency(HostId host, double took, TimePoint heardBefore) {
+void HostStatistics::recordLatency(HostId host, double latencySeconds, TimePoint heardBefore) {
   double& latency = latency_[host.value];
-  if (latency <= 0) latency = meanLatency_ > 0 ? meanLatency_ : took;
+  if (latency <= 0) latency = meanLatency_ > 0 ? meanLatency_ : latencySeconds;
   const double age = seconds(context_.now - heardBefore);
-  latency +=
-      std::clamp(1 - std::exp(-age / kLatencySeconds), kLatencyGain, kMaxLatencyGain) * (took - latency);
-  if (meanLatency_ <= 0) meanLatency_ = took;
-  meanLatency_ += kMeanLatencyGain * (took - meanLatency_);
+  const double gain = std::clamp(1 - std::exp(-age / kLatencySeconds), kLatencyGain, kMaxLatencyGain);
+  latency += gain * (latencySeconds - latency);
+  if (meanLatency_ <= 0) meanLatency_ = latencySeconds;
+  meanLatency_ += kMeanLatencyGain * (latencySeconds - meanLatency_);
+}
+
+double HostStatistics::relativeSpeed(HostId host) const {
+  const double latency = latency_[host.value];
+  return latency > 0 && meanLatency_ > 0 ? meanLatency_ / latency : 1;
 }
 
 bool HostStatistics::silentFor(HostId host, double limits) const {
-  return inFlight_[host.value] > 0 && meanLatency_ > 0 &&
+  const bool owesAnswer = inFlight_[host.value] > 0;
+  return owesAnswer && meanLatency_ > 0 &&
          seconds(context_.now - heardAt_[host.value]) > limits * kUnresponsiveAfter * meanLatency_;
 }
 
+bool HostStatistics::unresponsive(HostId host) const {
+  return silentFor(host, 1);
+}
+
 bool HostStatistics::overdue(HostId host, TimePoint startedAt) const {
-  return silentFor(host, kOverdueLimits) &&
-         seconds(context_.now - startedAt) > kUnresponsiveAfter * meanLatency_;
+  const double elapsed = seconds(context_.now - startedAt);
+  return silentFor(host, kOverdueLimits) && elapsed > kUnresponsiveAfter * meanLatency_;
+}
+
+std::size_t HostStatistics::indexOf(PlanId plan) const {
+  return context_.settings.methods.size() + plan.value;
+}
+
+HostStatistics::Outcomes& HostStatistics::outcomesOf(HostId host, MethodId method) {
+  return outcomes_[host.value][method.value];
+}
+
+HostStatistics::Outcomes& HostStatistics::outcomesOf(HostId host, PlanId plan) {
+  return outcomes_[host.value][indexOf(plan)];
+}
+
+double HostStatistics::successFraction(const Outcomes& outcomes) const {
+  if (!outcomes.failed.hasCounted()) return 1;
+  const double succeeded = outcomes.succeeded.read(context_.now, kOutcomeSeconds) + kOutcomePrior;
+  return succeeded / (succeeded + outcomes.failed.read(context_.now, kOutcomeSeconds));
 }
 
 double HostStatistics::successFraction(HostId host, MethodId method, PlanId plan) const {
-  double fraction = 1;
-  for (const std::size_t kind : {std::size_t{method.value}, context_.settings.methods.size() + plan.value}) {
-    const Outcomes& outcomes = outcomes_[host.value][kind];
-    if (!outcomes.failed.hasCounted()) continue;
-    const double succeeded = outcomes.succeeded.read(context_.now, kOutcomeSeconds) + kOutcomePrior;
-    fraction *= succeeded / (succeeded + outcomes.failed.read(context_.now, kOutcomeSeconds));
-  }
+  const std::vector<Outcomes>& outcomes = outcomes_[host.value];
+  const double fraction = successFraction(outcomes[method.value]) * successFraction(outcomes[indexOf(plan)]);
+  // Squared: trust falls faster than successes do.
   return fraction * fraction;
 }
 
 double HostStatistics::capacity(HostId host, const Method& method) const {
   const double gateways = context_.settings.gateways;
-  const double perSecond = answers_[host.value].read(context_.now, kAnswerSeconds) / kAnswerSeconds;
-  return std::max(kMinCapacity / gateways, perSecond * kQueueTime * seconds(method.softDeadline)) +
-         kSpareCapacity / gateways;
+  const double answersPerSecond = answers_[host.value].read(context_.now, kAnswerSeconds) / kAnswerSeconds;
+  const double answeredInQueueTime = answersPerSecond * kQueueTime * seconds(method.softDeadline);
+  return std::max(kMinCapacity / gateways, answeredInQueueTime) + kSpareCapacity / gateways;
 }
 
 double HostStatistics::totalCapacity(const Method& method, double hosts) const {
   const double queueTime = kQueueTime * seconds(method.softDeadline);
-  const double perSecond = allAnswers_.read(context_.now, kAnswerSeconds) / kAnswerSeconds;
-  return std::max(kMinCapacity * hosts, perSecond * queueTime) + kSpareCapacity * hosts;
+  const double answersPerSecond = allAnswers_.read(context_.now, kAnswerSeconds) / kAnswerSeconds;
+  return std::max(kMinCapacity * hosts, answersPerSecond * queueTime) + kSpareCapacity * hosts;
 }
 
-double HostStatistics::reportedCapacity(double perSecond, const Method& method) {
-  return perSecond * kQueueTime * seconds(method.softDeadline) + kSpareCapacity;
+double HostStatistics::reportedCapacity(double answersPerSecond, const Method& method) {
+  return answersPerSecond * kQueueTime * seconds(method.softDeadline) + kSpareCapacity;
 }
 
 }  // namespace merlinbridge::policy
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -8,24 +8,52 @@
 namespace merlinbridge::policy {
 namespace {
 
-constexpr double kEjectionTimeouts = 4.0;    // first ejection of an unreachable host, in connect timeouts
-constexpr double kMaxEjectionFactor = 32.0;  // of that: the ejection doubles at each failure in a row
-constexpr double kMinJitter = 0.5;           // the ejection is drawn from 0.5 to 1.5 of its length
-constexpr double kMinRate = 1e-3;            // answers per second
+/// First ejection of an unreachable host, in connect timeouts. It doubles at each failure in a row.
+constexpr double kEjectionTimeouts = 4.0;
+
+/// The longest ejection of an unreachable host, as a multiple of the first.
+constexpr double kMaxEjectionFactor = 32.0;
+
+/// An ejection is drawn from this factor to this factor plus 1 of its length, so that gateways do not come
+/// back at once.
+constexpr double kMinJitter = 0.5;
 
 }  // namespace
 
+void OutlierDetection::add(HostId host) {
+  if (host.value < ejectedUntil_.size()) return;
+  ejectedUntil_.resize(host.value + 1);
+  unreachableInRow_.resize(host.value + 1);
+}
+
+void OutlierDetection::reset(HostId host) {
+  ejectedUntil_[host.value] = TimePoint{};
+  unreachableInRow_[host.value] = 0;
+}
+
 void OutlierDetection::recordUnreachable(HostId host) {
-  const double backoff = std::min(kMaxEjectionFactor, std::exp2(unreachableInRow_[host.value]++));
+  int& failures = unreachableInRow_[host.value];
+  const double backoff = std::min(kMaxEjectionFactor, std::exp2(failures));
+  ++failures;
   const double factor = backoff * (kMinJitter + context_.random.uniform01());
   eject(host, scaled(context_.settings.connectTimeout, kEjectionTimeouts * factor));
 }
 
-void OutlierDetection::recordLoad(HostId host, const LoadReport& load, const Method& method) {
-  const double held = std::max(0.0, *load.inFlight), rate = std::max(kMinRate, *load.answersPerSecond);
-  if (load.queued.value_or(0) <= 0 || held <= rate * seconds(method.softDeadline)) return;
-  const double turns = std::max(held, double(context_.settings.gateways));
-  eject(host, durationOf(std::min(seconds(countRetention()), turns / rate)));
+void OutlierDetection::recordAnswer(HostId host) {
+  unreachableInRow_[host.value] = 0;
+}
+
+void OutlierDetection::recordLoad(HostId host, const ReportedLoad& load, const Method& method) {
+  const double answeredInTime = load.answersPerSecond * seconds(method.softDeadline);
+  if (load.queued <= 0 || load.inFlight <= answeredInTime) return;
+  const double answersToWaitFor = std::max(load.inFlight, double(context_.settings.gateways));
+  const double longest = seconds(countRetention());
+  eject(host, durationOf(std::min(longest, answersToWaitFor / load.answersPerSecond)));
+}
+
+void OutlierDetection::eject(HostId host, Duration time) {
+  TimePoint& until = ejectedUntil_[host.value];
+  until = std::max(until, context_.now + time);
 }
 
 }  // namespace merlinbridge::policy
--- a/src/policy/outlier_detection.hpp
+++ b/src/policy/outlier_detection.hpp
@@ -1,48 +1,52 @@
 #pragma once
 
-#include <algorithm>
 #include <vector>
 
 #include "policy/engine_context.hpp"
+#include "policy/reported_load.hpp"
 
 namespace merlinbridge::policy {
 
-/// Ejects hosts for a while: those that cannot be reached, and those that report a jam.
+/// Decides which hosts are ejected (sent nothing) for a while: those that cannot be reached, with exponential
+/// backoff, and those that report a queue that they cannot answer in time. Told the end of each attempt;
+/// asked at each selection of a host and at each sweep of load shedding.
+///
+/// Figures are parallel arrays by HostId. add() comes before any other use of a host.
 class OutlierDetection {
  public:
+  /// The context must outlive this object.
   explicit OutlierDetection(EngineContext& context) : context_(context) {}
 
-  void add(HostId host) {
-    if (host.value < ejectedUntil_.size()) return;
-    ejectedUntil_.resize(host.value + 1);
-    unreachableInRow_.resize(host.value + 1);
-  }
+  /// Extends the arrays to that host. No effect where it is known.
+  void add(HostId host);
+
   /// Forgets what was seen of a host that is new, back or restarted.
-  void reset(HostId host) {
-    ejectedUntil_[host.value] = TimePoint{};
-    unreachableInRow_[host.value] = 0;
-  }
+  void reset(HostId host);
+
+  /// Whether the host is to be sent nothing now.
   bool ejected(HostId host) const { return ejectedUntil_[host.value] > context_.now; }
 
-  /// A connection failed, or was lost under a request. Draws at random once.
-  /// Backs off from hosts that are gone and still listed, which every gateway would find out over and
-  /// over.
+  /// A connection to the host failed, or was lost under a request. Draws at random once.
+  /// Backs off from a host that is gone and still announced, which every gateway would otherwise try again
+  /// and again.
   void recordUnreachable(HostId host);
-  void recordAnswer(HostId host) { unreachableInRow_[host.value] = 0; }
-  /// An answer bore a load report with the requests in flight and the answers per second.
-  /// A jam need not be found out by each gateway: a host that queues more than it answers in a soft
-  /// deadline is ejected until that is done and its rate has this gateway's turn. Costs one that is well
-  /// again at once.
-  void recordLoad(HostId host, const LoadReport& load, const Method& method);
+
+  /// The host has answered: the next ejection starts from the shortest.
+  void recordAnswer(HostId host);
+
+  /// The host has stated its load with an answer.
+  /// A queue need not be found out by each gateway: a host that has more in flight than it answers within the
+  /// soft deadline is ejected until that is done and its rate has this gateway's turn. The cost is that a
+  /// host that recovers early stays ejected.
+  void recordLoad(HostId host, const ReportedLoad& load, const Method& method);
 
  private:
-  void eject(HostId host, Duration time) {
-    ejectedUntil_[host.value] = std::max(ejectedUntil_[host.value], context_.now + time);
-  }
+  /// Ejects the host for at least that time from now.
+  void eject(HostId host, Duration time);
 
   EngineContext& context_;
-  std::vector<TimePoint> ejectedUntil_;  ///< By HostId.
-  std::vector<int> unreachableInRow_;    ///< By HostId.
+  std::vector<TimePoint> ejectedUntil_;  ///< By HostId; in the past: not ejected.
+  std::vector<int> unreachableInRow_;    ///< By HostId: failures since the last answer.
 };
 
 }  // namespace merlinbridge::policy
--- a/src/policy/quota_bucket.cpp
+++ b/src/policy/quota_bucket.cpp
@@ -9,9 +9,18 @@
 namespace merlinbridge::policy {
 namespace {
 
-constexpr double kUseWeight = 0.3;         // of the share of use in a slice; the rest is split evenly
-constexpr double kAnticipatedShare = 0.5;  // of what the others are likely to use before the next total
-constexpr double kTotalTolerance = 1e-3;   // units by which a total may lie under this gateway's own
+/// Weight of this gateway's share of the customer's use in its slice, 0 to 1; the rest of the slice is an
+/// even share.
+constexpr double kUseWeight = 0.3;
+
+/// The fraction of what the other gateways used per second that is taken off the copy before the next total.
+constexpr double kAnticipatedShare = 0.5;
+
+/// Units by which a total may be below what this gateway added itself before the count is taken to be lost.
+/// Covers rounding of sums.
+constexpr double kTotalTolerance = 1e-3;
+
+/// Seconds that a round is taken to have lasted at least, as a divisor.
 constexpr double kMinRoundSeconds = 1e-3;
 
 }  // namespace
@@ -26,37 +35,41 @@
       roundAt_(now) {}
 
 double QuotaBucket::share() const {
-  return known_ && !divided_ ? 1 : 1 / gateways_;
+  return copy_ == Copy::shared ? 1 : 1 / gateways_;
 }
 
 void QuotaBucket::refill(TimePoint now) {
   const double elapsed = seconds(now - refilledAt_);
-  const double sliceRate = plan_.rate * sliceFraction(now);
-  const double othersRate = std::min(plan_.rate * (1 - sliceFraction(now)), kAnticipatedShare * othersRate_);
-  const double taken = share() < 1 ? 0 : othersRate * elapsed;
+  const double slicePart = sliceFraction(now);
+  const double sliceRate = plan_.rate * slicePart;
+  const double anticipatedRate = std::min(plan_.rate * (1 - slicePart), kAnticipatedShare * othersRate_);
+  const double anticipatedUse = share() < 1 ? 0 : anticipatedRate * elapsed;
   // A part of the bucket holds the largest request, though it fills no faster for it.
   const double capacity = std::max(plan_.burst * share(), std::min(plan_.burst, maxUnits_));
-  level_ = std::min(capacity, level_ + plan_.rate * share() * elapsed - taken);
-  slice_ = std::min(plan_.burst * sliceFraction(now), slice_ + sliceRate * elapsed);
-  anticipated_ += taken;
+  level_ = std::min(capacity, level_ + plan_.rate * share() * elapsed - anticipatedUse);
+  slice_ = std::min(plan_.burst * slicePart, slice_ + sliceRate * elapsed);
+  anticipated_ += anticipatedUse;
   refilledAt_ = now;
 }
 
 double QuotaBucket::sliceFraction(TimePoint now) const {
-  const double own = (ownRate_ * lookBack_ + ownUse_) / (lookBack_ + seconds(now - roundAt_));
-  const double all = own + othersRate_, even = 1 / gateways_;
-  return all > 0 ? kUseWeight * own / all + (1 - kUseWeight) * even : even;
+  const double ownRate = (ownRate_ * lookBack_ + ownUse_) / (lookBack_ + seconds(now - roundAt_));
+  const double totalRate = ownRate + othersRate_;
+  const double evenShare = 1 / gateways_;
+  return totalRate > 0 ? kUseWeight * ownRate / totalRate + (1 - kUseWeight) * evenShare : evenShare;
 }
 
 bool QuotaBucket::admits(TimePoint now, double units, util::RandomSource& random) const {
   if (plan_.rate <= 0) return true;
-  // A new customer's first request passes, in silence too: its burst over many gateways may not hold one.
-  if (!known_ && firstOfRound_) return units <= plan_.burst;
-  if (level_ >= units) return firstOfRound_ || share() < 1 || units <= slice_;
+  // A new customer's first request passes, also while the counter service is unreachable: its burst, divided
+  // by many gateways, may not hold one request.
+  if (copy_ != Copy::shared && !admittedInRound_) return units <= plan_.burst;
+  if (level_ >= units) return !admittedInRound_ || share() < 1 || units <= slice_;
   // Where parts are smaller than a request and many gateways see a customer seldom: once the others may have
   // used more than this request since the last total, it passes by the fraction of it that is left.
   const double othersMayHaveUsed = seconds(now - roundAt_) * std::min(othersRate_, plan_.rate);
-  return (share() < 1 || othersMayHaveUsed >= units) && random.bernoulli(level_ / units);
+  const bool levelIsUncertain = share() < 1 || othersMayHaveUsed >= units;
+  return levelIsUncertain && random.bernoulli(level_ / units);
 }
 
 void QuotaBucket::spend(double units) {
@@ -64,7 +77,7 @@
   level_ -= units;
   slice_ -= units;
   recordUse(units);
-  firstOfRound_ = false;
+  admittedInRound_ = true;
 }
 
 void QuotaBucket::correct(double extraUnits) {
@@ -73,60 +86,87 @@
   unpublished_ += extraUnits;
 }
 
+void QuotaBucket::recordUse(double units) {
+  unpublished_ += units;
+  ownUse_ += units;
+}
+
+double QuotaBucket::secondsUntil(double units) const {
+  if (plan_.rate <= 0) return 0;
+  return std::max(0.0, units - level_) / plan_.rate;
+}
+
 void QuotaBucket::divide() {
-  if (divided_) return;
-  if (known_) level_ /= gateways_;
-  divided_ = true;
-  known_ = false;
+  if (copy_ == Copy::divided) return;
+  if (copy_ == Copy::shared) level_ /= gateways_;
+  copy_ = Copy::divided;
 }
 
 double QuotaBucket::takeUnpublished() {
   // What the bucket has refilled since it was divided is not owed any more.
-  if (divided_) unpublished_ = std::min(unpublished_, std::max(0.0, plan_.burst / gateways_ - level_));
+  if (copy_ == Copy::divided) {
+    const double owed = std::max(0.0, plan_.burst / gateways_ - level_);
+    unpublished_ = std::min(unpublished_, owed);
+  }
   return std::exchange(unpublished_, 0);
 }
 
+void QuotaBucket::returnUnpublished(double units) {
+  unpublished_ += units;
+}
+
 void QuotaBucket::applyTotal(TimePoint now, SlotId slot, double units, double total) {
-  known_ ? applyNext(now, slot, units, total) : applyFirst(now, slot, units, total);
+  if (copy_ == Copy::shared)
+    applyNextTotal(now, slot, units, total);
+  else
+    applyFirstTotal(now, slot, units, total);
   endRound(now);
 }
 
-void QuotaBucket::applyNext(TimePoint now, SlotId slot, double units, double total) {
-  if (slot_ != slot) {  // what the slot before got after its last total is taken to be as anticipated
-    const double age = std::max(kMinRoundSeconds, seconds(now - roundAt_));
-    const double unread = std::max(0.0, age - secondsIntoSlot(now, slot));
-    slot_ = slot;
-    ownInSlot_ = othersInSlot_ = 0;
-    anticipated_ *= 1 - unread / age;
-    othersUse_ += othersRate_ * unread;
-  }
+void QuotaBucket::applyNextTotal(TimePoint now, SlotId slot, double units, double total) {
+  if (slot_ != slot) enterSlot(now, slot);
   ownInSlot_ += units;
-  if (total < ownInSlot_ - kTotalTolerance) {  // the counter service has lost the count meanwhile
+  const bool countWasLost = total < ownInSlot_ - kTotalTolerance;
+  if (countWasLost) {
     ownInSlot_ = units;
     othersInSlot_ = 0;
   }
-  const double others = std::max(0.0, total - ownInSlot_);
-  const double newUse = std::max(0.0, others - othersInSlot_);
-  othersInSlot_ = others;
-  level_ = std::clamp(level_ + anticipated_ - newUse, -maxUnits_, plan_.burst);
+  const double othersTotal = std::max(0.0, total - ownInSlot_);
+  const double othersNewUse = std::max(0.0, othersTotal - othersInSlot_);
+  othersInSlot_ = othersTotal;
+  level_ = std::clamp(level_ + anticipated_ - othersNewUse, -maxUnits_, plan_.burst);
   anticipated_ = 0;
-  othersUse_ += newUse;
+  othersUse_ += othersNewUse;
+}
+
+void QuotaBucket::enterSlot(TimePoint now, SlotId slot) {
+  // What the other gateways added to the last slot after its last total is never read: it is taken to be as
+  // much as was anticipated, which therefore stays off the level.
+  const double roundSeconds = std::max(kMinRoundSeconds, seconds(now - roundAt_));
+  const double unreadSeconds = std::max(0.0, roundSeconds - secondsIntoSlot(now, slot));
+  slot_ = slot;
+  ownInSlot_ = 0;
+  othersInSlot_ = 0;
+  anticipated_ *= 1 - unreadSeconds / roundSeconds;
+  othersUse_ += othersRate_ * unreadSeconds;
 }
 
-void QuotaBucket::applyFirst(TimePoint now, SlotId slot, double units, double total) {
-  const double inSlot = secondsIntoSlot(now, slot);
-  const double left = std::clamp(plan_.burst - total + plan_.rate * inSlot, 0.0, plan_.burst) - unpublished_;
-  level_ = divided_ ? std::min(left, level_ * gateways_) : left;
-  known_ = true;
-  divided_ = false;
+void QuotaBucket::applyFirstTotal(TimePoint now, SlotId slot, double units, double total) {
+  const double slotSeconds = secondsIntoSlot(now, slot);
+  const double levelOfAllGateways =
+      std::clamp(plan_.burst - total + plan_.rate * slotSeconds, 0.0, plan_.burst);
+  const double left = levelOfAllGateways - unpublished_;
+  level_ = copy_ == Copy::divided ? std::min(left, level_ * gateways_) : left;
+  copy_ = Copy::shared;
   slot_ = slot;
   ownInSlot_ = units;
   othersInSlot_ = std::max(0.0, total - units);
-  anticipated_ = othersUse_ = 0;
+  anticipated_ = 0;
+  othersUse_ = 0;
   // The bucket is taken to have been full when the slot began.
-  const double usedOver = inSlot + (plan_.rate > 0 ? plan_.burst / plan_.rate : 0);
-  ownRate_ = ownUse_ / usedOver;
-  othersRate_ = othersInSlot_ / usedOver;
+  const double secondsOfUse = slotSeconds + (plan_.rate > 0 ? plan_.burst / plan_.rate : 0);
+  ownRate_ = ownUse_ / secondsOfUse;
+  othersRate_ = othersInSlot_ / secondsOfUse;
   ownUse_ = 0;
   roundAt_ = now;
 }
@@ -137,10 +177,11 @@
     ownRate_ += gain * (ownUse_ / elapsed - ownRate_);
     othersRate_ += gain * (othersUse_ / elapsed - othersRate_);
   }
-  ownUse_ = othersUse_ = 0;
+  ownUse_ = 0;
+  othersUse_ = 0;
   roundAt_ = now;
   slice_ = sliceFraction(now) * std::max(0.0, level_);
-  firstOfRound_ = true;
+  admittedInRound_ = false;
 }
 
 }  // namespace merlinbridge::policy
--- a/src/policy/quota_bucket.hpp
+++ b/src/policy/quota_bucket.hpp
@@ -1,79 +1,111 @@
 #pragma once
 
-#include <algorithm>
-
 #include "policy_api/policy_settings.hpp"
 #include "util/random_source.hpp"
 
 namespace merlinbridge::policy {
 
-/// This gateway's copy of one customer's token bucket, and what it knows of the use at the other gateways.
+/// Decides whether a request is within the customer's quota, from this gateway's copy of the customer's token
+/// bucket and from what the counter service told of the use at the other gateways. Asked for each request,
+/// before the other checks. CounterExchange publishes its use and hands it the totals, a round at a time.
+///
 /// Units are what requests cost; for a plan with only a concurrency limit, seconds in flight.
 ///
-/// The copy is *unknown* until the first total of the counter service arrives, *shared* from then on, and
-/// *divided* while the counter service is silent: then this gateway keeps to an even part of the quota.
+/// The *level* is what the copy holds. The *slice* is the part of it that this gateway may admit before the
+/// next round: more than one request of a round must fit both.
 class QuotaBucket {
  public:
-  /// `gateways`: how many the customer's requests come through, at least 1. `lookBack`: seconds over which
-  /// use is remembered.
+  /// `gateways`: how many the customer's requests come through, at least 1. `maxUnits`: the largest cost of a
+  /// request. `lookBack`: seconds over which use is remembered, above 0. The plan must outlive this object.
   QuotaBucket(const Plan& plan, double gateways, double maxUnits, double lookBack, TimePoint now);
 
   /// Brings level and slice up to that time. Call before any decision.
-  /// Between rounds the copy refills by what the others are likely to leave: a bucket that others drain
-  /// as fast as it fills must not look full. Costs a look-back of caution when they stop.
+  /// Between rounds the copy refills by what the other gateways are likely to leave: a bucket that they drain
+  /// as fast as it fills must not look full. The cost is a look-back of caution when they stop.
   void refill(TimePoint now);
-  /// Whether a request of so many units passes. Draws at random only where less is left than it costs.
+
+  /// Whether a request of so many units passes. Always true for a plan without a quota. Draws at random only
+  /// where less is left than the request costs.
   bool admits(TimePoint now, double units, util::RandomSource& random) const;
+
+  /// A request of so many units was admitted.
   void spend(double units);
-  /// A request has turned out to cost so many units more (or, below 0, less) than was spent.
+
+  /// An admitted request turned out to cost so many units more (or, below 0, less) than was spent.
   void correct(double extraUnits);
-  /// Publishes use that spends nothing of this bucket.
-  void recordUse(double units) {
-    unpublished_ += units;
-    ownUse_ += units;
-  }
+
+  /// Publishes use with the next call, without spending it from this bucket.
+  void recordUse(double units);
+
   /// Seconds until the copy holds so many units; 0 for a plan without a quota.
-  double secondsUntil(double units) const {
-    return plan_.rate > 0 ? std::max(0.0, units - level_) / plan_.rate : 0;
-  }
+  double secondsUntil(double units) const;
 
-  /// The part of the quota that this copy stands for: 1, or 1 / gateways while not shared.
+  /// The part of the quota that this copy stands for: 1 while shared, else 1 / gateways.
   double share() const;
+
   /// Units per second used at the other gateways, over the look-back.
   double othersRate() const { return othersRate_; }
-  bool isDivided() const { return divided_; }
+
+  /// Whether this gateway keeps to its even part because the counter service is unreachable.
+  bool isDivided() const { return copy_ == Copy::divided; }
+
+  /// The counter service is unreachable: from now on this gateway keeps to its even part. No effect where
+  /// divided.
   void divide();
 
-  /// Units admitted here and not yet published; they are handed over. Refill first while divided.
+  /// Hands over the units admitted here and not yet published. Refill first while divided.
   double takeUnpublished();
-  /// A call that was to publish them failed. They may have been added all the same: the count is then high.
-  void returnUnpublished(double units) { unpublished_ += units; }
-  /// A round has ended: the count of that slot has `total`, with the units that this call added.
-  /// Refill first. From here on the copy is shared.
+
+  /// A call that was to publish these units failed. They may have been added all the same: the count is then
+  /// high.
+  void returnUnpublished(double units);
+
+  /// A round has ended: the count of that slot has `total`, with the `units` that this call added. Refill
+  /// first. From here on the copy is shared.
   void applyTotal(TimePoint now, SlotId slot, double units, double total);
 
  private:
-  /// The others' use is the total less what this gateway added.
-  void applyNext(TimePoint now, SlotId slot, double units, double total);
-  /// The first total of a customer that was new, or whose quota was divided.
-  void applyFirst(TimePoint now, SlotId slot, double units, double total);
+  /// What the copy stands for. unknown -> shared by applyTotal; unknown, shared -> divided by divide;
+  /// divided -> shared by applyTotal.
+  enum class Copy {
+    unknown,  ///< No total of the counter service has come yet: an even part of the quota.
+    shared,   ///< The whole quota; the use at all gateways is known as of the last total.
+    divided   ///< An even part of the quota, since the counter service is unreachable.
+  };
+
+  void applyFirstTotal(TimePoint now, SlotId slot, double units, double total);
+  void applyNextTotal(TimePoint now, SlotId slot, double units, double total);
+  /// Starts to follow another slot, whose count begins at 0.
+  void enterSlot(TimePoint now, SlotId slot);
   void endRound(TimePoint now);
-  /// The blend of this gateway's share of the customer's use and of an even share.
+  /// The slice as a fraction of the level: a blend of this gateway's share of the customer's use and an even
+  /// share.
   double sliceFraction(TimePoint now) const;
 
   const Plan& plan_;
-  const double gateways_, maxUnits_, lookBack_;
+  const double gateways_;
+  const double maxUnits_;  ///< The largest cost of a request.
+  const double lookBack_;  ///< Seconds over which use is remembered.
+
+  Copy copy_ = Copy::unknown;
   double level_;  ///< Units left in the copy; below 0 after use that came to light late.
-  TimePoint refilledAt_, roundAt_;
-  double slice_ = 0;        ///< Units left of what this gateway may admit in this round.
-  double unpublished_ = 0;  ///< Units.
-  bool firstOfRound_ = true;
-  double ownRate_ = 0, othersRate_ = 0;      ///< Units per second, over the look-back.
-  double ownUse_ = 0, othersUse_ = 0;        ///< Units since the last round.
-  double anticipated_ = 0;                   ///< Of the others' use since then, already off the level.
-  SlotId slot_{-1};                          ///< Of the last total.
-  double ownInSlot_ = 0, othersInSlot_ = 0;  ///< Units in that slot's total.
-  bool known_ = false, divided_ = false;
+  TimePoint refilledAt_;
+  double unpublished_ = 0;  ///< Units admitted here that no call has published.
+
+  TimePoint roundAt_;             ///< End of the last round.
+  double slice_ = 0;              ///< Units that this gateway may still admit in this round.
+  bool admittedInRound_ = false;  ///< Whether a request was admitted since the last round.
+
+  double ownRate_ = 0;     ///< Units per second used here, over the look-back.
+  double ownUse_ = 0;      ///< Units used here since the last round.
+  double othersRate_ = 0;  ///< Units per second used at the other gateways, over the look-back.
+  double othersUse_ = 0;   ///< Units that came to light in this round as used there.
+  double anticipated_ =
+      0;  ///< Units that refill() has taken off the level for use there since the last round.
+
+  SlotId slot_{-1};          ///< The slot of the last total.
+  double ownInSlot_ = 0;     ///< Units of that total that this gateway added.
+  double othersInSlot_ = 0;  ///< Units of that total that the other gateways added.
 };
 
 }  // namespace merlinbridge::policy
--- /dev/null
+++ b/src/policy/request_table.cpp
@@ -0,0 +1,35 @@
+#include "policy/request_table.hpp"
+
+namespace merlinbridge::policy {
+
+RequestInFlight& RequestTable::add(const Request& request, TimePoint arrivedAt, CustomerState& customer) {
+  const auto [added, isNew] =
+      requests_.emplace(request.requestId.value, RequestInFlight{request, arrivedAt, &customer});
+  return added->second;
+}
+
+RequestInFlight* RequestTable::find(RequestId id) {
+  const auto found = requests_.find(id.value);
+  return found == requests_.end() ? nullptr : &found->second;
+}
+
+void RequestTable::remove(RequestId id) {
+  requests_.erase(id.value);
+}
+
+void RequestTable::attemptStarted(const RequestInFlight& request) {
+  const auto last = static_cast<std::uint32_t>(request.attempts.size() - 1);
+  toCheck_.push_back({request.request.requestId, {last}});
+}
+
+void RequestTable::sweepAttempts(const CheckAttempt& check) {
+  for (std::size_t left = toCheck_.size(); left > 0; --left) {
+    const AttemptRef attempt = toCheck_.front();
+    toCheck_.pop_front();
+    RequestInFlight* const request = find(attempt.request);
+    if (request == nullptr || !request->attempts[attempt.number.value].inFlight()) continue;
+    if (check(*request, attempt.number) == Check::again) toCheck_.push_back(attempt);
+  }
+}
+
+}  // namespace merlinbridge::policy
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -5,8 +5,11 @@
 namespace merlinbridge::policy {
 namespace {
 
-constexpr double kRetryFraction = 0.1;  // retries and hedges, of all first attempts
-constexpr double kMaxBudget = 10.0;     // of them at once
+/// Retries and hedged requests that each first attempt adds to the budget.
+constexpr double kRetryFraction = 0.1;
+
+/// The budget's upper bound, and its level at start: retries and hedged requests at once.
+constexpr double kMaxBudget = 10.0;
 
 }  // namespace
 
@@ -19,12 +22,13 @@
 
 Repeat RetryPolicy::repeatOf(const RequestInFlight& request) const {
   const Repeat repeat = methodOf(request).repeat;
-  return repeat == Repeat::deduplicated && !request.request.hasIdempotencyKey ? Repeat::nonIdempotent
-                                                                              : repeat;
+  const bool needsKey = repeat == Repeat::deduplicated;
+  return needsKey && !request.request.hasIdempotencyKey ? Repeat::nonIdempotent : repeat;
 }
 
-void RetryPolicy::attemptStarted(bool first) {
-  budget_ = std::min(kMaxBudget, budget_ + (first ? kRetryFraction : -1));
+void RetryPolicy::attemptStarted(AttemptKind kind) {
+  const double change = kind == AttemptKind::first ? kRetryFraction : -1;
+  budget_ = std::min(kMaxBudget, budget_ + change);
 }
 
 bool RetryPolicy::allowsRetry(const RequestInFlight& request) const {
@@ -42,25 +46,38 @@
   if (repeat == Repeat::idempotent) return true;
   const Method& method = methodOf(request);
   return std::all_of(request.attempts.begin(), request.attempts.end(), [&](const Attempt& attempt) {
-    if (!attempt.inFlight && !attempt.mayHaveRun) return true;
-    if (repeat == Repeat::nonIdempotent || context_.now >= attempt.startedAt + method.window) return false;
-    return hosts_.inSameGroup(method.group, attempt.host, host);
+    if (!attempt.mayTakeEffect()) return true;
+    return repeat == Repeat::deduplicated && recognizes(host, attempt, method);
   });
 }
 
+bool RetryPolicy::recognizes(HostId host, const Attempt& attempt, const Method& method) const {
+  const bool withinWindow = context_.now < attempt.startedAt() + method.window;
+  return withinWindow && hosts_.inSameGroup(method.group, attempt.host(), host);
+}
+
 TimePoint RetryPolicy::writeDeadline(const RequestInFlight& request) const {
   TimePoint deadline = TimePoint::max();
   if (repeatOf(request) != Repeat::deduplicated) return deadline;
-  for (const Attempt& attempt : request.attempts)
-    if ((attempt.inFlight || attempt.mayHaveRun) && &attempt != &request.attempts.back())
-      deadline = std::min(deadline, attempt.startedAt + methodOf(request).window);
+  const Duration window = methodOf(request).window;
+  for (const Attempt& attempt : request.attempts) {
+    const bool isLast = &attempt == &request.attempts.back();
+    if (!isLast && attempt.mayTakeEffect()) deadline = std::min(deadline, attempt.startedAt() + window);
+  }
   return deadline;
 }
 
 bool RetryPolicy::clientMayRepeat(const RequestInFlight& request) const {
-  const Repeat repeat = repeatOf(request);
-  return repeat == Repeat::idempotent || !request.mayHaveRun() ||
-         (repeat == Repeat::deduplicated && methodOf(request).group == Group::all);
+  switch (repeatOf(request)) {
+    case Repeat::idempotent:
+      return true;
+    case Repeat::deduplicated:
+      // The client's repeat may reach any host.
+      return !request.mayTakeEffect() || methodOf(request).group == Group::all;
+    case Repeat::nonIdempotent:
+      break;
+  }
+  return !request.mayTakeEffect();
 }
 
 }  // namespace merlinbridge::policy
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -6,15 +6,30 @@
 namespace merlinbridge::policy {
 namespace {
 
-constexpr double kBudgetSafety = 0.8;       // of what the settings allow a host that warms up
-constexpr double kBudgetParts = 2;          // the overload window's budget is granted in so many parts
-constexpr double kMinBudgetRequests = 1.5;  // in a window, of all gateways, whatever was seen
-constexpr double kCarriedSeconds = 20;      // time constant of what warm hosts are seen to carry
+/// Fraction that is used of what the settings allow a host that warms up.
+constexpr double kBudgetSafety = 0.8;
+
+/// Parts of the overload window; each is granted its budget at its start.
+constexpr double kBudgetParts = 2;
+
+/// Requests of mean cost that all gateways together may send a host in an overload window, whatever was seen.
+constexpr double kMinBudgetRequests = 1.5;
+
+/// Time constant, in seconds, of what warm hosts are seen to answer.
+constexpr double kCarriedSeconds = 20;
+
+/// Seconds that this gateway is taken to have observed warm hosts for at least.
 constexpr double kMinObservedSeconds = 4.5;
-constexpr double kMeanUnitsGain = 0.06;  // weight of one request in the mean
+
+/// Weight of one request in the mean cost of a request, 0 to 1.
+constexpr double kMeanUnitsGain = 0.06;
 
 }  // namespace
 
+void SlowStart::add(HostId host) {
+  if (host.value >= budgets_.size()) budgets_.resize(host.value + 1);
+}
+
 double SlowStart::rampFactor(HostId host) const {
   const PolicySettings& settings = context_.settings;
   const auto startedAt = hosts_.startedAt(host);
@@ -23,13 +38,17 @@
   return settings.startCapacity + (1 - settings.startCapacity) * std::clamp(age, 0.0, 1.0);
 }
 
+void SlowStart::countWarmHosts() {
+  warmHosts_ = 0;
+  forEachHost(hosts_, [this](HostId host) {
+    if (hosts_.serving(host) && !warmingUp(host)) ++warmHosts_;
+  });
+}
+
 bool SlowStart::admits(HostId host, double units) {
   if (!warmingUp(host)) return true;
   Budget& budget = budgets_[host.value];
-  if (context_.now >= budget.endsAt) {
-    budget.left = std::min(budget.left, 0.0) + grant(host);
-    budget.endsAt = context_.now + scaled(context_.settings.overloadWindow, 1 / kBudgetParts);
-  }
+  renew(budget, host);
   if (budget.left < units) {
     const bool drawn = budget.left > 0 && context_.random.bernoulli(budget.left / units);
     budget.left = drawn ? units : std::min(budget.left, 0.0);
@@ -37,12 +56,20 @@
   return budget.left >= units;
 }
 
+void SlowStart::renew(Budget& budget, HostId host) const {
+  if (context_.now < budget.endsAt) return;
+  const double sentAhead = std::min(budget.left, 0.0);
+  budget.left = sentAhead + grant(host);
+  budget.endsAt = context_.now + scaled(context_.settings.overloadWindow, 1 / kBudgetParts);
+}
+
 double SlowStart::grant(HostId host) const {
   const PolicySettings& settings = context_.settings;
   const double observed = std::max(seconds(context_.now - context_.startedAt), kMinObservedSeconds);
-  const double counted = kCarriedSeconds * (1 - std::exp(-observed / kCarriedSeconds));
+  // What a decaying counter sums up of a steady rate of 1 per second since the start of this process.
+  const double countedSeconds = kCarriedSeconds * (1 - std::exp(-observed / kCarriedSeconds));
   const double carried = warmHostUnits_.read(context_.now, kCarriedSeconds);
-  const double rate = settings.overloadMultiple * rampFactor(host) * carried / counted;
+  const double rate = settings.overloadMultiple * rampFactor(host) * carried / countedSeconds;
   const double least = kMinBudgetRequests * meanUnits_ / settings.gateways;
   return std::max(least, kBudgetSafety * rate * seconds(settings.overloadWindow)) / kBudgetParts;
 }
@@ -53,7 +80,8 @@
 
 void SlowStart::recordAnswer(HostId host, double units) {
   meanUnits_ += kMeanUnitsGain * (units - meanUnits_);
-  if (!warmingUp(host)) warmHostUnits_.add(context_.now, kCarriedSeconds, units / std::max(1, warmHosts_));
+  if (warmingUp(host)) return;
+  warmHostUnits_.add(context_.now, kCarriedSeconds, units / std::max(1, warmHosts_));
 }
 
 }  // namespace merlinbridge::policy
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -8,48 +8,60 @@
 
 namespace merlinbridge::policy {
 
-/// Budgets what a host that warms up is sent, so that all gateways together do not push it over.
+/// Decides how much a host that warms up may be sent, from its age and from what warm hosts are seen to
+/// answer, so that all gateways together do not overload it. Asked at each selection of a host; told each
+/// attempt's start and answer.
+///
+/// A host's ramp factor rises from the settings' start capacity to 1 with its age. Its budget is granted for
+/// a part of the settings' overload window at a time.
 class SlowStart {
  public:
+  /// The arguments must outlive this object.
   SlowStart(EngineContext& context, const util::HostTable& hosts) : context_(context), hosts_(hosts) {}
 
-  void add(HostId host) {
-    if (host.value >= budgets_.size()) budgets_.resize(host.value + 1);
-  }
+  /// Extends the arrays to that host. No effect where it is known.
+  void add(HostId host);
+
   /// The least fraction of its capacity that the host has by now: from the settings' start capacity to 1.
   double rampFactor(HostId host) const;
+
+  /// Whether the host has not reached its full capacity yet.
   bool warmingUp(HostId host) const { return rampFactor(host) < 1; }
 
-  /// Whether the host may be sent so many units now; always where it is warm. May draw at random.
-  /// Each gateway keeps to its part of what warm hosts are seen to carry, retries and hedges in it, under
-  /// uneven traffic and bursts. What it does not use lapses. A part under one request is drawn for, once;
-  /// nothing is granted ahead. Before anything was seen, all together may send a little, which no host
-  /// falls over.
+  /// Whether the host may be sent a request of so many units now; always true where it is warm. May draw at
+  /// random. Each gateway keeps to its part of what warm hosts are seen to answer, retries and hedges
+  /// included, under uneven traffic and bursts. What it does not use lapses. A part below one request is
+  /// drawn for, once; nothing is granted ahead. Before anything was seen, all gateways together may send a
+  /// little, which overloads no host.
   bool admits(HostId host, double units);
-  /// A request of so many units was sent to the host, the first attempt or a further one.
+
+  /// A request of so many units is sent to the host, as a first attempt, a retry or a hedge.
   void spend(HostId host, double units);
+
   /// The host has answered a request of so many units.
   void recordAnswer(HostId host, double units);
+
   /// Counts the hosts that are warm. Called once for each selection.
-  void countWarmHosts() {
-    warmHosts_ = 0;
-    forEachHost(hosts_, [this](HostId host) { warmHosts_ += hosts_.serving(host) && !warmingUp(host); });
-  }
+  void countWarmHosts();
 
  private:
-  /// What this gateway may still send a host in a part of the settings' overload window.
+  /// What this gateway may still send a host in the present part of the overload window.
   struct Budget {
-    double left = 0;  ///< Units; below 0: sent ahead of the next part.
-    TimePoint endsAt{};
+    double left = 0;     ///< Units; below 0: sent ahead of the next part.
+    TimePoint endsAt{};  ///< End of the part.
   };
+
+  /// Starts the host's next part of the overload window where the last one is over.
+  void renew(Budget& budget, HostId host) const;
+  /// Units that this gateway may send the host in one part of the overload window.
   double grant(HostId host) const;
 
   EngineContext& context_;
   const util::HostTable& hosts_;
   std::vector<Budget> budgets_;          ///< By HostId.
   util::DecayingCounter warmHostUnits_;  ///< Units answered by one warm host, on average.
-  int warmHosts_ = 0;
-  double meanUnits_ = 1;  ///< Of a request.
+  int warmHosts_ = 0;                    ///< As of the last selection.
+  double meanUnits_ = 1;                 ///< Of a request that was answered, smoothed.
 };
 
 }  // namespace merlinbridge::policy
--- a/src/policy/state_notice.hpp
+++ b/src/policy/state_notice.hpp
@@ -4,26 +4,27 @@
 
 namespace merlinbridge::policy {
 
-/// Reports when a condition begins and when it ends, at most one change in an interval.
+/// Decides when a condition is reported as begun or ended: at each change, but not more often than once in an
+/// interval, so that a condition that comes and goes does not fill the log. Told the condition whenever it is
+/// known.
 class StateNotice {
  public:
-  StateNotice(EngineEvent began, EngineEvent ended, Duration minInterval)
-      : began_(began), ended_(ended), minInterval_(minInterval) {}
+  /// `began`, `ended`: what is reported at a change. The condition starts as not active.
+  StateNotice(EngineEvent began, EngineEvent ended, Duration minInterval);
 
+  /// Whether the last report was that the condition began.
   bool active() const { return active_; }
-  void set(bool active, TimePoint now, DecisionSink& sink) {
-    if (active_ == active || (changedAt_ != TimePoint{} && now - changedAt_ < minInterval_)) return;
-    active_ = active;
-    changedAt_ = now;
-    sink.report(active ? began_ : ended_);
-  }
+
+  /// Reports a change to the sink. A change within the interval is dropped; the next call reports it if it
+  /// lasts.
+  void set(bool active, TimePoint now, DecisionSink& sink);
 
  private:
-  EngineEvent began_;
-  EngineEvent ended_;
-  Duration minInterval_;
+  const EngineEvent began_;
+  const EngineEvent ended_;
+  const Duration minInterval_;
   bool active_ = false;
-  TimePoint changedAt_{};
+  TimePoint changedAt_{};  ///< The clock's origin: never.
 };
 
 }  // namespace merlinbridge::policy
--- a/src/policy_binding/decision_engine.cpp
+++ b/src/policy_binding/decision_engine.cpp
@@ -1,7 +1,11 @@
 #include "policy_api/decision_engine.hpp"
 
+#include <utility>
+
 #include "policy/engine_impl.hpp"
 
+/// Binds the public class DecisionEngine to its implementation: each input sets the time, then goes to the
+/// part of DecisionEngine::Impl that handles it. Kept out of src/policy, which holds decisions alone.
 namespace merlinbridge {
 
 DecisionEngine::DecisionEngine(PolicySettings settings, std::uint64_t seed, TimePoint now, DecisionSink& sink)
@@ -11,12 +15,12 @@
 
 void DecisionEngine::hostsUpdated(TimePoint now, const std::vector<HostUpdate>& updates) {
   impl_->advanceTo(now);
-  impl_->updateHosts(updates, false);
+  impl_->updateHosts(updates);
 }
 
 void DecisionEngine::allHostsUpdated(TimePoint now, const std::vector<HostUpdate>& updates) {
   impl_->advanceTo(now);
-  impl_->updateHosts(updates, true);
+  impl_->updateAllHosts(updates);
 }
 
 void DecisionEngine::requestArrived(TimePoint now, const Request& request) {
@@ -34,10 +38,10 @@
   impl_->endClient(request);
 }
 
-void DecisionEngine::counterCallEnded(TimePoint now, const CounterKey& name, CounterCallOutcome end,
+void DecisionEngine::counterCallEnded(TimePoint now, const CounterKey& key, CounterCallOutcome outcome,
                                       double total, Duration took) {
   impl_->advanceTo(now);
-  impl_->endCounterCall(name, end, total, took);
+  impl_->endCounterCall(key, outcome, total, took);
 }
 
 void DecisionEngine::timerFired(TimePoint now, TimerId timer) {
--- a/tests/policy/counter_exchange_test.cpp
+++ b/tests/policy/counter_exchange_test.cpp
@@ -10,24 +10,28 @@
 
 namespace {
 
+constexpr double kGateways = 1;  // through which a customer's requests come
+
+/// The exchange with the counter service, and customers by number.
 struct ExchangeFixture : Fixture {
   explicit ExchangeFixture(const PolicySettings& settings = someSettings())
       : Fixture(settings), exchange(context) {}
 
-  CustomerState& add(std::uint64_t id, std::uint32_t plan = 0) {
-    return customers
-        .try_emplace(id, CustomerId{id}, context.settings.plans[plan], 1.0, 4.0,
-                     CounterExchange::lookBack(context.settings), kStart, context.now)
-        .first->second;
+  CustomerState& addCustomer(std::uint64_t id, std::uint32_t plan = 0) {
+    const auto added =
+        customers.try_emplace(id, CustomerId{id}, context.settings.plans[plan], kGateways, context);
+    return added.first->second;
   }
+  /// A request of one unit arrives and is admitted.
   void request(CustomerState& customer) {
     exchange.refill(customer);
     exchange.schedule(customer);
     customer.bucket.spend(1);
   }
-  void answer(CounterCallOutcome end = CounterCallOutcome::ok, Duration took = 1ms) {
+  /// The last call ends.
+  void endCall(CounterCallOutcome outcome = CounterCallOutcome::ok, Duration duration = 1ms) {
     const auto call = sink.calls.back();
-    exchange.callEnded(call.name, end, call.units, took);
+    exchange.callEnded(call.key, outcome, call.units, duration);
   }
   std::map<std::uint64_t, CustomerState> customers;
   CounterExchange exchange;
@@ -35,88 +39,92 @@
 
 }  // namespace
 
-TEST_CASE("counter exchange: one call a round, with the units since the last one") {
-  ExchangeFixture f;
-  CustomerState& customer = f.add(5);
-  f.request(customer);
-  REQUIRE(f.sink.calls.size() == 1);
-  CHECK(f.sink.calls[0].units == 0);  // asked before the first unit is spent
-  f.request(customer);
-  CHECK(f.sink.calls.size() == 1);
-  f.answer();
-  f.fireTimers();
-  CHECK(f.sink.calls.size() == 1);  // the round lasts
-  f.pass(100ms);
-  f.fireTimers();
-  REQUIRE(f.sink.calls.size() == 2);
-  CHECK(f.sink.calls[1].units == 2);
+TEST_CASE("counter exchange: a customer has one call a round, with the units since the last one") {
+  ExchangeFixture fixture;
+  CustomerState& customer = fixture.addCustomer(5);
+  fixture.request(customer);
+  REQUIRE(fixture.sink.calls.size() == 1);
+  CHECK(fixture.sink.calls[0].units == 0);  // the call started before the first unit was spent
+  fixture.request(customer);
+  CHECK(fixture.sink.calls.size() == 1);
+  fixture.endCall();
+  fixture.fireTimers();
+  CHECK(fixture.sink.calls.size() == 1);  // the round is not over
+  fixture.pass(100ms);
+  fixture.fireTimers();
+  REQUIRE(fixture.sink.calls.size() == 2);
+  CHECK(fixture.sink.calls[1].units == 2);
   CHECK_FALSE(CounterExchange::idle(customer));
-  f.answer();
+  fixture.endCall();
   CHECK(CounterExchange::idle(customer));
 }
 
-TEST_CASE("counter exchange: no call without a counter service or for a plan that counts nothing") {
+TEST_CASE(
+    "counter exchange: there is no call without a counter service, nor for a plan without limits to count") {
   PolicySettings settings = someSettings();
   settings.plans.push_back({});
   ExchangeFixture uncounted(settings);
-  uncounted.request(uncounted.add(5, 3));
+  uncounted.request(uncounted.addCustomer(5, 3));
   CHECK(uncounted.sink.calls.empty());
   settings.counter = false;
-  ExchangeFixture alone(settings);
-  alone.request(alone.add(5));
-  CHECK(alone.sink.calls.empty());
+  ExchangeFixture withoutCounter(settings);
+  withoutCounter.request(withoutCounter.addCustomer(5));
+  CHECK(withoutCounter.sink.calls.empty());
 }
 
-TEST_CASE("counter exchange: units of a failed call go with the next") {
-  ExchangeFixture f;
-  CustomerState& customer = f.add(5);
-  f.request(customer);
-  f.answer();
-  f.pass(100ms);
-  f.request(customer);
-  REQUIRE(f.sink.calls.size() == 2);
-  CHECK(f.sink.calls[1].units == 1);
-  f.answer(CounterCallOutcome::unknown, 50ms);
-  f.pass(100ms);
-  f.fireTimers();
-  REQUIRE(f.sink.calls.size() == 3);
-  CHECK(f.sink.calls[2].units == 2);
+TEST_CASE("counter exchange: units of a failed call are added with the next one") {
+  ExchangeFixture fixture;
+  CustomerState& customer = fixture.addCustomer(5);
+  fixture.request(customer);
+  fixture.endCall();
+  fixture.pass(100ms);
+  fixture.request(customer);
+  REQUIRE(fixture.sink.calls.size() == 2);
+  CHECK(fixture.sink.calls[1].units == 1);
+  fixture.endCall(CounterCallOutcome::unknown, 50ms);
+  fixture.pass(100ms);
+  fixture.fireTimers();
+  REQUIRE(fixture.sink.calls.size() == 3);
+  CHECK(fixture.sink.calls[2].units == 2);
 }
 
-TEST_CASE("counter exchange: after three rounds of failures all quotas are divided, and staff told once") {
-  ExchangeFixture f;
-  CustomerState& asked = f.add(5);
-  CustomerState& other = f.add(6);
-  f.request(other);
-  f.answer();
-  f.pass(100ms);
-  f.request(asked);
+TEST_CASE(
+    "counter exchange: after three rounds of failures all quotas are divided, and that is reported once") {
+  ExchangeFixture fixture;
+  CustomerState& active = fixture.addCustomer(5);
+  CustomerState& other = fixture.addCustomer(6);
+  fixture.request(other);
+  fixture.endCall();
+  fixture.pass(100ms);
+  fixture.request(active);
   for (int round = 0; round < 4; ++round) {
-    f.answer(CounterCallOutcome::unknown, 50ms);
-    f.pass(101ms);
-    f.fireTimers();
+    fixture.endCall(CounterCallOutcome::unknown, 50ms);
+    fixture.pass(101ms);
+    fixture.fireTimers();
   }
-  CHECK(asked.bucket.isDivided());
-  f.exchange.refill(other);
-  CHECK(other.bucket.isDivided());  // it need not find out on its own
-  REQUIRE(f.sink.events.size() == 1);
-  CHECK(f.sink.events[0] == EngineEvent::counterUnreachable);
+  CHECK(active.bucket.isDivided());
+  fixture.exchange.refill(other);
+  CHECK(other.bucket.isDivided());  // though none of its own calls failed
+  REQUIRE(fixture.sink.events.size() == 1);
+  CHECK(fixture.sink.events[0] == EngineEvent::counterUnreachable);
 }
 
-TEST_CASE("counter exchange: late answers lower the pace, quick ones raise it again") {
-  ExchangeFixture f;
+TEST_CASE("counter exchange: late answers cut the pace of calls, quick ones raise it again") {
+  ExchangeFixture fixture;
   std::uint64_t id = 100;
-  const auto callsIn = [&](int steps, CounterCallOutcome end, Duration took) {
-    const std::size_t before = f.sink.calls.size();
+  const auto callsIn = [&](int steps, CounterCallOutcome outcome, Duration duration) {
+    const std::size_t before = fixture.sink.calls.size();
     for (int step = 0; step < steps; ++step) {
-      const std::size_t seen = f.sink.calls.size();
-      f.request(f.add(++id));
-      f.pass(10ms);
-      f.fireTimers();
-      for (std::size_t n = seen; n < f.sink.calls.size(); ++n)
-        f.exchange.callEnded(f.sink.calls[n].name, end, f.sink.calls[n].units, took);
+      const std::size_t seen = fixture.sink.calls.size();
+      fixture.request(fixture.addCustomer(++id));
+      fixture.pass(10ms);
+      fixture.fireTimers();
+      for (std::size_t index = seen; index < fixture.sink.calls.size(); ++index) {
+        const auto call = fixture.sink.calls[index];
+        fixture.exchange.callEnded(call.key, outcome, call.units, duration);
+      }
     }
-    return f.sink.calls.size() - before;
+    return fixture.sink.calls.size() - before;
   };
   const auto quick = callsIn(200, CounterCallOutcome::ok, 1ms);
   callsIn(200, CounterCallOutcome::unknown, 50ms);
--- a/tests/policy/customer_limits_test.cpp
+++ b/tests/policy/customer_limits_test.cpp
@@ -12,12 +12,14 @@
 
 namespace {
 
-constexpr double kLookBack = 0.8;
+constexpr double kLookBack = 0.8;  // seconds
 
-const Plan kMetered{4, 12, 0, 0, 0, 0, 1};
+/// A quota of 4 units a second and a burst of 12, and no other limit.
+const Plan kQuotaPlan{4, 12, 0, 0, 0, 0, 1};
 
 struct BucketFixture {
-  explicit BucketFixture(double gateways) : bucket(kMetered, gateways, 4, kLookBack, kStart) {}
+  explicit BucketFixture(double gateways) : bucket(kQuotaPlan, gateways, 4, kLookBack, kStart) {}
+  /// How many of so many requests of one unit are admitted; spends their units.
   int admitted(int requests) {
     int count = 0;
     for (int i = 0; i < requests; ++i) {
@@ -27,6 +29,7 @@
     }
     return count;
   }
+  /// Publishes what was used, and the count then has that total.
   void endRound(double total) {
     const double units = bucket.takeUnpublished();
     bucket.refill(now);
@@ -39,75 +42,75 @@
 
 }  // namespace
 
-TEST_CASE("quota bucket: a copy that knows no total holds this gateway's part of the burst") {
-  BucketFixture f(3);
-  CHECK(f.bucket.share() == Approx(1.0 / 3));
-  CHECK(f.admitted(12) == 4);
+TEST_CASE("quota bucket: before the first total the copy holds this gateway's part of the burst") {
+  BucketFixture fixture(3);
+  CHECK(fixture.bucket.share() == Approx(1.0 / 3));
+  CHECK(fixture.admitted(12) == 4);
 }
 
-TEST_CASE("quota bucket: the first request of a customer passes though the part holds less") {
-  BucketFixture f(60);
-  CHECK(f.admitted(1) == 1);
-  CHECK_FALSE(BucketFixture(1).bucket.admits(kStart, 13, f.random));  // more than the burst
+TEST_CASE("quota bucket: a customer's first request is admitted even if this gateway's part holds less") {
+  BucketFixture fixture(60);
+  CHECK(fixture.admitted(1) == 1);
+  CHECK_FALSE(BucketFixture(1).bucket.admits(kStart, 13, fixture.random));  // more than the burst
 }
 
-TEST_CASE("quota bucket: a total of the counter service makes the copy shared, less what others used") {
-  BucketFixture f(3);
-  f.admitted(2);
-  f.endRound(8);  // 6 of them by others
-  CHECK(f.bucket.share() == 1);
-  CHECK(f.bucket.othersRate() > 0);
+TEST_CASE("quota bucket: a total makes the copy shared, less what the other gateways used") {
+  BucketFixture fixture(3);
+  fixture.admitted(2);
+  fixture.endRound(8);  // 6 of them by others
+  CHECK(fixture.bucket.share() == 1);
+  CHECK(fixture.bucket.othersRate() > 0);
   // 12 less 8 are left, and of these this gateway's slice: between an even third and its share of use.
-  const int admitted = f.admitted(12);
+  const int admitted = fixture.admitted(12);
   CHECK(admitted >= 1);
   CHECK(admitted <= 2);
 }
 
-TEST_CASE("quota bucket: a divided copy keeps to its part and owes only what has not refilled") {
-  BucketFixture f(3);
-  f.endRound(0);
-  f.admitted(4);
-  f.bucket.divide();
-  CHECK(f.bucket.isDivided());
-  CHECK(f.bucket.share() == Approx(1.0 / 3));
-  f.now += 60s;
-  f.bucket.refill(f.now);
-  CHECK(f.bucket.takeUnpublished() == 0);  // its part is full again
-  f.endRound(0);
-  CHECK_FALSE(f.bucket.isDivided());
+TEST_CASE("quota bucket: a divided copy keeps to its part and publishes only what has not refilled") {
+  BucketFixture fixture(3);
+  fixture.endRound(0);
+  fixture.admitted(4);
+  fixture.bucket.divide();
+  CHECK(fixture.bucket.isDivided());
+  CHECK(fixture.bucket.share() == Approx(1.0 / 3));
+  fixture.now += 60s;
+  fixture.bucket.refill(fixture.now);
+  CHECK(fixture.bucket.takeUnpublished() == 0);  // its part is full again
+  fixture.endRound(0);
+  CHECK_FALSE(fixture.bucket.isDivided());
 }
 
-TEST_CASE("quota bucket: units of a failed call are published with the next one") {
-  BucketFixture f(3);
-  f.admitted(3);
-  CHECK(f.bucket.takeUnpublished() == 3);
-  CHECK(f.bucket.takeUnpublished() == 0);
-  f.bucket.returnUnpublished(3);
-  f.bucket.correct(0.5);  // one of them cost more than was spent
-  CHECK(f.bucket.takeUnpublished() == 3.5);
+TEST_CASE("quota bucket: units of a failed call are published with the next call") {
+  BucketFixture fixture(3);
+  fixture.admitted(3);
+  CHECK(fixture.bucket.takeUnpublished() == 3);
+  CHECK(fixture.bucket.takeUnpublished() == 0);
+  fixture.bucket.returnUnpublished(3);
+  fixture.bucket.correct(0.5);  // one of them cost more than was spent
+  CHECK(fixture.bucket.takeUnpublished() == 3.5);
 }
 
-TEST_CASE("quota bucket: a count that was lost frees no fresh burst") {
-  BucketFixture f(1);
-  f.endRound(0);
-  f.admitted(12);
-  f.endRound(12);
-  CHECK(f.admitted(1) == 0);
-  f.endRound(0);
-  CHECK(f.admitted(1) == 0);
+TEST_CASE("quota bucket: a count that the counter service lost does not free a fresh burst") {
+  BucketFixture fixture(1);
+  fixture.endRound(0);
+  fixture.admitted(12);
+  fixture.endRound(12);
+  CHECK(fixture.admitted(1) == 0);
+  fixture.endRound(0);
+  CHECK(fixture.admitted(1) == 0);
 }
 
-TEST_CASE("quota bucket: it refills with the plan's rate and says when enough is there") {
-  BucketFixture f(1);
-  f.endRound(0);
-  f.admitted(12);
-  CHECK(f.bucket.secondsUntil(2) == Approx(0.5));
-  f.now += 500ms;
-  f.bucket.refill(f.now);
-  CHECK(f.bucket.secondsUntil(2) == Approx(0));
+TEST_CASE("quota bucket: it refills at the plan's rate and states the seconds until enough is there") {
+  BucketFixture fixture(1);
+  fixture.endRound(0);
+  fixture.admitted(12);
+  CHECK(fixture.bucket.secondsUntil(2) == Approx(0.5));
+  fixture.now += 500ms;
+  fixture.bucket.refill(fixture.now);
+  CHECK(fixture.bucket.secondsUntil(2) == Approx(0));
 }
 
-TEST_CASE("hard ceiling: it starts at its lowest and fills only since this process started") {
+TEST_CASE("hard ceiling: it starts at its lowest level and refills from the start of the process") {
   const Plan plan{0, 0, 0, 40, 60, 8, 1};
   HardCeiling ceiling(plan, 2, kStart);
   CHECK_FALSE(ceiling.admits(1));
@@ -122,12 +125,12 @@
   CHECK_FALSE(ceiling.admits(35));
 }
 
-TEST_CASE("hard ceiling: a plan without one admits all") {
-  HardCeiling ceiling(kMetered, 3, kStart);
+TEST_CASE("hard ceiling: a plan without a ceiling admits every request") {
+  HardCeiling ceiling(kQuotaPlan, 3, kStart);
   CHECK(ceiling.admits(1e6));
 }
 
-TEST_CASE("concurrency limit: free slots are what this gateway and the others leave") {
+TEST_CASE("concurrency limit: free slots are the limit less the attempts in flight at all gateways") {
   const Plan plan{0, 0, 2, 0, 0, 0, 1};
   util::RandomSource random(1);
   ConcurrencyLimit limit(plan, 3);
@@ -145,9 +148,10 @@
   CHECK(limit.admits(1.0 / 3, 0, random));
 }
 
-TEST_CASE("concurrency limit: a plan without one admits all and draws nothing") {
-  util::RandomSource random(1), untouched(1);
-  const ConcurrencyLimit limit(kMetered, 3);
+TEST_CASE("concurrency limit: a plan without a limit admits every request and draws nothing at random") {
+  util::RandomSource random(1);
+  util::RandomSource untouched(1);
+  const ConcurrencyLimit limit(kQuotaPlan, 3);
   CHECK(limit.admits(1, 100, random));
   CHECK(random.uniform01() == untouched.uniform01());
 }
--- a/tests/policy/hosts_test.cpp
+++ b/tests/policy/hosts_test.cpp
@@ -4,6 +4,7 @@
 #include "policy/host_statistics.hpp"
 #include "policy/load_shedding.hpp"
 #include "policy/outlier_detection.hpp"
+#include "policy/reported_load.hpp"
 #include "policy/retry_policy.hpp"
 #include "policy/slow_start.hpp"
 #include "policy_fixture.hpp"
@@ -14,18 +15,29 @@
 
 namespace {
 
+/// The usable part of a report with these figures.
+ReportedLoad loadReport(double inFlight, std::optional<double> queued, double answersPerSecond) {
+  LoadReport report;
+  report.inFlight = inFlight;
+  report.queued = queued;
+  report.answersPerSecond = answersPerSecond;
+  return usableLoad(report).value();
+}
+
+/// The parts of the engine that decide about hosts, wired as the engine wires them.
 struct HostsFixture : Fixture {
   explicit HostsFixture(std::uint32_t count, const PolicySettings& settings = someSettings())
       : Fixture(settings) {
-    for (std::uint32_t h = 0; h < count; ++h) announce(servingHost(h));
+    for (std::uint32_t host = 0; host < count; ++host) announce(servingHost(host));
   }
+  /// Takes over an update in the order in which the engine does.
   void announce(const HostUpdate& update) {
-    const bool fresh = hosts.update(update);
+    const bool isFresh = hosts.update(update);
     statistics.add(update.host);
     outliers.add(update.host);
     slowStart.add(update.host);
     selection.add(update.host);
-    if (!fresh) return;
+    if (!isFresh) return;
     statistics.reset(update.host);
     outliers.reset(update.host);
     selection.reset(update.host);
@@ -52,227 +64,236 @@
   LoadShedding shedding{context, hosts, statistics, outliers};
 };
 
-constexpr HostId kFirst{0}, kSecond{1};
+constexpr HostId kFirst{0};
+constexpr HostId kSecond{1};
 
 }  // namespace
 
-TEST_CASE("host statistics: capacity follows what a host answers, and has a floor") {
-  HostsFixture f(2);
-  const Method& method = f.context.settings.methods[0];
-  const double unseen = f.statistics.capacity(kFirst, method);
+TEST_CASE("host statistics: a host's capacity follows its answers per second and has a lower bound") {
+  HostsFixture fixture(2);
+  const Method& method = fixture.context.settings.methods[0];
+  const double unseen = fixture.statistics.capacity(kFirst, method);
   CHECK(unseen == Approx(5));
-  f.answerRequests(0, 6000, 5ms);  // 200 a second, for several time constants
-  CHECK(f.statistics.capacity(kFirst, method) == Approx(200 * 0.1 + 2).epsilon(0.05));
-  CHECK(f.statistics.capacity(kSecond, method) == unseen);
-  f.statistics.reset(kFirst);
-  CHECK(f.statistics.capacity(kFirst, method) == unseen);
+  fixture.answerRequests(0, 6000, 5ms);  // 200 a second, for several time constants
+  CHECK(fixture.statistics.capacity(kFirst, method) == Approx(200 * 0.1 + 2).epsilon(0.05));
+  CHECK(fixture.statistics.capacity(kSecond, method) == unseen);
+  fixture.statistics.reset(kFirst);
+  CHECK(fixture.statistics.capacity(kFirst, method) == unseen);
 }
 
-TEST_CASE("host statistics: a host is trusted less with the kind of request that fails there, for a while") {
-  HostsFixture f(1);
-  for (int i = 0; i < 5; ++i) f.statistics.recordOutcome(someRequest(1), someResult(0, Outcome::error));
-  CHECK(f.statistics.successFraction(kFirst, MethodId{1}, PlanId{0}) < 0.01);
-  CHECK(f.statistics.successFraction(kFirst, MethodId{0}, PlanId{0}) == 1);
-  for (int i = 0; i < 5; ++i) f.statistics.recordOutcome(someRequest(0, 2), someResult(0, Outcome::rejected));
-  CHECK(f.statistics.successFraction(kFirst, MethodId{0}, PlanId{2}) < 0.01);
-  CHECK(f.statistics.successFraction(kFirst, MethodId{0}, PlanId{0}) == 1);
-  f.pass(200s);
-  CHECK(f.statistics.successFraction(kFirst, MethodId{1}, PlanId{0}) > 0.9);
+TEST_CASE("host statistics: a host that fails one method or plan is trusted less with it for a while") {
+  HostsFixture fixture(1);
+  for (int i = 0; i < 5; ++i) fixture.statistics.recordOutcome(someRequest(1), someResult(0, Outcome::error));
+  CHECK(fixture.statistics.successFraction(kFirst, MethodId{1}, PlanId{0}) < 0.01);
+  CHECK(fixture.statistics.successFraction(kFirst, MethodId{0}, PlanId{0}) == 1);
+  for (int i = 0; i < 5; ++i)
+    fixture.statistics.recordOutcome(someRequest(0, 2), someResult(0, Outcome::rejected));
+  CHECK(fixture.statistics.successFraction(kFirst, MethodId{0}, PlanId{2}) < 0.01);
+  CHECK(fixture.statistics.successFraction(kFirst, MethodId{0}, PlanId{0}) == 1);
+  fixture.pass(200s);
+  CHECK(fixture.statistics.successFraction(kFirst, MethodId{1}, PlanId{0}) > 0.9);
 }
 
 TEST_CASE(
-    "host statistics: a host is unresponsive after five mean latencies, its attempts overdue after ten") {
-  HostsFixture f(1);
-  f.answerRequests(0, 100, 20ms, 20ms);
-  f.statistics.attemptStarted(kFirst);
-  const TimePoint startedAt = f.context.now;
-  CHECK(f.statistics.inFlight() == 1);
-  f.pass(99ms);
-  CHECK_FALSE(f.statistics.unresponsive(kFirst));
-  f.pass(2ms);
-  CHECK(f.statistics.unresponsive(kFirst));
-  CHECK_FALSE(f.statistics.overdue(kFirst, startedAt));
-  f.pass(100ms);
-  CHECK(f.statistics.overdue(kFirst, startedAt));
-  CHECK_FALSE(f.statistics.overdue(kFirst, f.context.now - 90ms));
-  f.statistics.attemptEnded(kFirst);
-  CHECK_FALSE(f.statistics.unresponsive(kFirst));  // it owes nothing
+    "host statistics: a silent host is unresponsive after five mean latencies, its work overdue after ten") {
+  HostsFixture fixture(1);
+  fixture.answerRequests(0, 100, 20ms, 20ms);
+  fixture.statistics.attemptStarted(kFirst);
+  const TimePoint startedAt = fixture.context.now;
+  CHECK(fixture.statistics.inFlight() == 1);
+  fixture.pass(99ms);
+  CHECK_FALSE(fixture.statistics.unresponsive(kFirst));
+  fixture.pass(2ms);
+  CHECK(fixture.statistics.unresponsive(kFirst));
+  CHECK_FALSE(fixture.statistics.overdue(kFirst, startedAt));
+  fixture.pass(100ms);
+  CHECK(fixture.statistics.overdue(kFirst, startedAt));
+  CHECK_FALSE(fixture.statistics.overdue(kFirst, fixture.context.now - 90ms));
+  fixture.statistics.attemptEnded(kFirst);
+  CHECK_FALSE(fixture.statistics.unresponsive(kFirst));  // it owes nothing
 }
 
-TEST_CASE("host statistics: relative speed compares a host's latency with the mean") {
-  HostsFixture f(2);
-  CHECK(f.statistics.relativeSpeed(kFirst) == 1);
+TEST_CASE("host statistics: a host's relative speed is the mean latency over its own") {
+  HostsFixture fixture(2);
+  CHECK(fixture.statistics.relativeSpeed(kFirst) == 1);
   for (int i = 0; i < 200; ++i) {
-    f.answerRequests(0, 1, 5ms, 10ms);
-    f.answerRequests(1, 1, 5ms, 40ms);
+    fixture.answerRequests(0, 1, 5ms, 10ms);
+    fixture.answerRequests(1, 1, 5ms, 40ms);
   }
-  CHECK(f.statistics.relativeSpeed(kFirst) > 2);
-  CHECK(f.statistics.relativeSpeed(kSecond) < 1);
+  CHECK(fixture.statistics.relativeSpeed(kFirst) > 2);
+  CHECK(fixture.statistics.relativeSpeed(kSecond) < 1);
 }
 
-TEST_CASE("outlier detection: an unreachable host is ejected twice as long each time, to a bound") {
-  HostsFixture f(1);
-  const auto ejectedFor = [&f] {
-    f.outliers.recordUnreachable(kFirst);
+TEST_CASE("outlier detection: each failure in a row doubles an unreachable host's ejection, up to a bound") {
+  HostsFixture fixture(1);
+  const auto ejectedFor = [&fixture] {
+    fixture.outliers.recordUnreachable(kFirst);
     Duration time{0};
-    for (; f.outliers.ejected(kFirst); f.pass(50ms)) time += 50ms;
+    for (; fixture.outliers.ejected(kFirst); fixture.pass(50ms)) time += 50ms;
     return time;
   };
-  for (int n = 0; n < 8; ++n) {
-    const double factor = seconds(ejectedFor()) / std::min(32.0, std::exp2(n));
-    INFO("failure " << n);
+  for (int failure = 0; failure < 8; ++failure) {
+    const double factor = seconds(ejectedFor()) / std::min(32.0, std::exp2(failure));
+    INFO("failure " << failure);
     CHECK(factor >= 0.5);  // of four connect timeouts
     CHECK(factor <= 1.6);
   }
-  f.outliers.recordAnswer(kFirst);
+  fixture.outliers.recordAnswer(kFirst);
   CHECK(ejectedFor() <= 1600ms);
-  f.outliers.recordUnreachable(kFirst);
-  f.outliers.reset(kFirst);
-  CHECK_FALSE(f.outliers.ejected(kFirst));
+  fixture.outliers.recordUnreachable(kFirst);
+  fixture.outliers.reset(kFirst);
+  CHECK_FALSE(fixture.outliers.ejected(kFirst));
 }
 
-TEST_CASE("outlier detection: a host that reports a jam is ejected until it has worked that off") {
-  HostsFixture f(1);
-  const Method& method = f.context.settings.methods[0];
-  f.outliers.recordLoad(kFirst, {4, 1, {}, 10, {}}, method);  // done within the soft deadline
-  CHECK_FALSE(f.outliers.ejected(kFirst));
-  f.outliers.recordLoad(kFirst, {30, 0, {}, 10, {}}, method);  // nothing waits
-  CHECK_FALSE(f.outliers.ejected(kFirst));
-  f.outliers.recordLoad(kFirst, {30, 20, {}, 10, {}}, method);
-  f.pass(2900ms);
-  CHECK(f.outliers.ejected(kFirst));
-  f.pass(200ms);
-  CHECK_FALSE(f.outliers.ejected(kFirst));
+TEST_CASE("outlier detection: a host that reports a long queue is ejected until it has answered the queue") {
+  HostsFixture fixture(1);
+  const Method& method = fixture.context.settings.methods[0];
+  fixture.outliers.recordLoad(kFirst, loadReport(4, 1, 10), method);  // done within the soft deadline
+  CHECK_FALSE(fixture.outliers.ejected(kFirst));
+  fixture.outliers.recordLoad(kFirst, loadReport(30, 0, 10), method);  // nothing waits
+  CHECK_FALSE(fixture.outliers.ejected(kFirst));
+  fixture.outliers.recordLoad(kFirst, loadReport(30, 20, 10), method);
+  fixture.pass(2900ms);
+  CHECK(fixture.outliers.ejected(kFirst));
+  fixture.pass(200ms);
+  CHECK_FALSE(fixture.outliers.ejected(kFirst));
 }
 
-TEST_CASE("slow start: the ramp goes from the start capacity to 1, and hosts without a start are warm") {
-  HostsFixture f(1);
-  CHECK(f.slowStart.rampFactor(kFirst) == 1);
-  CHECK(f.slowStart.admits(kFirst, 1e6));
-  f.announce(servingHost(1, kStart));
-  CHECK(f.slowStart.rampFactor(kSecond) == Approx(0.2));
-  f.pass(5s);
-  CHECK(f.slowStart.rampFactor(kSecond) == Approx(0.6));
-  f.pass(5s);
-  CHECK_FALSE(f.slowStart.warmingUp(kSecond));
+TEST_CASE("slow start: the ramp factor rises from start capacity to 1, and is 1 without a start time") {
+  HostsFixture fixture(1);
+  CHECK(fixture.slowStart.rampFactor(kFirst) == 1);
+  CHECK(fixture.slowStart.admits(kFirst, 1e6));
+  fixture.announce(servingHost(1, kStart));
+  CHECK(fixture.slowStart.rampFactor(kSecond) == Approx(0.2));
+  fixture.pass(5s);
+  CHECK(fixture.slowStart.rampFactor(kSecond) == Approx(0.6));
+  fixture.pass(5s);
+  CHECK_FALSE(fixture.slowStart.warmingUp(kSecond));
 }
 
-TEST_CASE("slow start: a host that warms up gets its budget and no more, and what is left lapses") {
-  HostsFixture f(1);
-  f.answerRequests(0, 500, 20ms);  // a warm host carries 50 a second
-  f.slowStart.countWarmHosts();
-  f.announce(servingHost(1, f.context.now));
-  const auto sent = [&f] {
+TEST_CASE("slow start: a host that warms up is sent no more than its budget, and unused budget lapses") {
+  HostsFixture fixture(1);
+  fixture.answerRequests(0, 500, 20ms);  // a warm host carries 50 a second
+  fixture.slowStart.countWarmHosts();
+  fixture.announce(servingHost(1, fixture.context.now));
+  const auto sent = [&fixture] {
     int count = 0;
-    for (; f.slowStart.admits(kSecond, 1); ++count) f.slowStart.spend(kSecond, 1);
+    for (; fixture.slowStart.admits(kSecond, 1); ++count) fixture.slowStart.spend(kSecond, 1);
     return count;
   };
   const int first = sent();
   CHECK(first >= 10);
   CHECK(first <= 3 * 0.2 * 50 * 2 * 0.8 / 2 + 1);  // multiple, ramp, rate, window, safety, half
   CHECK(sent() == 0);
-  f.pass(1s);  // the next half of the window
+  fixture.pass(1s);  // the next half of the window
   const int second = sent();
   CHECK(second >= 10);
-  f.pass(3s);
+  fixture.pass(3s);
   CHECK(sent() < 2 * second);  // two halves passed unused: they do not add up
 }
 
-TEST_CASE("host selection: hosts take turns by weight, and a slow one fewer") {
-  HostsFixture f(2);
+TEST_CASE("host selection: a slow host gets fewer turns than a fast one") {
+  HostsFixture fixture(2);
   for (int i = 0; i < 200; ++i) {
-    f.answerRequests(0, 1, 5ms, 10ms);
-    f.answerRequests(1, 1, 5ms, 40ms);
+    fixture.answerRequests(0, 1, 5ms, 10ms);
+    fixture.answerRequests(1, 1, 5ms, 40ms);
   }
   int turns[2] = {};
-  for (int i = 0; i < 340; ++i) ++turns[f.select()->value];
+  for (int i = 0; i < 340; ++i) ++turns[fixture.select()->value];
   CHECK(turns[0] > 10 * turns[1]);  // squares of speed, bounded by 4 and a quarter
   CHECK(turns[1] > 10);
 }
 
 TEST_CASE(
-    "host selection: hosts that drain, are ejected, full, unresponsive or not allowed are passed over") {
-  HostsFixture f(2);
+    "host selection: a host that is draining, ejected, full, unresponsive or filtered out is not selected") {
+  HostsFixture fixture(2);
   HostUpdate draining = servingHost(0);
   draining.serving = false;
   SECTION("drains") {
-    f.announce(draining);
+    fixture.announce(draining);
   }
   SECTION("ejected") {
-    f.outliers.recordUnreachable(kFirst);
+    fixture.outliers.recordUnreachable(kFirst);
   }
   SECTION("full") {
-    for (int i = 0; i < 5; ++i) f.statistics.attemptStarted(kFirst);
+    for (int i = 0; i < 5; ++i) fixture.statistics.attemptStarted(kFirst);
   }
   SECTION("unresponsive") {
-    f.answerRequests(0, 10, 10ms);
-    f.statistics.attemptStarted(kFirst);
-    f.pass(1s);
+    fixture.answerRequests(0, 10, 10ms);
+    fixture.statistics.attemptStarted(kFirst);
+    fixture.pass(1s);
   }
-  for (int i = 0; i < 10; ++i) CHECK(f.select() == kSecond);
+  for (int i = 0; i < 10; ++i) CHECK(fixture.select() == kSecond);
   const auto none = [](HostId host) { return host == kFirst; };
-  CHECK_FALSE(f.selection.select(someRequest(), none));
+  CHECK_FALSE(fixture.selection.select(someRequest(), none));
 }
 
-TEST_CASE("host selection: a host without budget keeps its turn until it has") {
-  HostsFixture f(1);
-  f.announce(servingHost(1, kStart));
+TEST_CASE("host selection: a host that has used up its slow-start budget waits for the next one") {
+  HostsFixture fixture(1);
+  fixture.announce(servingHost(1, kStart));
   int warmingUp = 0;
   for (int i = 0; i < 10; ++i) {
-    const auto host = f.select(4);
+    const auto host = fixture.select(4);
     REQUIRE(host);
     if (*host == kSecond) {
       ++warmingUp;
-      f.slowStart.spend(kSecond, 4);
+      fixture.slowStart.spend(kSecond, 4);
     }
   }
   CHECK(warmingUp <= 1);  // all gateways together may send it 1.5 requests
 }
 
-TEST_CASE("load shedding: the least priority goes first, and hosts' reports count") {
-  HostsFixture f(1);
-  const Request cheap = someRequest(0, 0), dear = someRequest(1, 2);
-  CHECK(f.shedding.admits(cheap));
-  for (int i = 0; i < 4; ++i) f.statistics.attemptStarted(kFirst);  // of 5
-  CHECK_FALSE(f.shedding.admits(cheap));
-  CHECK(f.shedding.admits(dear));
-  f.statistics.attemptStarted(kFirst);
-  CHECK_FALSE(f.shedding.admits(dear));
-  for (int i = 0; i < 5; ++i) f.statistics.attemptEnded(kFirst);
-  CHECK(f.shedding.admits(cheap));
-  for (int i = 0; i < 5; ++i) f.shedding.recordLoad({100, {}, {}, 10, {}}, f.context.settings.methods[0]);
-  CHECK_FALSE(f.shedding.admits(cheap));
+TEST_CASE("load shedding: the lowest priority is rejected first, and load reports count") {
+  HostsFixture fixture(1);
+  const Request lowPriority = someRequest(0, 0);
+  const Request highPriority = someRequest(1, 2);
+  CHECK(fixture.shedding.admits(lowPriority));
+  for (int i = 0; i < 4; ++i) fixture.statistics.attemptStarted(kFirst);  // of 5
+  CHECK_FALSE(fixture.shedding.admits(lowPriority));
+  CHECK(fixture.shedding.admits(highPriority));
+  fixture.statistics.attemptStarted(kFirst);
+  CHECK_FALSE(fixture.shedding.admits(highPriority));
+  for (int i = 0; i < 5; ++i) fixture.statistics.attemptEnded(kFirst);
+  CHECK(fixture.shedding.admits(lowPriority));
+  for (int i = 0; i < 5; ++i)
+    fixture.shedding.recordLoad(loadReport(100, {}, 10), fixture.context.settings.methods[0]);
+  CHECK_FALSE(fixture.shedding.admits(lowPriority));
 }
 
-TEST_CASE("load shedding: staff are told when it begins and when nothing was shed for a while") {
-  HostsFixture f(1);
-  f.shedding.recordShed();
-  f.shedding.recordShed();
-  REQUIRE(f.sink.events.size() == 1);
-  CHECK(f.shedding.active());
-  f.pass(5s);
-  f.shedding.sweep();
-  CHECK(f.sink.events.size() == 1);
-  f.pass(6s);
-  f.shedding.sweep();
-  CHECK(f.sink.events.size() == 2);
-  CHECK_FALSE(f.shedding.active());
+TEST_CASE("load shedding: its start is reported once, its end after a while without a rejection") {
+  HostsFixture fixture(1);
+  fixture.shedding.recordShed();
+  fixture.shedding.recordShed();
+  REQUIRE(fixture.sink.events.size() == 1);
+  CHECK(fixture.shedding.active());
+  fixture.pass(5s);
+  fixture.shedding.sweep();
+  CHECK(fixture.sink.events.size() == 1);
+  fixture.pass(6s);
+  fixture.shedding.sweep();
+  CHECK(fixture.sink.events.size() == 2);
+  CHECK_FALSE(fixture.shedding.active());
 }
 
 namespace {
 
+enum class IdempotencyKey { present, missing };
+
+/// Two hosts in one zone and a third in another.
 struct RetryFixture : HostsFixture {
   RetryFixture() : HostsFixture(0) {
     announce(servingHost(0, {}, 1));
     announce(servingHost(1, {}, 1));
     announce(servingHost(2, {}, 2));
   }
-  RequestInFlight request(std::uint32_t method, Outcome outcome, bool hasKey = true) const {
-    RequestInFlight r{someRequest(method), kStart, nullptr};
-    r.request.hasIdempotencyKey = hasKey;
-    const bool ran = outcome != Outcome::rejected && outcome != Outcome::noConnection;
-    r.attempts.push_back({kFirst, kStart, nullptr, false, ran});
-    return r;
+  /// A request whose first attempt, at the first host, has ended in that way.
+  static RequestInFlight request(std::uint32_t method, Outcome outcome,
+                                 IdempotencyKey key = IdempotencyKey::present) {
+    RequestInFlight request{someRequest(method), kStart, nullptr};
+    request.request.hasIdempotencyKey = key == IdempotencyKey::present;
+    request.attempts.emplace_back(kFirst, kStart);
+    request.attempts.back().end(outcome);
+    return request;
   }
   RetryPolicy retries{context, hosts};
 };
@@ -281,54 +302,57 @@
 
 }  // namespace
 
-TEST_CASE("retry policy: where a request may go after an attempt that may have run") {
-  RetryFixture f;
-  CHECK(f.retries.allowsHost(f.request(0, Outcome::lost), kThird));
-  CHECK(f.retries.allowsHost(f.request(1, Outcome::lost), kThird));
-  CHECK_FALSE(f.retries.allowsHost(f.request(1, Outcome::lost, false), kThird));  // no key
-  CHECK(f.retries.allowsHost(f.request(2, Outcome::lost), kSecond));
-  CHECK_FALSE(f.retries.allowsHost(f.request(2, Outcome::lost), kThird));  // another zone
-  CHECK_FALSE(f.retries.allowsHost(f.request(3, Outcome::lost), kSecond));
-  CHECK(f.retries.allowsHost(f.request(3, Outcome::rejected), kSecond));
-  CHECK(f.retries.allowsHost(f.request(3, Outcome::noConnection), kSecond));
-  f.pass(100ms);  // the second zone-wide method's window is over
-  CHECK_FALSE(f.retries.allowsHost(f.request(2, Outcome::lost), kSecond));
-  CHECK(f.retries.allowsHost(f.request(1, Outcome::lost), kSecond));
+TEST_CASE(
+    "retry policy: after an attempt that may have run, only hosts that recognize the repeat are allowed") {
+  RetryFixture fixture;
+  CHECK(fixture.retries.allowsHost(fixture.request(0, Outcome::lost), kThird));
+  CHECK(fixture.retries.allowsHost(fixture.request(1, Outcome::lost), kThird));
+  CHECK_FALSE(fixture.retries.allowsHost(fixture.request(1, Outcome::lost, IdempotencyKey::missing),
+                                         kThird));  // no key
+  CHECK(fixture.retries.allowsHost(fixture.request(2, Outcome::lost), kSecond));
+  CHECK_FALSE(fixture.retries.allowsHost(fixture.request(2, Outcome::lost), kThird));  // another zone
+  CHECK_FALSE(fixture.retries.allowsHost(fixture.request(3, Outcome::lost), kSecond));
+  CHECK(fixture.retries.allowsHost(fixture.request(3, Outcome::rejected), kSecond));
+  CHECK(fixture.retries.allowsHost(fixture.request(3, Outcome::noConnection), kSecond));
+  fixture.pass(100ms);  // the second zone-wide method's window is over
+  CHECK_FALSE(fixture.retries.allowsHost(fixture.request(2, Outcome::lost), kSecond));
+  CHECK(fixture.retries.allowsHost(fixture.request(1, Outcome::lost), kSecond));
 }
 
-TEST_CASE("retry policy: a repeat must be written before the hosts forget the first attempt") {
-  RetryFixture f;
-  RequestInFlight request = f.request(1, Outcome::lost);
-  CHECK(f.retries.writeDeadline(request) == TimePoint::max());  // it is the last attempt itself
-  request.attempts.push_back({kSecond, kStart + 1s, nullptr});
-  CHECK(f.retries.writeDeadline(request) == kStart + 2s);
-  request.attempts[0].mayHaveRun = false;
-  CHECK(f.retries.writeDeadline(request) == TimePoint::max());
+TEST_CASE("retry policy: a repeat must be written while the hosts still recognize the first attempt") {
+  RetryFixture fixture;
+  RequestInFlight request = fixture.request(1, Outcome::lost);
+  CHECK(fixture.retries.writeDeadline(request) == TimePoint::max());  // it is the last attempt itself
+  request.attempts.emplace_back(kSecond, kStart + 1s);
+  CHECK(fixture.retries.writeDeadline(request) == kStart + 2s);
+  RequestInFlight notRun = fixture.request(1, Outcome::rejected);
+  notRun.attempts.emplace_back(kSecond, kStart + 1s);
+  CHECK(fixture.retries.writeDeadline(notRun) == TimePoint::max());
 }
 
-TEST_CASE("retry policy: retries keep to number, time and a budget that first attempts fill") {
-  RetryFixture f;
-  RequestInFlight request = f.request(0, Outcome::error);
-  CHECK(f.retries.allowsRetry(request));
-  request.attempts.resize(3);
-  CHECK_FALSE(f.retries.allowsRetry(request));  // three at most
-  request.attempts.resize(1);
-  for (int i = 0; i < 10; ++i) f.retries.attemptStarted(false);
-  CHECK_FALSE(f.retries.allowsRetry(request));
-  for (int i = 0; i < 11; ++i) f.retries.attemptStarted(true);
-  CHECK(f.retries.allowsRetry(request));
-  CHECK(f.retries.allowsHedge(request));
-  CHECK_FALSE(f.retries.allowsHedge(f.request(3, Outcome::lost)));
-  f.pass(500ms);  // the soft deadline
-  CHECK_FALSE(f.retries.allowsRetry(request));
+TEST_CASE("retry policy: retries are limited in number and time and by a budget that first attempts fill") {
+  RetryFixture fixture;
+  RequestInFlight request = fixture.request(0, Outcome::error);
+  CHECK(fixture.retries.allowsRetry(request));
+  request.attempts.resize(3, Attempt(kFirst, kStart));
+  CHECK_FALSE(fixture.retries.allowsRetry(request));  // three at most
+  request.attempts.resize(1, Attempt(kFirst, kStart));
+  for (int i = 0; i < 10; ++i) fixture.retries.attemptStarted(RetryPolicy::AttemptKind::further);
+  CHECK_FALSE(fixture.retries.allowsRetry(request));
+  for (int i = 0; i < 11; ++i) fixture.retries.attemptStarted(RetryPolicy::AttemptKind::first);
+  CHECK(fixture.retries.allowsRetry(request));
+  CHECK(fixture.retries.allowsHedge(request));
+  CHECK_FALSE(fixture.retries.allowsHedge(fixture.request(3, Outcome::lost)));
+  fixture.pass(500ms);  // the soft deadline
+  CHECK_FALSE(fixture.retries.allowsRetry(request));
 }
 
-TEST_CASE("retry policy: a request given up is rejected only where its client may repeat it") {
-  RetryFixture f;
-  CHECK(f.retries.clientMayRepeat(f.request(0, Outcome::lost)));
-  CHECK(f.retries.clientMayRepeat(f.request(1, Outcome::lost)));
-  CHECK_FALSE(f.retries.clientMayRepeat(f.request(1, Outcome::lost, false)));
-  CHECK_FALSE(f.retries.clientMayRepeat(f.request(2, Outcome::lost)));
-  CHECK_FALSE(f.retries.clientMayRepeat(f.request(3, Outcome::lost)));
-  CHECK(f.retries.clientMayRepeat(f.request(3, Outcome::rejected)));
+TEST_CASE("retry policy: a request that is given up is rejected only if its client may safely repeat it") {
+  RetryFixture fixture;
+  CHECK(fixture.retries.clientMayRepeat(fixture.request(0, Outcome::lost)));
+  CHECK(fixture.retries.clientMayRepeat(fixture.request(1, Outcome::lost)));
+  CHECK_FALSE(fixture.retries.clientMayRepeat(fixture.request(1, Outcome::lost, IdempotencyKey::missing)));
+  CHECK_FALSE(fixture.retries.clientMayRepeat(fixture.request(2, Outcome::lost)));
+  CHECK_FALSE(fixture.retries.clientMayRepeat(fixture.request(3, Outcome::lost)));
+  CHECK(fixture.retries.clientMayRepeat(fixture.request(3, Outcome::rejected)));
 }
--- a/tests/policy/policy_fixture.hpp
+++ b/tests/policy/policy_fixture.hpp
@@ -1,20 +1,22 @@
 #pragma once
 
-#include <string>
+#include <optional>
+#include <utility>
 #include <vector>
 
 #include "policy/engine_context.hpp"
 #include "util/host_table.hpp"
 
-/// What the tests of single policy classes share: a clock set by hand, a seeded random source, and a sink
-/// that writes down what it is asked for.
+/// What the tests of single policy classes share: a clock set by hand, a seeded random source, a sink that
+/// records what it is asked for, and settings, requests and results to start from.
 namespace merlinbridge::policy::testing {
 
 using namespace std::chrono_literals;
 
+/// Records what the engine or one of its parts asks for; answers nothing.
 struct RecordingSink final : DecisionSink {
   struct CounterCall {
-    CounterKey name;
+    CounterKey key;
     double units = 0;
   };
   struct Timer {
@@ -26,9 +28,7 @@
   void cancel(RequestId, AttemptNumber) override { ++cancelled; }
   void reject(RequestId, Duration) override { ++rejected; }
   void fail(RequestId) override { ++failed; }
-  void addToCounter(const CounterKey& name, double units, Duration) override {
-    calls.push_back({name, units});
-  }
+  void addToCounter(const CounterKey& key, double units, Duration) override { calls.push_back({key, units}); }
   void wakeAt(TimePoint at, TimerId id) override { timers.push_back({at, id}); }
   void report(EngineEvent event) override { events.push_back(event); }
 
@@ -36,7 +36,9 @@
   std::vector<CounterCall> calls;
   std::vector<Timer> timers;
   std::vector<EngineEvent> events;
-  int cancelled = 0, rejected = 0, failed = 0;
+  int cancelled = 0;
+  int rejected = 0;
+  int failed = 0;
 };
 
 /// One method of each kind, and a plan with a quota, one with a concurrency limit, one with a ceiling.
@@ -62,8 +64,10 @@
   return settings;
 }
 
+/// Start of the gateway process.
 inline constexpr TimePoint kStart{1000s};
 
+/// The context of the part that is tested, with its time set by hand.
 struct Fixture {
   explicit Fixture(const PolicySettings& settings = someSettings()) : context(settings, 7, kStart, sink) {}
 
--- a/tests/util_test.cpp
+++ b/tests/util_test.cpp
@@ -10,7 +10,7 @@
 using namespace merlinbridge::util;
 using namespace merlinbridge::policy::testing;
 
-TEST_CASE("decaying counter: an amount counts for 1/e after a time constant") {
+TEST_CASE("decaying counter: an amount counts for 1/e of itself after one time constant") {
   DecayingCounter counter;
   CHECK_FALSE(counter.hasCounted());
   CHECK(counter.read(kStart, 2) == 0);
@@ -22,8 +22,10 @@
   CHECK(counter.read(kStart + 2s, 2) == Approx(1 + 10 / std::exp(1)));
 }
 
-TEST_CASE("random source: the seed determines all draws, from 0 to under 1") {
-  RandomSource first(3), same(3), other(4);
+TEST_CASE("random source: the seed determines all draws, which are from 0 to below 1") {
+  RandomSource first(3);
+  RandomSource same(3);
+  RandomSource other(4);
   bool differs = false;
   int successes = 0;
   for (int i = 0; i < 1000; ++i) {
@@ -42,7 +44,7 @@
   CHECK_FALSE(first.bernoulli(0));
 }
 
-TEST_CASE("timer table: each callback runs once, and may set another") {
+TEST_CASE("timer table: each callback runs once and may add another timer") {
   TimerTable timers;
   int fired = 0;
   TimerId second;
@@ -59,7 +61,7 @@
   CHECK(fired == 11);
 }
 
-TEST_CASE("call pacer: calls start at its pace, and a stored burst is bounded") {
+TEST_CASE("call pacer: calls start at its pace, and unused calls add up to a bounded burst") {
   CallPacer pacer(2, kStart);
   const auto started = [&pacer](TimePoint now) {
     pacer.refill(now, 1);
@@ -74,7 +76,7 @@
   CHECK(started(kStart + 60s) == 2);  // one period's calls at most
 }
 
-TEST_CASE("call pacer: cuts come once in a period and keep to the least, raises to the most") {
+TEST_CASE("call pacer: the pace is cut once in a period at most and stays between its bounds") {
   CallPacer pacer(8, kStart);
   pacer.cut(0.5, 1, kStart, 1s);
   pacer.cut(0.5, 1, kStart + 500ms, 1s);
@@ -87,7 +89,7 @@
   CHECK(pacer.callsPerPeriod() == 10);
 }
 
-TEST_CASE("host table: updates, complete lists and groups") {
+TEST_CASE("host table: it follows updates and complete lists and knows which hosts share a group") {
   HostTable hosts;
   CHECK(hosts.update(servingHost(0, {}, 1)));
   CHECK(hosts.update(servingHost(1, {}, 1)));
@@ -104,7 +106,7 @@
   CHECK(hosts.update(servingHost(0, kStart, 1)));  // back
 }
 
-TEST_CASE("state notice: begin and end are told once each, not more often than the interval") {
+TEST_CASE("state notice: a condition's begin and end are reported once each, once in an interval at most") {
   RecordingSink sink;
   policy::StateNotice notice(EngineEvent::loadSheddingStarted, EngineEvent::loadSheddingStopped, 10s);
   notice.set(false, kStart, sink);
@@ -118,7 +120,7 @@
   CHECK(sink.events == std::vector{EngineEvent::loadSheddingStarted, EngineEvent::loadSheddingStopped});
 }
 
-TEST_CASE("JSON escapes: quotes, backslashes and control bytes, and nothing else") {
+TEST_CASE("JSON escapes: quotes, backslashes and control bytes are escaped, and nothing else") {
   CHECK(escapeJson("a \"b\" \\ c") == "a \\\"b\\\" \\\\ c");
   CHECK(escapeJson("line\nend\x01") == "line\\u000aend\\u0001");
   CHECK(escapeJson("gr\xc3\xbc\xc3\x9f/'") == "gr\xc3\xbc\xc3\x9f/'");
