--- a/src/util/call_pacer.hpp
+++ b/src/util/call_pacer.hpp
@@ -1,43 +1,44 @@
 #pragma once
 
-#include <algorithm>
-
 #include "policy_api/time.hpp"
 
 namespace merlinbridge::util {
 
-/// Starts calls at a pace that the caller raises and lowers: a token bucket of one call, or of one period's
-/// calls where these are more. The pace is in calls per period.
+/// Paces calls: a token bucket that holds one call, or one period's calls where these are more. The caller
+/// raises and cuts the pace, which is in calls per period, and states the period at each use.
 class CallPacer {
  public:
-  CallPacer(double callsPerPeriod, TimePoint now) : callsPerPeriod_(callsPerPeriod), refilledAt_(now) {}
+  /// `callsPerPeriod`: the pace at first, above 0. One call may start at once.
+  CallPacer(double callsPerPeriod, TimePoint now);
 
+  /// The present pace, above 0.
   double callsPerPeriod() const { return callsPerPeriod_; }
-  void raise(double by, double most) { callsPerPeriod_ = std::min(callsPerPeriod_ + by, most); }
-  /// Not more often than once in `period`; counts from the last cut.
-  void cut(double factor, double least, TimePoint now, Duration period) {
-    if (now < cutAt_ + period) return;
-    callsPerPeriod_ = std::max(callsPerPeriod_ * factor, least);
-    cutAt_ = now;
-  }
-
-  /// `period`: seconds, above 0. Call before `mayStart`.
-  void refill(TimePoint now, double period) {
-    const double gained = callsPerPeriod_ * seconds(now - refilledAt_) / period;
-    tokens_ = std::min(std::max(1.0, callsPerPeriod_), tokens_ + gained);
-    refilledAt_ = now;
-  }
+
+  /// Raises the pace by so many calls per period, to `most` at most.
+  void raise(double calls, double most);
+
+  /// Multiplies the pace by `factor`, below 1, to `least` at least. No effect within a period of the last
+  /// cut.
+  void cut(double factor, double least, TimePoint now, Duration period);
+
+  /// Adds the calls that have become due. `periodSeconds`: above 0. Call before mayStart().
+  void refill(TimePoint now, double periodSeconds);
+
+  /// Whether a call may start now.
   bool mayStart() const { return tokens_ >= 1; }
-  void start() { tokens_ -= 1; }
-  /// Until a call may start. At least a nanosecond: a timer that is due at once would fire for ever.
-  Duration untilNext(double period) const {
-    return std::max(Duration{1}, durationOf((1 - tokens_) * period / callsPerPeriod_));
-  }
+
+  /// A call starts; only where mayStart() is true.
+  void start();
+
+  /// Time until the next call may start. A nanosecond at least: a timer that is due at once would fire
+  /// without end.
+  Duration untilNext(double periodSeconds) const;
 
  private:
   double callsPerPeriod_;
-  double tokens_ = 1;
-  TimePoint refilledAt_, cutAt_{};
+  double tokens_ = 1;  ///< Calls that may start now.
+  TimePoint refilledAt_;
+  TimePoint cutAt_{};
 };
 
 }  // namespace merlinbridge::util
--- a/src/util/decaying_counter.hpp
+++ b/src/util/decaying_counter.hpp
@@ -6,22 +6,27 @@
 
 namespace merlinbridge::util {
 
-/// A sum that forgets: an amount added a time constant ago counts for 1/e of itself.
-/// The caller gives the same time constant, in seconds, at every call.
+/// A sum that decays exponentially: an amount added one time constant ago counts for 1/e of itself. Two
+/// numbers of state, so that a figure by host costs little; the caller therefore states the time constant at
+/// every call, in seconds, above 0 and always the same.
 class DecayingCounter {
  public:
+  /// The sum as of now. Times never go back.
   double read(TimePoint now, double timeConstant) const {
     return sum_ * std::exp(-seconds(now - updatedAt_) / timeConstant);
   }
+
+  /// Adds an amount, 0 or more.
   void add(TimePoint now, double timeConstant, double amount) {
     sum_ = read(now, timeConstant) + amount;
     updatedAt_ = now;
   }
+
   /// Whether a positive amount was ever added.
   bool hasCounted() const { return sum_ > 0; }
 
  private:
-  double sum_ = 0;
+  double sum_ = 0;  ///< As of the last add.
   TimePoint updatedAt_{};
 };
 
--- a/src/util/host_table.cpp
+++ b/src/util/host_table.cpp
@@ -4,34 +4,44 @@
 
 namespace merlinbridge::util {
 
+void HostTable::extendTo(std::size_t size) {
+  if (size <= serving_.size()) return;
+  serving_.resize(size);
+  zone_.resize(size);
+  cell_.resize(size);
+  startedAt_.resize(size);
+}
+
 bool HostTable::update(const HostUpdate& update) {
-  const std::size_t h = update.host.value;
-  if (h >= serving_.size()) {
-    serving_.resize(h + 1);
-    zone_.resize(h + 1);
-    cell_.resize(h + 1);
-    startedAt_.resize(h + 1);
-  }
-  const bool fresh = update.started != startedAt_[h] || !serving_[h];
-  servingCount_ += int{update.serving} - serving_[h];
-  serving_[h] = update.serving;
-  zone_[h] = update.zone;
-  cell_[h] = update.cell;
-  startedAt_[h] = update.started;
-  return fresh;
+  const std::size_t host = update.host.value;
+  extendTo(host + 1);
+  const bool restarted = update.started != startedAt_[host];
+  const bool isFresh = restarted || !serving_[host];
+  servingCount_ += int{update.serving} - serving_[host];
+  serving_[host] = update.serving;
+  zone_[host] = update.zone;
+  cell_[host] = update.cell;
+  startedAt_[host] = update.started;
+  return isFresh;
 }
 
 void HostTable::retainOnly(const std::vector<HostUpdate>& updates) {
-  std::vector<char> named(serving_.size(), 0);
+  std::vector<char> isListed(serving_.size(), 0);
   for (const HostUpdate& update : updates)
-    if (update.host.value < named.size()) named[update.host.value] = 1;
-  for (std::size_t h = 0; h < named.size(); ++h)
-    if (!named[h]) servingCount_ -= std::exchange(serving_[h], 0);
+    if (update.host.value < isListed.size()) isListed[update.host.value] = 1;
+  for (std::size_t host = 0; host < isListed.size(); ++host)
+    if (!isListed[host]) servingCount_ -= std::exchange(serving_[host], 0);
 }
 
 bool HostTable::inSameGroup(Group group, HostId first, HostId second) const {
-  if (group == Group::all) return true;
-  if (group == Group::zone) return zone_[first.value] == zone_[second.value];
+  switch (group) {
+    case Group::all:
+      return true;
+    case Group::zone:
+      return zone_[first.value] == zone_[second.value];
+    case Group::cell:
+      break;
+  }
   return cell_[first.value] == cell_[second.value];
 }
 
--- a/src/util/host_table.hpp
+++ b/src/util/host_table.hpp
@@ -7,33 +7,45 @@
 
 namespace merlinbridge::util {
 
-/// What discovery has announced of the hosts, as parallel arrays by HostId.
+/// What discovery has announced of the hosts, as parallel arrays by HostId. A host that was announced once
+/// stays in the table; it serves or it does not.
 class HostTable {
  public:
-  /// Takes over one update. True where the host is new, back or restarted: nothing seen of it holds any more.
+  /// Takes over one update. Returns true where the host is new, serves again or has restarted: figures seen
+  /// of it before do not hold any more.
   bool update(const HostUpdate& update);
-  /// Hosts that a complete list does not name serve no more.
+
+  /// Takes over that discovery's complete list has these hosts: the others do not serve any more. To be
+  /// followed by update() for each.
   void retainOnly(const std::vector<HostUpdate>& updates);
 
+  /// Hosts that were announced, serving or not: their ids are below this number.
   std::size_t size() const { return serving_.size(); }
+
   bool serving(HostId host) const { return serving_[host.value] != 0; }
   int servingCount() const { return servingCount_; }
+
+  /// When the host's process started; empty: long ago.
   std::optional<TimePoint> startedAt(HostId host) const { return startedAt_[host.value]; }
-  /// Whether a repeat at one host is recognized by the other.
+
+  /// Whether a repeat at one host is recognized by the other, for a method of that group.
   bool inSameGroup(Group group, HostId first, HostId second) const;
 
  private:
-  std::vector<char> serving_;
+  /// Extends the arrays to that many hosts.
+  void extendTo(std::size_t size);
+
+  std::vector<char> serving_;  ///< 1 or 0.
   std::vector<ZoneId> zone_;
   std::vector<CellId> cell_;
   std::vector<std::optional<TimePoint>> startedAt_;  ///< Empty: long ago.
   int servingCount_ = 0;
 };
 
-/// Calls back with every host's id, in ascending order.
+/// Calls `visit` with the id of every host that was announced, in ascending order.
 template <class Visit>
 void forEachHost(const HostTable& hosts, Visit visit) {
-  for (std::uint32_t h = 0; h < hosts.size(); ++h) visit(HostId{h});
+  for (std::uint32_t host = 0; host < hosts.size(); ++host) visit(HostId{host});
 }
 
 }  // namespace merlinbridge::util
