--- a/src/net/buffer.hpp
+++ b/src/net/buffer.hpp
@@ -8,52 +8,69 @@
 
 namespace merlinbridge::net {
 
-/// A connection's bytes: grows as it needs, is compacted in place, and gives its memory back when empty.
+/// A growing queue of bytes in one contiguous block: appended at the end, dropped from the front. It moves
+/// its bytes to the start of the block before it grows, grows by half at least, and gives a large block back
+/// as soon as it is empty. The owner bounds the size. Every function that is not const invalidates views and
+/// pointers into the buffer.
 class Buffer {
  public:
-  char* data() { return bytes_.get() + from_; }
-  std::size_t size() const { return to_ - from_; }
-  bool empty() const { return from_ == to_; }
-  std::string_view view() const { return {bytes_.get() + from_, size()}; }
+  char* data() { return block_.get() + begin_; }
+  std::size_t size() const { return end_ - begin_; }
+  bool empty() const { return begin_ == end_; }
+  std::string_view view() const { return {block_.get() + begin_, size()}; }
 
-  /// Room for n more bytes at the end, which may move those that are there.
-  char* room(std::size_t n) {
-    if (capacity_ - to_ >= n) return bytes_.get() + to_;
-    const std::size_t held = size();
-    if (capacity_ - held >= n && from_ >= held) {
-      std::memmove(bytes_.get(), bytes_.get() + from_, held);
+  /// Makes room for at least `bytes` more and returns where they go; commit() adds those that were written.
+  char* reserve(std::size_t bytes) {
+    if (capacity_ - end_ >= bytes) return block_.get() + end_;
+    const std::size_t used = size();
+    if (capacity_ - used >= bytes && begin_ >= used) {
+      std::memmove(block_.get(), block_.get() + begin_, used);
     } else {
-      capacity_ = std::max({held + n, capacity_ / 2 * 3, kInitialCapacity});
+      capacity_ = std::max({used + bytes, capacity_ / 2 * 3, kInitialCapacity});
       auto grown = std::make_unique_for_overwrite<char[]>(capacity_);
-      if (held > 0) std::memcpy(grown.get(), bytes_.get() + from_, held);
-      bytes_ = std::move(grown);
+      if (used > 0) std::memcpy(grown.get(), block_.get() + begin_, used);
+      block_ = std::move(grown);
     }
-    from_ = 0, to_ = held;
-    return bytes_.get() + to_;
+    begin_ = 0;
+    end_ = used;
+    return block_.get() + end_;
   }
-  std::size_t spare() const { return capacity_ - to_; }
-  void filled(std::size_t n) { to_ += n; }
+  /// Bytes that can be written behind the present ones without a further reserve().
+  std::size_t freeBytes() const { return capacity_ - end_; }
+  /// Adds `bytes` that were written where reserve() pointed; freeBytes() at the most.
+  void commit(std::size_t bytes) { end_ += bytes; }
+  /// Appends a copy of `text`, which must not point into the buffer.
   void add(std::string_view text) {
     if (text.empty()) return;
-    std::memcpy(room(text.size()), text.data(), text.size());
-    to_ += text.size();
+    std::memcpy(reserve(text.size()), text.data(), text.size());
+    end_ += text.size();
   }
-  void drop(std::size_t n) {
-    from_ += n;
-    if (from_ == to_) from_ = to_ = 0;
-    if (to_ == 0 && capacity_ > kRetainedCapacity) bytes_.reset(), capacity_ = 0;
+  /// Removes the first `bytes`; size() at the most.
+  void drop(std::size_t bytes) {
+    begin_ += bytes;
+    if (begin_ == end_) {
+      begin_ = 0;
+      end_ = 0;
+    }
+    if (end_ == 0 && capacity_ > kRetainedCapacity) {
+      block_.reset();
+      capacity_ = 0;
+    }
   }
-  /// Takes out what lies between two places, both counted from the start.
+  /// Removes the bytes from offset `from` up to, not including, offset `to`, both counted from the front.
   void cut(std::size_t from, std::size_t to) {
     if (from == to) return;
     std::memmove(data() + from, data() + to, size() - to);
-    to_ -= to - from;
+    end_ -= to - from;
   }
 
  private:
-  static constexpr std::size_t kInitialCapacity = 2048, kRetainedCapacity = 8192;
-  std::unique_ptr<char[]> bytes_;
-  std::size_t capacity_ = 0, from_ = 0, to_ = 0;
+  static constexpr std::size_t kInitialCapacity = 2048;   // bytes
+  static constexpr std::size_t kRetainedCapacity = 8192;  // bytes; an empty buffer keeps no larger block
+  std::unique_ptr<char[]> block_;
+  std::size_t capacity_ = 0;  ///< Of the block.
+  std::size_t begin_ = 0;     ///< Offsets of the bytes in the block.
+  std::size_t end_ = 0;
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -9,8 +9,8 @@
 namespace merlinbridge::net {
 namespace {
 
-// A timer that runs so much too late shows that the whole process was held up; the deadlines allow for less.
-constexpr Duration kHeldUpFrom = std::chrono::milliseconds(150);
+// Timers that run later than this show that the event loop stalled; the slack of the deadlines is smaller.
+constexpr Duration kStallThreshold = std::chrono::milliseconds(150);
 
 }  // namespace
 
@@ -20,15 +20,15 @@
   Error error;
   const auto host = asio::ip::make_address(address.substr(0, std::min(colon, address.size())), error);
   if (error || colon == std::string::npos) throw std::invalid_argument("'" + address + "' is no address");
-  const auto [end, fault] =
-      std::from_chars(address.data() + colon + 1, address.data() + address.size(), port);
-  if (fault != std::errc{} || end != address.data() + address.size())
+  const char* const textEnd = address.data() + address.size();
+  const auto [portEnd, portError] = std::from_chars(address.data() + colon + 1, textEnd, port);
+  if (portError != std::errc{} || portEnd != textEnd)
     throw std::invalid_argument("'" + address + "' has no port");
   return {host, port};
 }
 
-EventLoop::EventLoop(Log& lines, const Clock& clock)
-    : strand(io.get_executor()), log(lines), faults(lines), clock_(clock), timer_(strand) {}
+EventLoop::EventLoop(Log& eventLog, const Clock& clock)
+    : strand(io.get_executor()), log(eventLog), faults(eventLog), clock_(clock), timer_(strand) {}
 EventLoop::~EventLoop() = default;
 
 Connection* EventLoop::find(SlotRef ref) {
@@ -44,7 +44,7 @@
   connections_.drop(ref);
 }
 
-void EventLoop::run(const std::function<void()>& check) {
+void EventLoop::run(const PeriodicCheck& check) {
   while (!io.stopped()) {
     io.run_for(checkInterval_);
     if (io.stopped()) return;
@@ -54,8 +54,9 @@
   }
 }
 
-// Guards against a failed epoll_ctl, which Asio does not look at: a connection that is ready, and whose wait
-// has not ended once all that the system has passed on is handled, goes on as if it had.
+// Ends waits whose readiness the system does not report, as after a failed epoll_ctl, whose result Asio
+// ignores: a connection that poll() finds ready, and whose wait is still open once all pending events are
+// handled, goes on as if its wait had ended. See ReadinessWatchdog.
 void EventLoop::recoverMissedReadiness() {
   polled_.clear();
   polledConnections_.clear();
@@ -66,18 +67,18 @@
     polledConnections_.push_back(ref);
   });
   if (polled_.empty() || ::poll(polled_.data(), polled_.size(), 0) <= 0) return;
-  for (std::size_t n = 0; n < polled_.size(); ++n)
-    if (polled_[n].revents != 0) find(polledConnections_[n])->socket().readiness().markReady();
+  for (std::size_t row = 0; row < polled_.size(); ++row)
+    if (polled_[row].revents != 0) find(polledConnections_[row])->socket().readiness().markReady();
   io.poll();
-  for (std::size_t n = 0; n < polled_.size(); ++n)
-    if (Connection* const connection = find(polledConnections_[n])) connection->socket().endMissedWait();
+  for (const SlotRef ref : polledConnections_)
+    if (Connection* const connection = find(ref)) connection->socket().endMissedWait();
 }
 
 void EventLoop::endTurn() {
   runDue();
-  // By index: a flush may add to what is still to be flushed.
-  for (std::size_t n = 0; n < toFlush_.size(); ++n)  // NOLINT(modernize-loop-convert): grows meanwhile
-    if (Connection* const connection = find(toFlush_[n])) connection->flush();
+  // By index: a flush may add connections to be flushed.
+  for (std::size_t row = 0; row < toFlush_.size(); ++row)  // NOLINT(modernize-loop-convert): grows meanwhile
+    if (Connection* const connection = find(toFlush_[row])) connection->flush();
   toFlush_.clear();
   closing_.clear();
   if (const TimePoint next = deadlines.nextDueAt();
@@ -89,11 +90,12 @@
 void EventLoop::runDue() {
   const TimePoint due = deadlines.nextDueAt();
   if (due > now()) return;
-  if (now() - due >= kHeldUpFrom) faults.recordHeldUp(now(), now() - due);
+  if (now() - due >= kStallThreshold) faults.recordEventLoopStall(now(), now() - due);
   deadlines.run(now());
 }
 
-// A turn of its own for a deadline costs more than all else that it does: it comes only where none other did.
+// A turn that only runs deadlines costs more than the deadlines do, so the timer is set late by the
+// coalescing window: any earlier turn runs them in passing.
 void EventLoop::arm(TimePoint at) {
   armedFor_ = at;
   timer_.expires_after(std::max(Duration{0}, at - clock_.now()));
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -29,27 +29,40 @@
 
 class Connection;
 
-/// "10.0.0.4:8080"; throws std::invalid_argument.
+/// Parses "10.0.0.4:8080" or an IPv6 address with a port; names are not resolved. Throws
+/// std::invalid_argument.
 SocketAddress parseAddress(const std::string& address);
 
-/// The one thread's loop: all connections in numbered slots, all deadlines, and what every turn ends with.
+/// The event loop of the daemon's one thread. It owns all connections in numbered slots and all deadlines,
+/// and defines the turn: everything that one completion handler does, from its start to endTurn(). Every
+/// function is called on the strand.
+///
+/// Within a turn the time stands still, connections that are closed live on, and writes of sendLater() are
+/// collected; endTurn() runs what is due, flushes, destroys closed connections and sets the one system timer.
 class EventLoop {
  public:
-  EventLoop(Log& lines, const Clock&);
+  /// What run() calls after each check interval.
+  using PeriodicCheck = std::function<void()>;
+
+  /// `eventLog` and `clock` must outlive the loop.
+  EventLoop(Log& eventLog, const Clock& clock);
   ~EventLoop();
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  /// The time of this turn, read once.
+  /// The time of this turn; the clock is read once in a turn.
   TimePoint now() {
     if (!turnAt_) turnAt_ = clock_.now();
     return *turnAt_;
   }
+  /// The connection in that slot; nullptr if it has been closed, also if the slot is in use again.
   Connection* find(SlotRef);
+  /// The same for a connection of known kind. The caller knows that `ref` names a `Kind`; there is no check.
   template <class Kind>
   Kind* find(SlotRef ref) {
     return static_cast<Kind*>(find(ref));
   }
+  /// Creates a connection, `Kind(loop, args...)`, which the loop owns until closeDeferred().
   template <class Kind, class... Args>
   Kind& open(Args&&... args) {
     const SlotRef ref = connections_.add(std::make_unique<Kind>(*this, std::forward<Args>(args)...));
@@ -57,30 +70,37 @@
     made.assignSlot(ref);
     return made;
   }
-  /// What is due may wait for so long to ride on a turn that comes for something else.
-  void coalesceTimersWithin(Duration ride) { coalesceWithin_ = ride; }
-  /// After a shortage of this machine's, a call is made again after so long at first.
+  /// Deadlines may run up to `window` late, in the turn of another event, instead of in a turn of their own.
+  void coalesceTimersWithin(Duration window) { coalesceWithin_ = window; }
+  /// Sets the first pause before a call is repeated that failed for a shortage of this machine.
   void setRetryPause(Duration pause) { retryPause_ = pause; }
   Duration retryPause() const { return retryPause_; }
-  /// Closes a connection at once; it lives on until the turn ends.
+  /// Closes a connection's socket at once and frees its slot; the object lives on until the turn ends, so
+  /// that its callers on the stack may return through it. Has no effect if the connection is gone.
   void closeDeferred(SlotRef);
+  /// Calls the connection's flush() at the end of this turn.
   void flushLater(SlotRef ref) { toFlush_.push_back(ref); }
-  /// No wait of run() lasts longer.
+  /// Sets the longest time that run() waits without a check; see run().
   void setCheckInterval(Duration interval) { checkInterval_ = interval; }
-  /// Runs until `io` is stopped, and calls `check` after each interval: what is due is done then even where
-  /// the system has passed on neither the timer nor a connection's readiness.
-  void run(const std::function<void()>& check);
-  /// Every handler ends with it: what is due is done, what was put off is written, the timer is set.
+  /// Handles events until `io` is stopped. After each check interval it looks for missed readiness, calls
+  /// `check` and ends a turn, so that what is due is done even if the system has lost the timer or reports no
+  /// readiness.
+  void run(const PeriodicCheck& check);
+  /// Ends a turn; every completion handler calls it last. See the class.
   void endTurn();
 
-  asio::io_context io{BOOST_ASIO_CONCURRENCY_HINT_UNSAFE};  ///< one thread: no locks
-  Strand strand;
-  core::DeadlineQueue deadlines;
+  asio::io_context io{BOOST_ASIO_CONCURRENCY_HINT_UNSAFE};  ///< One thread: no locks.
+  Strand strand;                                            ///< The only one; all handlers run on it.
+  core::DeadlineQueue deadlines;                            ///< Its callbacks run in endTurn().
   Log& log;
-  FaultLog faults;
+  FaultLog faults;  ///< Failed system calls and stalls.
 
  private:
-  void arm(TimePoint);
+  /// Counts on the monotonic clock, whatever `clock_` is.
+  using SystemTimer = asio::basic_waitable_timer<std::chrono::steady_clock,
+                                                 asio::wait_traits<std::chrono::steady_clock>, Strand>;
+
+  void arm(TimePoint at);
   void runDue();
   void recoverMissedReadiness();
 
@@ -88,15 +108,16 @@
   Duration coalesceWithin_{0};
   Duration checkInterval_ = std::chrono::milliseconds(125);
   Duration retryPause_ = std::chrono::milliseconds(5);
-  std::optional<TimePoint> turnAt_;
+  std::optional<TimePoint> turnAt_;  ///< Empty until now() is called in this turn.
   core::SlotTable<std::unique_ptr<Connection>> connections_;
-  std::vector<std::unique_ptr<Connection>> closing_;
+  std::vector<std::unique_ptr<Connection>> closing_;  ///< Closed in this turn.
   std::vector<SlotRef> toFlush_;
-  std::vector<pollfd> polled_;  ///< Of recoverMissedReadiness(): with `polledConnections_`.
+  /// Of recoverMissedReadiness(), kept to reuse their memory: row by row, what is polled and for which
+  /// connection.
+  std::vector<pollfd> polled_;
   std::vector<SlotRef> polledConnections_;
-  asio::basic_waitable_timer<std::chrono::steady_clock, asio::wait_traits<std::chrono::steady_clock>, Strand>
-      timer_;
-  TimePoint armedFor_ = TimePoint::max();
+  SystemTimer timer_;
+  TimePoint armedFor_ = TimePoint::max();  ///< When the system timer fires; max() if it is not set.
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/fault_log.cpp
+++ b/src/net/fault_log.cpp
@@ -6,6 +6,7 @@
 namespace merlinbridge::net {
 namespace {
 
+// Between two lines of one kind.
 constexpr Duration kLogInterval = std::chrono::seconds(10);
 
 }  // namespace
@@ -49,20 +50,21 @@
        LogField{"action", consequence}, LogField{"since_last_line", std::exchange(count.sinceLogged, 0)});
 }
 
-void FaultLog::recordHeldUp(TimePoint now, Duration late) {
-  longestHeldUp_ = std::max(longestHeldUp_, late);
-  if (!countedDueForLog(heldUp_, now)) return;
+void FaultLog::recordEventLoopStall(TimePoint now, Duration late) {
+  longestStall_ = std::max(longestStall_, late);
+  if (!countedDueForLog(eventLoopStalls_, now)) return;
   log_(LogEvent::eventLoopStalled,
-       LogField{"late_ms", std::chrono::duration_cast<std::chrono::milliseconds>(longestHeldUp_).count()},
-       LogField{"since_last_line", std::exchange(heldUp_.sinceLogged, 0)});
-  longestHeldUp_ = Duration{0};
+       LogField{"late_ms", std::chrono::duration_cast<std::chrono::milliseconds>(longestStall_).count()},
+       LogField{"since_last_line", std::exchange(eventLoopStalls_.sinceLogged, 0)});
+  longestStall_ = Duration{0};
 }
 
 void FaultLog::logTotals() {
   for (const auto& [kind, count] : failures_)
     log_(LogEvent::systemCallFailuresTotal, LogField{"call", nameOf(kind.first)},
          LogField{"error", errorText(kind.second)}, LogField{"count", count.total});
-  if (heldUp_.total > 0) log_(LogEvent::eventLoopStallsTotal, LogField{"count", heldUp_.total});
+  if (eventLoopStalls_.total > 0)
+    log_(LogEvent::eventLoopStallsTotal, LogField{"count", eventLoopStalls_.total});
 }
 
 }  // namespace merlinbridge::net
--- a/src/net/stream_reader.cpp
+++ b/src/net/stream_reader.cpp
@@ -34,7 +34,8 @@
       }
       if (!writer_.allWritten()) continue;
       lastStatus_ = readMessages();
-      if (lastStatus_ == CallStatus::ended || lastStatus_ == CallStatus::broken) return callbacks_.onClosed();
+      if (lastStatus_ == CallStatus::endOfStream || lastStatus_ == CallStatus::broken)
+        return callbacks_.onClosed();
       if (lastStatus_ == CallStatus::shortage) {
         yield socket_.retryLater(ConnectionStep::read);
       }
@@ -65,14 +66,14 @@
 CallStatus StreamReader::fill() {
   const std::size_t sizeBefore = buffer_.size();
   do {
-    char* const into = buffer_.room(buffer_.size() == sizeBefore ? kMinReadSize : 1);
-    const CallResult got = receive(socket_.descriptor(), into, buffer_.spare());
-    if (got.status == CallStatus::ended) socket_.recordPeerEnd();
+    char* const into = buffer_.reserve(buffer_.size() == sizeBefore ? kMinReadSize : 1);
+    const CallResult got = receive(socket_.descriptor(), into, buffer_.freeBytes());
+    if (got.status == CallStatus::endOfStream) socket_.recordPeerEnd();
     socket_.recordResult(SystemCall::receive, got);
-    const bool over = got.status == CallStatus::ended || got.status == CallStatus::broken;
+    const bool over = got.status == CallStatus::endOfStream || got.status == CallStatus::broken;
     if (got.status != CallStatus::done)
       return over || buffer_.size() == sizeBefore ? got.status : CallStatus::done;
-    buffer_.filled(got.bytes);
+    buffer_.commit(got.bytes);
   } while (buffer_.size() < callbacks_.readAheadLimit());
   return CallStatus::done;
 }
--- a/src/net/system_calls.cpp
+++ b/src/net/system_calls.cpp
@@ -9,23 +9,26 @@
 namespace merlinbridge::net {
 namespace {
 
-// A call that is interrupted more often than that in a row is left for later.
+// Repeats of one interrupted call; after that, the interruption counts as a shortage.
 constexpr int kMaxInterruptions = 64;
 
-/// Makes the call again while a signal interrupts it. What it returned, with errno as the last call left it.
+// Repeats the call while a signal interrupts it. Returns the last call's result, with errno as that left it.
 template <class Call>
 auto uninterrupted(const Call& call) {
   auto result = call();
-  for (int n = 0; result < 0 && errno == EINTR && n < kMaxInterruptions; ++n) result = call();
+  for (int repeats = 0; result < 0 && errno == EINTR && repeats < kMaxInterruptions; ++repeats)
+    result = call();
   return result;
 }
 
+// EINTR: interrupted more than kMaxInterruptions times in a row.
 bool isShortage(int error) {
   return error == ENFILE || error == EMFILE || error == ENOBUFS || error == ENOMEM || error == ENOSPC ||
          error == EINTR;
 }
 
-CallResult failureOfTransfer() {
+// The failure of a call on an established connection or a listener, from errno.
+CallResult failureFromErrno() {
   const int error = errno;
   if (error == EAGAIN || error == EWOULDBLOCK) return {CallStatus::wouldBlock, 0, error};
   return {isShortage(error) ? CallStatus::shortage : CallStatus::broken, 0, error};
@@ -33,12 +36,12 @@
 
 CallResult receiveWith(int flags, int socket, char* into, std::size_t size) {
   const ssize_t got = uninterrupted([&] { return ::recv(socket, into, size, flags | MSG_DONTWAIT); });
-  if (got < 0) return failureOfTransfer();
-  if (got == 0) return {CallStatus::ended};
+  if (got < 0) return failureFromErrno();
+  if (got == 0) return {CallStatus::endOfStream};
   return {CallStatus::done, static_cast<std::size_t>(got)};
 }
 
-// What connect() says of this machine alone: its ports, its routes, its firewall.
+// Errors of connect() whose cause is this machine: its ports, its routes, its firewall.
 bool isLocalFailureOfConnect(int error) {
   return isShortage(error) || error == EADDRNOTAVAIL || error == EADDRINUSE || error == EAGAIN ||
          error == ENETUNREACH || error == ENETDOWN || error == EPERM || error == EACCES;
@@ -51,7 +54,7 @@
   return *this;
 }
 
-// The descriptor is given back even where close() reports an error.
+// Linux frees the descriptor even if close() reports an error: no repeat.
 Descriptor::~Descriptor() {
   if (number_ >= 0) ::close(number_);
 }
@@ -75,15 +78,16 @@
   message.msg_iovlen = count;
   const ssize_t sent =
       uninterrupted([&] { return ::sendmsg(socket, &message, MSG_NOSIGNAL | MSG_DONTWAIT); });
-  if (sent < 0) return failureOfTransfer();
+  if (sent < 0) return failureFromErrno();
   return {CallStatus::done, static_cast<std::size_t>(sent)};
 }
 
-// Linux passes errors that wait on the new connection on as accept's own: they concern that connection alone.
+// On Linux, accept() also returns errors that are pending on the new connection: these concern that
+// connection alone, and the listener goes on.
 CallResult acceptConnection(int listener, Descriptor& accepted) {
   const int number =
       uninterrupted([&] { return ::accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC); });
-  if (number < 0) return failureOfTransfer();
+  if (number < 0) return failureFromErrno();
   accepted = Descriptor(number);
   return {};
 }
@@ -96,7 +100,7 @@
   return {};
 }
 
-// An interrupted connect goes on by itself; made again, it would say that it is on its way already.
+// An interrupted connect() goes on by itself; a repeat would only return EALREADY.
 CallResult startConnect(int socket, const sockaddr* address, socklen_t size) {
   if (::connect(socket, address, size) == 0 || errno == EISCONN) return {};
   const int error = errno;
@@ -104,8 +108,8 @@
   return {isLocalFailureOfConnect(error) ? CallStatus::shortage : CallStatus::broken, 0, error};
 }
 
-// What is told only after the connection was on its way, as that a network cannot be reached, comes from the
-// way to the peer.
+// Unlike in startConnect(), an error such as ENETUNREACH comes from the network here and not from this
+// machine.
 CallResult connectResult(int socket) {
   pollfd ready{socket, POLLOUT, 0};
   const int count = uninterrupted([&] { return ::poll(&ready, 1, 0); });
--- a/src/net/system_calls.hpp
+++ b/src/net/system_calls.hpp
@@ -7,26 +7,28 @@
 #include <string_view>
 #include <utility>
 
-// The socket calls of the gateway. None of them waits, whatever the descriptor's own mode; one that a signal
-// interrupts is made again; and each says what its failure means, so that nothing that passes in a moment is
-// taken for the end of a connection.
+// The socket calls of the gateway. None of them blocks, whatever the descriptor's mode; a call that a signal
+// interrupts is repeated; and each classifies its failure, so that a passing shortage of this machine is not
+// taken for the end of a connection. Descriptors are borrowed unless a Descriptor takes ownership.
 namespace merlinbridge::net {
 
+/// What a socket call's return means for the connection.
 enum class CallStatus {
   done,
-  wouldBlock,  ///< Nothing is to be done until the descriptor is ready.
-  shortage,    ///< This machine lacks something for the moment; nothing was done, and soon it may succeed.
-  ended,       ///< The peer has ended its stream in good order.
-  broken       ///< The connection, or the one that was about to be accepted, is no more.
+  wouldBlock,   ///< Nothing can be done until the descriptor is ready.
+  shortage,     ///< This machine lacks a resource; nothing was done, and a later try may succeed.
+  endOfStream,  ///< The peer has ended its stream in good order.
+  broken        ///< The connection, or the one about to be accepted, no longer exists.
 };
 
+/// The result of a socket call.
 struct CallResult {
   CallStatus status = CallStatus::done;
-  std::size_t bytes = 0;
-  int error = 0;  ///< The errno behind the status; 0 where there is none.
+  std::size_t bytes = 0;  ///< Transferred; 0 unless `done`.
+  int error = 0;          ///< The errno behind the status; 0 if there is none.
 };
 
-/// Owns a file descriptor.
+/// Owns a file descriptor and closes it.
 class Descriptor {
  public:
   Descriptor() = default;
@@ -38,31 +40,35 @@
   ~Descriptor();
 
   int get() const { return number_; }
+  /// Gives the descriptor to the caller, which closes it from then on.
   int release() { return std::exchange(number_, -1); }
   explicit operator bool() const { return number_ >= 0; }
 
  private:
-  int number_ = -1;
+  int number_ = -1;  ///< Negative for none.
 };
 
-/// done: at least one byte was read.
+/// Reads up to `size` bytes into `into`. `done`: at least one byte was read.
 CallResult receive(int socket, char* into, std::size_t size);
-/// done: at least one byte could be read; none is taken.
+/// Looks for unread bytes without taking them. `done`: at least one byte can be read.
 CallResult peek(int socket);
 
-/// What is sent with one call; parts may be empty.
+/// What one call sends, in order; parts may be empty.
 using SendParts = std::array<std::string_view, 4>;
-/// done: as many bytes as it says were taken, perhaps not all.
+/// Writes the parts with one call. `done`: `bytes` of them were taken, perhaps not all. Never raises SIGPIPE.
 CallResult send(int socket, const SendParts& parts);
 
-/// A new connection, which does not block and is closed on exec, goes to `accepted`.
+/// Accepts one connection. `done`: `accepted` owns its socket, which is non-blocking and closed on exec.
 CallResult acceptConnection(int listener, Descriptor& accepted);
-/// A stream socket, which does not block and is closed on exec, goes to `opened`.
+/// Opens a stream socket of the address family `family` (AF_INET, AF_INET6). `done`: `opened` owns it; it is
+/// non-blocking and closed on exec. Otherwise `shortage`.
 CallResult openStream(int family, Descriptor& opened);
-/// wouldBlock: it is on its way; once the socket is ready to write, connectResult() tells how it ended.
+/// Starts to connect. `wouldBlock`: under way; once the socket is writable, connectResult() tells the
+/// outcome. A port, route or firewall rule that this machine lacks is a `shortage`.
 CallResult startConnect(int socket, const sockaddr* address, socklen_t size);
+/// The outcome of a connect that was under way; `wouldBlock` if it still is.
 CallResult connectResult(int socket);
-/// The peer has ended or reset, though not all that it sent is read yet.
+/// Returns true if the peer has ended its stream or reset it, even if not all it sent has been read.
 bool peerHungUp(int socket);
 
 }  // namespace merlinbridge::net
