--- /dev/null
+++ b/src/net/discovery/poll_connection.hpp
@@ -0,0 +1,31 @@
+#pragma once
+
+#include <string_view>
+
+#include "http/message.hpp"
+#include "net/connection.hpp"
+#include "net/discovery/discovery_response_owner.hpp"
+
+namespace merlinbridge::net {
+
+/// One poll: a request to discovery for the whole endpoint list. It ends as failed after a heartbeat interval
+/// and a connect timeout, the time to dial included. The event loop owns the connection.
+class PollConnection final : public Connection {
+ public:
+  /// `message`: the whole HTTP request, written once the connection is up.
+  PollConnection(EventLoop&, DiscoveryResponseOwner&, Duration connectTimeout, std::string_view message);
+
+ private:
+  void onData() override;
+  void onClosed() override { finish(DiscoveryOutcome::failed); }
+  bool expectsMore() const override { return message_.begun(); }
+  TimePoint waitDeadline() const override { return deadline_; }
+  void onTimeout() override { finish(DiscoveryOutcome::failed); }
+  void finish(DiscoveryOutcome outcome) { owner_.requestEnded(ref(), outcome); }
+
+  DiscoveryResponseOwner& owner_;
+  http::Message message_;
+  const TimePoint deadline_;
+};
+
+}  // namespace merlinbridge::net
--- /dev/null
+++ b/src/net/discovery/watch_connection.cpp
@@ -0,0 +1,106 @@
+#include "net/discovery/watch_connection.hpp"
+
+#include <algorithm>
+#include <string>
+#include <utility>
+
+namespace merlinbridge::net {
+namespace {
+
+constexpr int kStatusOk = 200;
+
+}  // namespace
+
+WatchConnection::WatchConnection(EventLoop& loop, DiscoveryResponseOwner& owner, Duration connectTimeout,
+                                 std::string_view message)
+    : Connection(loop), owner_(owner), connectTimeout_(connectTimeout), lastHeardAt_(loop.now()) {
+  send({message});
+}
+
+void WatchConnection::onData() {
+  lastHeardAt_ = loop_.now();
+  if (state_ == State::readingHead && !readHead()) return;
+  const http::Chunks::End end = decodeBody();
+  readEndpointLists();
+  if (isUp() && (end != http::Chunks::End::more || decodedBytes_ > kMaxEndpointListBytes)) onClosed();
+}
+
+// Returns true once the head is complete and announces a watch; what follows it in the buffer is the body.
+bool WatchConnection::readHead() {
+  const auto stage = head_.advance(buffer_.data(), buffer_.size());
+  if (stage == http::Message::Stage::head) return false;
+  if (stage == http::Message::Stage::bad || head_.status() != kStatusOk) {
+    onClosed();
+    return false;
+  }
+  state_ = State::readingBody;
+  buffer_.drop(head_.bodyAt());
+  return true;
+}
+
+http::Chunks::End WatchConnection::decodeBody() {
+  if (!head_.chunked()) {
+    decodedBytes_ = buffer_.size();
+    return http::Chunks::End::more;
+  }
+  std::size_t raw = decodedBytes_;
+  const auto end = chunks_.take(buffer_.data(), decodedBytes_, raw, buffer_.size());
+  buffer_.cut(decodedBytes_, raw);
+  return end;
+}
+
+void WatchConnection::readEndpointLists() {
+  using End = config::JsonStreamSplitter::End;
+  while (isUp()) {
+    const std::size_t splitBefore = splitter_.at();
+    const bool begunBefore = splitter_.begun();
+    const End end = splitter_.take(buffer_.view().substr(0, decodedBytes_));
+    if (end == End::bad) return onClosed();
+    trackObject(splitBefore, begunBefore, end);
+    std::string list;
+    if (end == End::object) list = buffer_.view().substr(splitter_.from(), splitter_.at() - splitter_.from());
+    dropSplit();
+    if (end == End::more) return;
+    if (!owner_.applyEndpointList(std::move(list))) return onClosed();
+  }
+}
+
+// Notes when the present object began, and reports what came apart from the bytes of an incomplete object.
+void WatchConnection::trackObject(std::size_t splitBefore, bool begunBefore,
+                                  config::JsonStreamSplitter::End end) {
+  if (!begunBefore && (splitter_.begun() || end == config::JsonStreamSplitter::End::object))
+    objectBegunAt_ = loop_.now();
+  if (splitBytes() > splitBefore) owner_.watchHeard();
+}
+
+// Drops what is complete from the buffer: whole objects, and what stands between them.
+void WatchConnection::dropSplit() {
+  const std::size_t bytes = splitBytes();
+  if (bytes == 0) return;
+  buffer_.drop(bytes);
+  decodedBytes_ -= bytes;
+  splitter_.dropped(bytes);
+}
+
+void WatchConnection::onClosed() {
+  const bool rejected = head_.stage() == http::Message::Stage::done && head_.status() != kStatusOk;
+  owner_.requestEnded(ref(), rejected ? DiscoveryOutcome::rejected : DiscoveryOutcome::failed);
+}
+
+bool WatchConnection::expectsMore() const {
+  return state_ == State::readingBody ? splitter_.begun() : head_.begun();
+}
+
+// Discovery sends a heartbeat every kHeartbeatInterval: a peer that vanished without closing the connection
+// is detected by its absence. An object that is begun and never completed counts as silence, too, even if
+// heartbeats come inside of it.
+TimePoint WatchConnection::waitDeadline() const {
+  if (!isUp()) return waitStartedAt() + connectTimeout_;
+  return waitStartedAt() + kHeartbeatInterval + connectTimeout_;
+}
+
+TimePoint WatchConnection::waitStartedAt() const {
+  return splitter_.begun() ? std::min(objectBegunAt_, lastHeardAt_) : lastHeardAt_;
+}
+
+}  // namespace merlinbridge::net
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -42,8 +42,8 @@
       hosts_(loop, shareOf(config.sockets), config.idle, config.settings.connectTimeout),
       counter_(loop, config.counter,
                {config.settings.counterTimeout, config.settings.connectTimeout, config.idle}),
-      watch_(loop, config.discovery, config.known.generation, config.settings.connectTimeout,
-             config.drainGrace, config.seed),
+      discovery_(loop, config.discovery, config.known.generation, config.settings.connectTimeout,
+                 config.drainGrace, config.seed),
       core_(config, loop.now(), loop.deadlines, *this) {
   loop_.setCheckInterval(config.settings.connectTimeout / kCheckIntervalParts);
   loop_.setRetryPause(config.settings.connectTimeout / kRetryPauseParts);
@@ -52,14 +52,14 @@
 void Server::serve() {
   hosts_.serve(core_);
   counter_.serve(core_);
-  watch_.serve(core_);
+  discovery_.serve(core_);
   clients_.serve(core_);
   clients_.setReady(true);
 }
 
 void Server::moveTo(const std::string& discovery, const std::string& counter) {
   if (!counter.empty()) parseAddress(counter);
-  watch_.moveTo(discovery);
+  discovery_.setAddress(discovery);
   counter_.setAddress(counter);
 }
 
--- a/src/net/server.hpp
+++ b/src/net/server.hpp
@@ -6,7 +6,7 @@
 #include "gateway_core/gateway_core.hpp"
 #include "net/client/client_listener.hpp"
 #include "net/counter/counter_client.hpp"
-#include "net/discovery/discovery_watch.hpp"
+#include "net/discovery/discovery_client.hpp"
 #include "net/upstream/upstream_pool.hpp"
 
 namespace merlinbridge::net {
@@ -55,7 +55,7 @@
   ClientListener clients_;
   UpstreamPool hosts_;
   CounterClient counter_;
-  DiscoveryWatch watch_;
+  DiscoveryClient discovery_;
   std::string message_;  ///< The request that is being written to a host.
   core::GatewayCore core_;
 };
