--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -1,22 +1,15 @@
 #include "config/operator_config.hpp"
 
-#include <array>
-#include <utility>
-
 #include "config/toml_table.hpp"
 
 namespace merlinbridge::config {
 namespace {
 
-constexpr std::array kForms = std::to_array<std::pair<std::string_view, Log::Form>>(
-    {{"text", Log::Form::text}, {"json", Log::Form::json}});
-constexpr std::array kLevels = std::to_array<std::pair<std::string_view, Level>>(
-    {{"debug", Level::debug}, {"info", Level::info}, {"warning", Level::warning}, {"error", Level::error}});
 constexpr int kMaxReloadRetries = 12;
 
 void readLog(TomlTable log, OperatorConfig& config) {
-  config.form = log.oneOf<Log::Form>("form", config.form, kForms);
-  config.level = log.oneOf<Level>("level", config.level, kLevels);
+  config.form = log.oneOf<LogForm>("form", config.form, kLogFormNames);
+  config.level = log.oneOf<Level>("level", config.level, kLevelNames);
   log.done();
 }
 
--- a/src/config/operator_config.hpp
+++ b/src/config/operator_config.hpp
@@ -10,7 +10,7 @@
 
 /// What the operators set themselves, beside what the platform sets. Every key may be missing.
 struct OperatorConfig {
-  Log::Form form = Log::Form::text;
+  LogForm form = LogForm::text;
   Level level = Level::info;
   /// After SIGTERM, all that comes is answered for so long.
   Duration acceptFor = std::chrono::milliseconds(700);
--- a/src/daemon/commands.cpp
+++ b/src/daemon/commands.cpp
@@ -19,10 +19,6 @@
 ExitCode serve(const ConfigSources& sources, const std::vector<std::string>& warnings) {
   LogStream standardError(STDERR_FILENO);
   Log log(standardError, Level::info);
-  const auto fail = [&log](ExitCode code, LogEvent event, const std::exception& e) {
-    log(event, LogField{"error", std::string_view(e.what())});
-    return code;
-  };
   try {
     const auto warnOfRetry = [&log](std::string_view error) {
       log(LogEvent::startRetried, LogField{"error", error});
@@ -30,22 +26,25 @@
     const config::OperatorConfig operatorConfig =
         retryWhileStarting([&sources] { return sources.readOperator(); }, warnOfRetry);
     log.configure(operatorConfig.level, operatorConfig.form);
-    for (const std::string& warning : warnings) log(LogEvent::settingRenamed, LogField{"detail", warning});
-    for (const std::string& warning : operatorConfig.warnings)
-      log(LogEvent::settingRenamed, LogField{"detail", warning});
+    for (const auto& renamed : {warnings, operatorConfig.warnings})
+      for (const std::string& warning : renamed) log(LogEvent::settingRenamed, LogField{"detail", warning});
     const auto signals = retryWhileStarting([] { return std::make_unique<SignalWatch>(); }, warnOfRetry);
     const auto daemon = retryWhileStarting(
         [&] { return std::make_unique<Daemon>(sources, operatorConfig, *signals, log); }, warnOfRetry);
     daemon->run();
     return kDone;
-  } catch (const config::ConfigError& e) {
-    return fail(kBadInput, LogEvent::configInvalid, e);
   } catch (const config::TomlError& e) {
-    return fail(kBadInput, LogEvent::operatorConfigInvalid, e);
-  } catch (const std::invalid_argument& e) {
-    return fail(kBadInput, LogEvent::configInvalid, e);
+    log(LogEvent::operatorConfigInvalid, LogField{"error", std::string_view(e.what())});
+    return kBadInput;
+  } catch (const config::ConfigError& e) {
+    log(LogEvent::configInvalid, LogField{"error", std::string_view(e.what())});
+    return kBadInput;
+  } catch (const std::invalid_argument& e) {  // an address of the platform's file
+    log(LogEvent::configInvalid, LogField{"error", std::string_view(e.what())});
+    return kBadInput;
   } catch (const std::exception& e) {
-    return fail(kFailed, LogEvent::fatalError, e);
+    log(LogEvent::fatalError, LogField{"error", std::string_view(e.what())});
+    return kFailed;
   }
 }
 
--- a/src/daemon/config_sources.cpp
+++ b/src/daemon/config_sources.cpp
@@ -56,11 +56,7 @@
 config::OperatorConfig ConfigSources::readOperator() const {
   config::OperatorConfig read;
   if (!operatorFile.empty()) read = config::readOperatorConfig(readFile(operatorFile), operatorFile);
-  const std::string level = environmentVariable("GW_LOG_LEVEL");
-  if (level == "debug") read.level = Level::debug;
-  if (level == "info") read.level = Level::info;
-  if (level == "warning") read.level = Level::warning;
-  if (level == "error") read.level = Level::error;
+  read.level = levelNamed(environmentVariable("GW_LOG_LEVEL")).value_or(read.level);
   return read;
 }
 
--- a/src/daemon/log_stream.cpp
+++ b/src/daemon/log_stream.cpp
@@ -1,6 +1,5 @@
 #include "daemon/log_stream.hpp"
 
-#include <fmt/format.h>
 #include <poll.h>
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -8,7 +7,7 @@
 
 #include <cerrno>
 
-#include "util/log_event.hpp"
+#include "util/log.hpp"
 
 namespace merlinbridge::daemon {
 namespace {
@@ -22,9 +21,11 @@
   return ::fstat(descriptor, &status) == 0 && S_ISSOCK(status.st_mode);
 }
 
+// In text form whatever form the other lines have: a stream of characters does not know it.
 std::string droppedLine(std::uint64_t dropped) {
-  const LogEventInfo& info = infoOf(LogEvent::logLinesDropped);
-  return fmt::format("{}: {}: {} count={}\n", nameOf(info.level), info.name, info.message, dropped);
+  std::string line = formatLogLine(LogForm::text, LogEvent::logLinesDropped, LogField{"count", dropped});
+  line += '\n';
+  return line;
 }
 
 }  // namespace
--- a/src/util/log.hpp
+++ b/src/util/log.hpp
@@ -4,17 +4,34 @@
 #include <spdlog/logger.h>
 #include <spdlog/sinks/ostream_sink.h>
 
+#include <array>
 #include <memory>
 #include <ostream>
 #include <string>
 #include <string_view>
+#include <utility>
 
 #include "util/json_escape.hpp"
 #include "util/log_event.hpp"
 
+/// The log and the form of its lines, in one place: how level, event, message and fields become text. A line
+/// is one of
+///
+///     warning: discovery_unreachable: discovery unreachable, keeping the last endpoint list generation=41
+///     {"level":"warning","event":"discovery_unreachable","text":"discovery unreachable, ... generation=41"}
 namespace merlinbridge {
 
-/// A key and its value in a log line. The value must outlive the call that logs it.
+/// The two forms of a log line.
+enum class LogForm {
+  text,  ///< `level: event: message key=value ...`
+  json   ///< One object with the strings level, event and text; text is the message and the fields as above.
+};
+
+/// The forms as they are called in [log] form.
+inline constexpr std::array<std::pair<std::string_view, LogForm>, 2> kLogFormNames{
+    {{"text", LogForm::text}, {"json", LogForm::json}}};
+
+/// A key and its value in a log line. Refers to the value, which must outlive the call that formats the line.
 template <class Value>
 struct LogField {
   std::string_view key;
@@ -23,65 +40,59 @@
 template <class Value>
 LogField(std::string_view, const Value&) -> LogField<Value>;
 
-/// Writes log lines of a minimum level, each as text or as a JSON object:
-///
-///     warning: discovery_unreachable: discovery unreachable, keeping the last endpoint list generation=41
-///     {"level":"warning","event":"discovery_unreachable","text":"discovery unreachable, ... generation=41"}
-///
-/// A value that is empty or holds spaces or quotes stands in double quotes. Not thread-safe.
+/// Appends ` key=value`. A value that is empty or holds spaces or double quotes stands in double quotes;
+/// double quotes within it are left as they are.
+inline void appendLogField(std::string& text, std::string_view key, std::string_view value) {
+  const bool quoted = value.empty() || value.find_first_of(" \"") != std::string_view::npos;
+  text += quoted ? fmt::format(" {}=\"{}\"", key, value) : fmt::format(" {}={}", key, value);
+}
+
+/// The whole line of an event, without the line feed: its message from the catalogue, then the fields in the
+/// order given, each value as fmt writes it.
+template <class... Values>
+std::string formatLogLine(LogForm form, LogEvent event, const LogField<Values>&... fields) {
+  const LogEventInfo& info = infoOf(event);
+  std::string text(info.message);
+  (appendLogField(text, fields.key, fmt::format("{}", fields.value)), ...);
+  if (form == LogForm::text) return fmt::format("{}: {}: {}", nameOf(info.level), info.name, text);
+  return fmt::format(R"({{"level":"{}","event":"{}","text":"{}"}})", nameOf(info.level), info.name,
+                     util::escapeJson(text));
+}
+
+/// Writes the lines of a minimum level and above to a stream, each flushed at once. Used on the gateway's one
+/// thread only: not thread-safe.
 class Log {
  public:
-  enum class Form { text, json };
-
-  /// `out` must outlive the log.
-  Log(std::ostream& out, Level minLevel, Form form = Form::text)
+  /// `out` stays the caller's and must outlive the log.
+  Log(std::ostream& out, Level minLevel, LogForm form = LogForm::text)
       : sink_(std::make_shared<spdlog::sinks::ostream_sink_st>(out, true)),
         logger_("merlinbridge", sink_),
-        form_(form) {
+        form_(form),
+        minLevel_(minLevel) {
     sink_->set_pattern("%v");
-    setMinLevel(minLevel);
+    logger_.set_level(spdlog::level::trace);  // enabled() is what decides
+    logger_.flush_on(spdlog::level::trace);
   }
-  void configure(Level minLevel, Form form) {
+  /// Changes level and form of all lines from the next one on.
+  void configure(Level minLevel, LogForm form) {
     form_ = form;
-    setMinLevel(minLevel);
+    minLevel_ = minLevel;
   }
 
   /// Whether lines of that event are written; for callers whose fields are expensive to compute.
   bool enabled(LogEvent event) const { return infoOf(event).level >= minLevel_; }
-  /// Writes one line: the event's message from the table, then the fields in the order given.
+  /// Writes one line, or none if the event's level is below the minimum. The fields are those that the
+  /// catalogue names for the event, in its order.
   template <class... Values>
   void operator()(LogEvent event, const LogField<Values>&... fields) {
-    if (!enabled(event)) return;
-    const LogEventInfo& info = infoOf(event);
-    std::string text(info.message);
-    (appendField(text, fields.key, fmt::format("{}", fields.value)), ...);
-    if (form_ == Form::text)
-      logger_.log(spdlogLevel(info.level), "{}: {}: {}", nameOf(info.level), info.name, text);
-    else
-      logger_.log(spdlogLevel(info.level), R"({{"level":"{}","event":"{}","text":"{}"}})", nameOf(info.level),
-                  info.name, util::escapeJson(text));
+    if (enabled(event)) logger_.log(spdlog::level::info, formatLogLine(form_, event, fields...));
   }
 
  private:
-  static void appendField(std::string& text, std::string_view key, std::string_view value) {
-    const bool quoted = value.empty() || value.find_first_of(" \"") != std::string_view::npos;
-    text += quoted ? fmt::format(" {}=\"{}\"", key, value) : fmt::format(" {}={}", key, value);
-  }
-  static spdlog::level::level_enum spdlogLevel(Level level) {
-    static constexpr spdlog::level::level_enum kLevels[] = {spdlog::level::debug, spdlog::level::info,
-                                                            spdlog::level::warn, spdlog::level::err};
-    return kLevels[static_cast<int>(level)];
-  }
-  void setMinLevel(Level minLevel) {
-    minLevel_ = minLevel;
-    logger_.set_level(spdlogLevel(minLevel));
-    logger_.flush_on(spdlog::level::debug);
-  }
-
   std::shared_ptr<spdlog::sinks::ostream_sink_st> sink_;
   spdlog::logger logger_;
-  Form form_;
-  Level minLevel_ = Level::info;
+  LogForm form_;
+  Level minLevel_;
 };
 
 }  // namespace merlinbridge
--- a/src/util/log_event.hpp
+++ b/src/util/log_event.hpp
@@ -2,14 +2,36 @@
 
 #include <array>
 #include <cstddef>
+#include <optional>
 #include <string_view>
+#include <utility>
 
+/// The catalogue of log events: for each its name, level, message and the keys of its fields. It is the only
+/// place that holds these words. docs/on-call.md has one entry for each event, and tests/log_event_test.cpp
+/// compares the page, this table and the calls that log. util/log.hpp makes the lines and
+/// writes them.
 namespace merlinbridge {
 
+/// How urgent a log line is; a log writes the lines of its minimum level and above.
 enum class Level { debug, info, warning, error };
 
-/// Every event that a gateway logs. The table below holds the name, level and message of each;
-/// docs/on-call.md has an entry for each, and a test compares the two.
+/// The levels as they are called in log lines, in [log] level and in GW_LOG_LEVEL; in the order of Level.
+inline constexpr std::array<std::pair<std::string_view, Level>, 4> kLevelNames{
+    {{"debug", Level::debug}, {"info", Level::info}, {"warning", Level::warning}, {"error", Level::error}}};
+
+/// The level's name as it stands in a log line.
+constexpr std::string_view nameOf(Level level) {
+  return kLevelNames[static_cast<std::size_t>(level)].first;
+}
+
+/// The level of that name, none for any other text.
+constexpr std::optional<Level> levelNamed(std::string_view text) {
+  for (const auto& [name, level] : kLevelNames)
+    if (name == text) return level;
+  return std::nullopt;
+}
+
+/// Every event that a gateway logs. The enumerator is the event's name in camel case.
 enum class LogEvent {
   starting,
   ready,
@@ -48,72 +70,87 @@
   logLinesDropped
 };
 
-/// What a log line of an event consists of besides its fields.
+/// What every log line of an event has in common.
 struct LogEventInfo {
   LogEvent event;
-  std::string_view name;  ///< Stays the same from release to release; operators match on it.
+  /// Stays the same from release to release: operators match on it.
+  std::string_view name;
   Level level;
-  std::string_view message;  ///< May change between releases.
+  /// May change between releases.
+  std::string_view message;
+  /// The keys of the line's fields in their order, separated by spaces.
+  std::string_view fields;
 };
 
+/// Indexed by LogEvent.
 inline constexpr std::array kLogEvents{
-    LogEventInfo{LogEvent::starting, "starting", Level::info, "configuration read, listening soon"},
-    LogEventInfo{LogEvent::ready, "ready", Level::info, "accepting clients"},
+    LogEventInfo{LogEvent::starting, "starting", Level::info, "configuration read, about to listen",
+                 "gateway listen known_hosts"},
+    LogEventInfo{LogEvent::ready, "ready", Level::info, "accepting clients", ""},
     LogEventInfo{LogEvent::draining, "draining", Level::info,
-                 "graceful shutdown: not ready, still answering requests"},
+                 "graceful shutdown: not ready, still answering requests", ""},
     LogEventInfo{LogEvent::closingIdleConnections, "closing_idle_connections", Level::info,
-                 "closing idle client connections, finishing requests in flight"},
-    LogEventInfo{LogEvent::stopped, "stopped", Level::info, "shutdown complete"},
-    LogEventInfo{LogEvent::startRetried, "start_retried", Level::warning, "start-up step failed, retrying"},
-    LogEventInfo{LogEvent::fatalError, "fatal_error", Level::error, "merlinbridge cannot start or go on"},
+                 "closing idle client connections, finishing requests in flight", "unanswered_requests"},
+    LogEventInfo{LogEvent::stopped, "stopped", Level::info, "shutdown complete", ""},
+    LogEventInfo{LogEvent::startRetried, "start_retried", Level::warning, "start-up step failed, retrying",
+                 "error"},
+    LogEventInfo{LogEvent::fatalError, "fatal_error", Level::error, "merlinbridge cannot start or continue",
+                 "error"},
     LogEventInfo{LogEvent::settingRenamed, "setting_renamed", Level::warning,
-                 "a setting was given under its old name"},
-    LogEventInfo{LogEvent::configReloaded, "config_reloaded", Level::info, "configuration reloaded"},
+                 "a setting was given under its old name", "detail"},
+    LogEventInfo{LogEvent::configReloaded, "config_reloaded", Level::info, "configuration reloaded",
+                 "discovery counter"},
     LogEventInfo{LogEvent::configRejected, "config_rejected", Level::warning,
-                 "configuration rejected, keeping the previous one"},
+                 "configuration rejected, keeping the previous one", "error retry"},
     LogEventInfo{LogEvent::configRetryFailed, "config_retry_failed", Level::debug,
-                 "configuration still invalid, keeping the previous one"},
-    LogEventInfo{LogEvent::configInvalid, "config_invalid", Level::error,
-                 "platform configuration is invalid"},
+                 "configuration still invalid, keeping the previous one", "error retry"},
+    LogEventInfo{LogEvent::configInvalid, "config_invalid", Level::error, "platform configuration is invalid",
+                 "error"},
     LogEventInfo{LogEvent::operatorConfigInvalid, "operator_config_invalid", Level::error,
-                 "operator configuration is invalid"},
+                 "operator configuration is invalid", "error"},
     LogEventInfo{LogEvent::discoveryUnreachable, "discovery_unreachable", Level::warning,
-                 "discovery unreachable, keeping the last endpoint list"},
-    LogEventInfo{LogEvent::discoveryRestored, "discovery_restored", Level::info, "discovery reachable again"},
+                 "discovery unreachable, keeping the last endpoint list", "generation"},
+    LogEventInfo{LogEvent::discoveryRestored, "discovery_restored", Level::info, "discovery reachable again",
+                 "generation"},
     LogEventInfo{LogEvent::endpointListInvalid, "endpoint_list_invalid", Level::debug,
-                 "endpoint list from discovery cannot be parsed"},
+                 "endpoint list from discovery cannot be parsed", "error"},
     LogEventInfo{LogEvent::endpointAddressInvalid, "endpoint_address_invalid", Level::warning,
-                 "host address from discovery cannot be parsed, no attempts are sent to it"},
+                 "host address from discovery cannot be parsed, no attempts are sent to it", "host error"},
     LogEventInfo{LogEvent::endpointTableFull, "endpoint_table_full", Level::info,
-                 "endpoint table full, host ignored"},
+                 "endpoint table full, host ignored", "host"},
     LogEventInfo{LogEvent::counterUnreachable, "counter_unreachable", Level::info,
-                 "counter service unreachable: using local quota share"},
+                 "counter service unreachable: using local quota share", ""},
     LogEventInfo{LogEvent::counterRestored, "counter_restored", Level::info,
-                 "counter service reachable: sharing quotas again"},
+                 "counter service reachable: sharing quotas again", ""},
     LogEventInfo{LogEvent::loadSheddingStarted, "load_shedding_started", Level::info,
-                 "no host capacity: shedding load, lowest priority first"},
+                 "no host capacity: shedding load, lowest priority first", ""},
     LogEventInfo{LogEvent::loadSheddingStopped, "load_shedding_stopped", Level::info,
-                 "host capacity available: no longer shedding load"},
-    LogEventInfo{LogEvent::attemptStarted, "attempt_started", Level::debug, "attempt started"},
-    LogEventInfo{LogEvent::attemptEnded, "attempt_ended", Level::debug, "attempt ended"},
-    LogEventInfo{LogEvent::requestAnswered, "request_answered", Level::debug, "request answered"},
-    LogEventInfo{LogEvent::requestRejected, "request_rejected", Level::debug, "request rejected"},
-    LogEventInfo{LogEvent::requestFailed, "request_failed", Level::debug, "request failed"},
+                 "host capacity available: no longer shedding load", ""},
+    LogEventInfo{LogEvent::attemptStarted, "attempt_started", Level::debug, "attempt started",
+                 "request request_number attempt host"},
+    LogEventInfo{LogEvent::attemptEnded, "attempt_ended", Level::debug, "attempt ended",
+                 "request_number attempt host outcome error"},
+    LogEventInfo{LogEvent::requestAnswered, "request_answered", Level::debug, "request answered",
+                 "request status written"},
+    LogEventInfo{LogEvent::requestRejected, "request_rejected", Level::debug, "request rejected",
+                 "request status"},
+    LogEventInfo{LogEvent::requestFailed, "request_failed", Level::debug, "request failed", "request status"},
     LogEventInfo{LogEvent::requestDropped, "request_dropped", Level::warning,
-                 "connection closed before the request was answered"},
+                 "connection closed before the request was answered", "request error"},
     LogEventInfo{LogEvent::responseIncomplete, "response_incomplete", Level::info,
-                 "connection closed before the response was written completely"},
+                 "connection closed before the response was written completely", "request error"},
     LogEventInfo{LogEvent::clientDisconnected, "client_disconnected", Level::debug,
-                 "client disconnected before its request was answered"},
-    LogEventInfo{LogEvent::systemCallFailed, "system_call_failed", Level::warning, "system call failed"},
+                 "client disconnected before its request was answered", "request seen_as"},
+    LogEventInfo{LogEvent::systemCallFailed, "system_call_failed", Level::warning, "system call failed",
+                 "call error action since_last_line"},
     LogEventInfo{LogEvent::systemCallFailuresTotal, "system_call_failures_total", Level::info,
-                 "failed system calls since start"},
+                 "failed system calls since start", "call error count"},
     LogEventInfo{LogEvent::eventLoopStalled, "event_loop_stalled", Level::warning,
-                 "event loop stalled, timers fired late"},
+                 "event loop stalled, timers fired late", "late_ms since_last_line"},
     LogEventInfo{LogEvent::eventLoopStallsTotal, "event_loop_stalls_total", Level::info,
-                 "event loop stalls since start"},
+                 "event loop stalls since start", "count"},
     LogEventInfo{LogEvent::logLinesDropped, "log_lines_dropped", Level::warning,
-                 "log lines dropped, standard error did not accept them"},
+                 "log lines dropped, standard error did not accept them", "count"},
 };
 
 /// Whether the table lists every event once, in the order of the enumeration.
@@ -124,14 +161,9 @@
 }
 static_assert(logEventsAreOrdered());
 
+/// The catalogue's entry of an event.
 constexpr const LogEventInfo& infoOf(LogEvent event) {
   return kLogEvents[static_cast<std::size_t>(event)];
 }
 
-/// The level's name as it stands in a log line.
-constexpr std::string_view nameOf(Level level) {
-  constexpr std::array<std::string_view, 4> kNames{"debug", "info", "warning", "error"};
-  return kNames[static_cast<std::size_t>(level)];
-}
-
 }  // namespace merlinbridge
--- /dev/null
+++ b/tests/process_log_test.cpp
@@ -0,0 +1,223 @@
+// The log lines of the program itself: each case makes the program write events that docs/on-call.md
+// describes.
+#include "program.hpp"
+
+using namespace merlinbridge;
+using namespace merlinbridge::testing;
+
+namespace {
+
+std::string debugLevel(const Program& program) {
+  return program.file("own.toml", "[log]\nlevel = \"debug\"\n");
+}
+
+/// Whether the log holds all of these lines' beginnings, each after the one before.
+bool holdsInOrder(const std::string& log, const std::vector<std::string>& lines) {
+  std::size_t from = 0;
+  for (const std::string& line : lines) {
+    const std::size_t found = log.find(line, from);
+    if (found == std::string::npos) return false;
+    from = found + line.size();
+  }
+  return true;
+}
+
+std::size_t countOf(const std::string& text, const std::string& part) {
+  std::size_t count = 0;
+  for (auto at = text.find(part); at != std::string::npos; at = text.find(part, at + 1)) ++count;
+  return count;
+}
+
+}  // namespace
+
+TEST_CASE("the log shows start, graceful shutdown and stop in their order") {
+  Program program;
+  program.startReady();
+  program.signal(SIGTERM);
+  CHECK(program.exitStatus() == 0);
+  const std::string log = program.log();
+  INFO(log);
+  CHECK(log.starts_with("info: starting: configuration read, about to listen gateway=n0 listen=127.0.0.1:" +
+                        std::to_string(program.listenPort) + " known_hosts=1\n"));
+  CHECK(holdsInOrder(log, {"info: ready: accepting clients\n", "info: draining: graceful shutdown",
+                           "info: closing_idle_connections: closing idle client connections",
+                           "unanswered_requests=0\n", "info: stopped: shutdown complete\n"}));
+}
+
+TEST_CASE("a start that fails logs one error event and exits with 1 or 2") {
+  Program program;
+  program.startReady();
+  const std::string config = program.file("orders.json", program.config());
+  auto [text, status] = program.response({"serve", "--config", config});
+  CHECK(status == 1);
+  CHECK_THAT(text, Catch::Contains("error: fatal_error: merlinbridge cannot start or continue error="));
+  CHECK_THAT(text, Catch::Contains("Address already in use"));
+  std::tie(text, status) = program.response({"serve", "--orders", "/nowhere.json"});
+  CHECK(status == 2);
+  CHECK_THAT(text, Catch::Contains("warning: setting_renamed: a setting was given under its old name "
+                                   "detail=\"option --orders is now called --config\"\n"));
+  CHECK_THAT(text, Catch::Contains("error: config_invalid: platform configuration is invalid "
+                                   "error=\"cannot read /nowhere.json\"\n"));
+  std::tie(text, status) = program.response(
+      {"serve", "--config", config, "--operator-config", program.file("own.toml", "[log]\nlevle = 1\n")});
+  CHECK(status == 2);
+  CHECK_THAT(text,
+             Catch::Contains("error: operator_config_invalid: operator configuration is invalid error="));
+  CHECK_THAT(text, Catch::Contains("own.toml:2:1: 'log.levle' is not known here"));
+  CHECK(countOf(text, "error: ") == 1);
+}
+
+TEST_CASE("retries of a rejected configuration are logged at debug") {
+  Program program;
+  program.start(program.config(), debugLevel(program));
+  REQUIRE(program.logHolds("info: ready"));
+  program.write("{");
+  program.signal(SIGHUP);
+  const std::string error = "error=\"the file is not a JSON object\" ";
+  CHECK(program.logHolds("warning: config_rejected: configuration rejected, keeping the previous one " +
+                         error + "retry=0\n"));
+  const std::string retried =
+      "debug: config_retry_failed: configuration still invalid, keeping the previous one ";
+  CHECK(program.logHolds(retried + error + "retry=1\n"));
+  CHECK(program.logHolds(retried + error + "retry=5\n"));
+  CHECK(countOf(program.log(), "config_rejected") == 1);
+}
+
+TEST_CASE("bad messages of discovery are logged with host or field") {
+  Program program;
+  const std::string address = program.host.address();
+  const std::string unfit =
+      LoopbackGateway::replaced(hostLine(program.host.port, "h1", "in_service"), address, "nowhere");
+  program.start(program.config(unfit), debugLevel(program));
+  std::optional<Peer> watch;
+  REQUIRE(within([&] { return program.discovery.accept(watch); }));
+  watch->send("HTTP/1.1 200 OK\r\n\r\n{\"instances\":[]}\n");
+  CHECK(
+      program.logHolds("debug: endpoint_list_invalid: endpoint list from discovery cannot be parsed "
+                       "error=\"discovery: field 'generation' is missing\"\n"));
+  Peer client = program.client();
+  client.send(LoopbackGateway::request("look"));
+  CHECK(
+      program.logHolds("warning: endpoint_address_invalid: host address from discovery cannot be parsed, "
+                       "no attempts are sent to it host=h1 error="));
+}
+
+TEST_CASE("debug lines follow a request through its attempts") {
+  Program program;
+  program.start(program.config(), debugLevel(program));
+  REQUIRE(program.logHolds("info: ready"));
+  Peer client = program.client();
+  std::optional<Peer> host;
+  client.send(LoopbackGateway::request("look"));
+  REQUIRE(within([&] { return program.host.accept(host); }));
+  REQUIRE(within([&] { return host->holds("\r\n\r\n"); }));
+  host->got.clear();
+  host->send(LoopbackGateway::ok("one"));
+  REQUIRE(within([&] { return client.holds("one"); }));
+  client.send(LoopbackGateway::request("pay", "x"));
+  std::optional<Peer> next;  // a request that must not run twice gets a connection of its own
+  REQUIRE(within([&] { return program.host.accept(next); }));
+  REQUIRE(within([&] { return next->holds("\r\n\r\nx"); }));
+  next->reset();
+  REQUIRE(within([&] { return client.holds("HTTP/1.1 502"); }));
+  REQUIRE(program.logHolds("status=502 written=complete\n"));
+  const std::string log = program.log();
+  INFO(log);
+  CHECK(holdsInOrder(
+      log,
+      {"debug: attempt_started: attempt started request=", " request_number=", " attempt=0 host=h1\n",
+       "debug: attempt_ended: attempt ended request_number=", " attempt=0 host=h1 outcome=ok error=none\n",
+       "debug: request_answered: request answered request=", " status=200 written=complete\n",
+       "debug: attempt_started: ", "debug: attempt_ended: ", " outcome=lost error=",
+       "debug: request_failed: request failed request=", " status=502\n", "debug: request_answered: "}));
+
+  Program drained;
+  drained.start(drained.config(hostLine(drained.host.port, "h1", "terminating")), debugLevel(drained));
+  REQUIRE(drained.logHolds("info: ready"));
+  Peer rejected = drained.client();
+  rejected.send(LoopbackGateway::request("look"));
+  CHECK(drained.logHolds("debug: request_rejected: request rejected request="));
+  CHECK(drained.logHolds(" status=429\n"));
+}
+
+TEST_CASE("a client that leaves is logged with what it missed") {
+  Program program;
+  program.start(program.config(), debugLevel(program));
+  REQUIRE(program.logHolds("info: ready"));
+  std::optional<Peer> host;
+  Peer waiting = program.client();
+  waiting.send(LoopbackGateway::request("pay", "x"));
+  REQUIRE(within([&] { return program.host.accept(host); }));
+  REQUIRE(within([&] { return host->holds("\r\n\r\nx"); }));
+  waiting.close();
+  CHECK(
+      program.logHolds("debug: client_disconnected: client disconnected before its request was answered "
+                       "request="));
+  CHECK(program.logHolds(" seen_as=end_of_stream\n"));
+
+  // Each request is rejected at once; the answers are never read, and fill the connection's buffers.
+  Program drained;
+  drained.start(drained.config(hostLine(drained.host.port, "h1", "terminating")));
+  REQUIRE(drained.logHolds("info: ready"));
+  const std::string request = LoopbackGateway::request("look");
+  std::string many;
+  for (int n = 0; n < 1000; ++n) many += request;
+  Peer deaf = drained.client();
+  std::size_t sent = 0;
+  auto lastAccepted = std::chrono::steady_clock::now();
+  REQUIRE(within([&] {
+    const std::size_t accepted = deaf.trySend(std::string_view(many).substr(sent % request.size()));
+    sent += accepted;
+    if (accepted > 0) lastAccepted = std::chrono::steady_clock::now();
+    return std::chrono::steady_clock::now() - lastAccepted > 300ms;
+  }));
+  deaf.reset();
+  CHECK(
+      drained.logHolds("info: response_incomplete: connection closed before the response was written "
+                       "completely request=00ff error="));
+}
+
+TEST_CASE("a process that was stopped logs how late its timers were") {
+  Program program;
+  program.startReady();
+  program.signal(SIGSTOP);
+  std::this_thread::sleep_for(600ms);
+  program.signal(SIGCONT);
+  REQUIRE(program.logHolds("warning: event_loop_stalled: event loop stalled, timers fired late late_ms="));
+  program.signal(SIGTERM);
+  CHECK(program.exitStatus() == 0);
+  CHECK(program.logHolds("info: event_loop_stalls_total: event loop stalls since start count="));
+}
+
+TEST_CASE("lines that standard error does not accept are counted in the next line") {
+  int ends[2] = {-1, -1};
+  REQUIRE(::pipe2(ends, O_CLOEXEC | O_NONBLOCK) == 0);
+  const std::string filling(4096, '.');
+  while (::write(ends[1], filling.data(), filling.size()) > 0) {
+  }
+  Program program;
+  program.logDescriptor = ends[1];
+  program.start(program.config());
+  std::optional<Peer> client;
+  REQUIRE(within([&] {  // `starting` and `ready` have not been accepted by then
+    if (!client || client->ended()) client.emplace(program.client());
+    client->send("GET /health/ready HTTP/1.1\r\n\r\n");
+    return client->holds("HTTP/1.1 200");
+  }));
+  std::string log;
+  const auto readAll = [&] {
+    std::string bytes(65536, '\0');
+    for (ssize_t got = 0; (got = ::read(ends[0], bytes.data(), bytes.size())) > 0;)
+      log.append(bytes, 0, static_cast<std::size_t>(got));
+  };
+  readAll();
+  program.signal(SIGHUP);
+  CHECK(within([&] {
+    readAll();
+    return holdsInOrder(log, {"warning: log_lines_dropped: log lines dropped, standard error did not accept "
+                              "them count=2\n",
+                              "info: config_reloaded: "});
+  }));
+  ::close(ends[0]);
+  ::close(ends[1]);
+}
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -4,7 +4,7 @@
 using namespace merlinbridge;
 using namespace merlinbridge::testing;
 
-TEST_CASE("SIGHUP moves discovery and the counter, and ends neither the process nor a request") {
+TEST_CASE("SIGHUP moves discovery and the counter service, and ends neither the process nor a request") {
   Program p;
   p.startReady();
   std::optional<Peer> watch, host, moved, count;
@@ -33,7 +33,8 @@
   CHECK(p.runs());
 }
 
-TEST_CASE("a file that is missing, half written or wrong is kept out, once whole it is taken") {
+TEST_CASE(
+    "a configuration file that is missing, half written or wrong is rejected, and loaded once complete") {
   Program p;
   p.startReady();
   PeerListener discovery;
@@ -64,7 +65,7 @@
   CHECK(log.find("config_rejected") == log.rfind("config_rejected"));
 }
 
-TEST_CASE("SIGHUP during the end does not cut it short") {
+TEST_CASE("SIGHUP during graceful shutdown does not cut it short") {
   Program p;
   p.startReady();
   std::optional<Peer> host;
@@ -84,7 +85,7 @@
   CHECK(p.exitStatus() == 0);
 }
 
-TEST_CASE("SIGTERM under clients that keep sending: all taken in time is answered, and it ends by itself") {
+TEST_CASE("SIGTERM under steady load: every request accepted in time is answered, and the process exits") {
   Program p;
   p.startReady();
   std::vector<std::pair<Peer, int>> clients;  // and how many requests are out on each
@@ -120,7 +121,8 @@
   CHECK(hanging.holds("HTTP/1.1 502"));
 }
 
-TEST_CASE("SIGTERM and SIGHUP while the file is read: it serves what comes, ends in good order, with 0") {
+TEST_CASE(
+    "SIGTERM and SIGHUP while the configuration is read: it serves, shuts down gracefully and exits with 0") {
   Program p;
   const std::string path = p.pipe();
   p.start("");
@@ -137,7 +139,7 @@
   CHECK(p.log().find("info: ready") < p.log().find("info: draining"));
 }
 
-TEST_CASE("SIGTERM, whatever clients do with their connections: gone before SIGKILL may come, with 0") {
+TEST_CASE("SIGTERM ends the process before SIGKILL is due, whatever clients do with their connections") {
   Program p;
   p.startReady();
   std::optional<Peer> host;
@@ -206,7 +208,7 @@
   CHECK(within([&] { return take() == 2; }));  // that of the old life is not sent on again
 }
 
-TEST_CASE("check says what is not fit, with its place, and starts nothing") {
+TEST_CASE("check reports each error with its place and starts nothing") {
   Program p;
   const std::string config = p.file("orders.json", p.config());
   const auto checked = [&](const std::string& own) {
@@ -231,7 +233,7 @@
   CHECK(p.response({"version"}).first.starts_with("merlinbridge "));
 }
 
-TEST_CASE("earlier names of options and keys are read, each with one warning that names both") {
+TEST_CASE("old names of options and keys are read, each with one warning that names both") {
   Program p;
   const std::string config = p.file("orders.json", p.config());
   const auto checked = [&](const std::string& option, const std::string& own) {
@@ -261,7 +263,7 @@
   CHECK(checked("--config", "[reload]\nretries = 13\n").second == 2);
 }
 
-TEST_CASE("an address that is taken ends the start with 1, and lines come as JSON where that is asked for") {
+TEST_CASE("an address in use fails the start with 1, and [log] form = json makes lines JSON objects") {
   Program p;
   p.start(p.config(), p.file("own.toml", "[log]\nform = \"json\"\n"));
   REQUIRE(p.logHolds(R"({"level":"info","event":"ready","text":"accepting clients"})"));
@@ -271,9 +273,7 @@
   CHECK(p.log().find(R"("event":"stopped")") != std::string::npos);
 }
 
-TEST_CASE(
-    "idle clients fill the descriptors while discovery is down: its return is heard at once, requests go "
-    "on") {
+TEST_CASE("idle clients hold all descriptors while discovery is down: its return is noticed at once") {
   constexpr int kCrowd = 160;  // for 48 places; none of them closes when it is told to
   Program p;
   p.startReady();
