--- /dev/null
+++ b/src/emulator/client_population.cpp
@@ -0,0 +1,266 @@
+#include "emulator/client_population.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+namespace merlinbridge::emulator {
+namespace {
+
+using core::SlotRef;
+
+/// How soon an arrival rate of 0 is looked at again: a fault may have changed it.
+constexpr Duration kIdlePoll = std::chrono::milliseconds(100);
+constexpr double kMaxArrivalGap = 1e4;  ///< Seconds.
+/// Units of one request are at most so many times their mean.
+constexpr double kMaxUnitsOverMean = 4;
+constexpr double kLateUtility = 0.5;  ///< Of an answer after the soft deadline.
+constexpr int kMaxBackoffDoublings = 10;
+
+}  // namespace
+
+std::size_t WeightedChoice::at(double draw) const {
+  const auto above = std::upper_bound(sums_.begin(), sums_.end(), draw * sums_.back());
+  return std::min(sums_.size() - 1, static_cast<std::size_t>(above - sums_.begin()));
+}
+
+ClientPopulation::ClientPopulation(RunContext& run, std::uint64_t seed, Network& network,
+                                   const ActiveFaults& faults, const FrontLoadBalancer& front,
+                                   RequestReceiver& gateways)
+    : run_(run),
+      network_(network),
+      faults_(faults),
+      front_(front),
+      gateways_(gateways),
+      arrivals_(seed, "arrivals"),
+      choices_(seed, "choices") {
+  const Scenario& scenario = run.scenario();
+  for (std::uint32_t customer = 0; customer < scenario.customers; ++customer)
+    customers_.add(std::pow(double(customer) + 1, -scenario.skew));
+  for (const ScenarioMethod& method : scenario.methods) methods_.add(method.share);
+  for (const ScenarioPlan& plan : scenario.plans) plans_.add(plan.share);
+}
+
+std::optional<ClientAttemptId> ClientPopulation::idOf(SlotRef clientAttempt) {
+  const ClientAttempt* const attempt = attempts_.find(clientAttempt);
+  if (!attempt) return std::nullopt;
+  return attempt->id;
+}
+
+const ClientRequest* ClientPopulation::requestOf(SlotRef clientAttempt) {
+  const ClientAttempt* const attempt = attempts_.find(clientAttempt);
+  return attempt ? requests_.find(attempt->request) : nullptr;
+}
+
+void ClientPopulation::setInsideQuota(SlotRef clientAttempt, bool inside) {
+  if (ClientAttempt* const attempt = attempts_.find(clientAttempt)) attempt->insideQuota = inside;
+}
+
+void ClientPopulation::scheduleArrival() {
+  const Scenario& scenario = run_.scenario();
+  const double rate = scenario.rate * faults_.factor(FaultKind::loadBurst);
+  const Duration gap =
+      rate > 0 ? durationOf(std::min(kMaxArrivalGap, arrivals_.exponential(1 / rate))) : kIdlePoll;
+  const TimePoint at = run_.now() + gap;
+  if (at > kRunStart + scenario.length) return;
+  run_.events().at(at, [this, rate] {
+    if (rate > 0) sendRequest();
+    scheduleArrival();
+  });
+}
+
+double ClientPopulation::drawUnits() {
+  const double mean = run_.scenario().units;
+  if (mean <= 0) return 0;
+  return std::clamp(std::round(arrivals_.exponential(mean)), std::min(1.0, mean),
+                    std::max(1.0, kMaxUnitsOverMean * mean));
+}
+
+void ClientPopulation::sendRequest() {
+  const Scenario& scenario = run_.scenario();
+  ClientRequest request;
+  request.customer = static_cast<std::uint64_t>(customers_.at(arrivals_.uniform01())) + 1;
+  request.method = static_cast<std::uint32_t>(methods_.at(arrivals_.uniform01()));
+  // A customer has the same plan in every run.
+  const double customerHash = double((request.customer * 0x9e3779b97f4a7c15u) >> 11) * 0x1p-53;
+  request.plan = static_cast<std::uint32_t>(plans_.at(customerHash));
+  request.units = drawUnits();
+  const Duration timeout = scenario.methods[request.method].deadline;
+  request.startedAt = run_.now();
+  request.deadline = request.startedAt + timeout;
+  request.attemptsLeft = scenario.tries;
+  const SlotRef ref = requests_.add(request);
+  ++run_.metrics().asked;
+  ++run_.currentSecond().asked;
+  run_.metrics().worthAsked += worthOf(request);
+  const bool early = arrivals_.bernoulli(scenario.leaves);
+  const TimePoint until =
+      early ? request.startedAt + scaled(timeout, arrivals_.uniform01())
+            : request.deadline + 2 * scenario.answerSlack + 2 * (scenario.delay + scenario.jitter);
+  run_.events().at(until, [this, ref, early] { abandonRequest(ref, early); });
+  startAttempt(ref);
+}
+
+double ClientPopulation::worthOf(const ClientRequest& request) const {
+  const Scenario& scenario = run_.scenario();
+  return scenario.methods[request.method].utility * scenario.plans[request.plan].plan.price * request.units;
+}
+
+void ClientPopulation::startAttempt(SlotRef ref) {
+  ClientRequest& request = *requests_.find(ref);
+  if (request.attemptsLeft-- <= 0 || run_.now() >= request.deadline) return failRequest(ref);
+  ++request.attemptsMade;
+  ++run_.metrics().tries;
+  const std::uint32_t gateway = front_.choose(request.customer, choices_.uniform01());
+  const ClientAttemptId id{++lastAttemptId_};
+  request.currentAttempt = attempts_.add(ClientAttempt{ref, id, gateways_.processOf(gateway), false});
+  run_.events().after(network_.delay(), [this, attempt = request.currentAttempt] { reachGateway(attempt); });
+}
+
+void ClientPopulation::reachGateway(SlotRef ref) {
+  ClientAttempt* const attempt = attempts_.find(ref);
+  if (!attempt) return;
+  attempt->gateway = gateways_.processOf(attempt->gateway.gateway);
+  if (!gateways_.isRunning(attempt->gateway)) {
+    ++run_.metrics().unreached;
+    run_.events().after(network_.delay(), [this, ref] { endAttempt(ref, Retry::allowed, Duration{0}); });
+    return;
+  }
+  const ClientRequest& request = *requests_.find(attempt->request);
+  const std::uint32_t gateway = attempt->gateway.gateway;
+  run_.checker().taken(
+      run_.now(), attempt->id,
+      {{gateway}, request.method, request.plan, request.customer, request.units, request.deadline});
+  run_.metrics().mostInFlight = std::max(run_.metrics().mostInFlight, run_.checker().held());
+  run_.trace(TraceEvent::requestTaken, attempt->id.value);
+  Request forGateway;
+  forGateway.customer = {request.customer};
+  forGateway.plan = {request.plan};
+  forGateway.method = {request.method};
+  forGateway.deadline = request.deadline;
+  forGateway.units = request.units;
+  forGateway.gateways = front_.spread();
+  gateways_.requestArrived(gateway, ref, forGateway);
+}
+
+// The attempt is over without a result.
+void ClientPopulation::endAttempt(SlotRef ref, Retry retry, Duration retryAfter) {
+  const ClientAttempt* const attempt = attempts_.find(ref);
+  if (!attempt) return;
+  const SlotRef requestRef = attempt->request;
+  attempts_.drop(ref);
+  ClientRequest* const request = requests_.find(requestRef);
+  if (!request) return;
+  request->currentAttempt = {};
+  if (retry == Retry::forbidden) return failRequest(requestRef);
+  const Scenario& scenario = run_.scenario();
+  const int doublings = std::min(kMaxBackoffDoublings, request->attemptsMade - 1);
+  Duration wait = scaled(scenario.wait, (0.5 + choices_.uniform01()) * double(1 << doublings));
+  if (retryAfter > Duration{0} && choices_.bernoulli(scenario.heedsAdvice)) wait = std::max(wait, retryAfter);
+  if (run_.now() + wait >= request->deadline || request->attemptsLeft <= 0) return failRequest(requestRef);
+  run_.events().after(wait, [this, requestRef] {
+    if (requests_.find(requestRef)) startAttempt(requestRef);
+  });
+}
+
+// Whether a client may send a request again that may have been served: it must have no second effect.
+ClientPopulation::Retry ClientPopulation::retryAfterFailure(const ClientRequest& request) const {
+  const ScenarioMethod& method = run_.scenario().methods[request.method];
+  const bool deduplicated = method.repeat == Repeat::deduplicated && method.group == Group::all &&
+                            run_.now() < request.startedAt + method.window;
+  return method.repeat == Repeat::idempotent || deduplicated ? Retry::allowed : Retry::forbidden;
+}
+
+void ClientPopulation::countFailure() {
+  ++run_.metrics().failed;
+  ++run_.currentSecond().failed;
+}
+
+void ClientPopulation::failRequest(SlotRef ref) {
+  if (!requests_.find(ref)) return;
+  countFailure();
+  run_.trace(TraceEvent::requestFailed);
+  requests_.drop(ref);
+}
+
+void ClientPopulation::abandonRequest(SlotRef ref, bool early) {
+  const ClientRequest* const request = requests_.find(ref);
+  if (!request) return;
+  const SlotRef attempt = request->currentAttempt;
+  if (early)
+    ++run_.metrics().left;
+  else
+    countFailure();
+  requests_.drop(ref);
+  closeConnection(attempt);
+}
+
+void ClientPopulation::closeConnection(SlotRef ref) {
+  const ClientAttempt* const attempt = attempts_.find(ref);
+  if (!attempt) return;
+  // The gateway that the connection leads to now: a later incarnation does not know it.
+  const ProcessRef gateway = attempt->gateway;
+  run_.events().after(network_.delay(), [this, ref, id = attempt->id, gateway] {
+    if (!attempts_.find(ref)) return;
+    if (gateways_.isRunning(gateway)) {
+      run_.checker().clientLeft(run_.now(), id);
+      gateways_.clientLeft(gateway.gateway, ref);
+    }
+    attempts_.drop(ref);
+  });
+}
+
+void ClientPopulation::answerSent(SlotRef clientAttempt, Answer answer, Duration retryAfter) {
+  const ClientAttempt* const attempt = attempts_.find(clientAttempt);
+  if (!attempt) return;
+  run_.checker().answered(run_.now(), attempt->id, answer);
+  run_.events().after(network_.delay(), [this, clientAttempt, answer, retryAfter] {
+    receiveAnswer(clientAttempt, answer, retryAfter);
+  });
+}
+
+void ClientPopulation::receiveAnswer(SlotRef ref, Answer answer, Duration retryAfter) {
+  const ClientAttempt* const attempt = attempts_.find(ref);
+  if (!attempt) return;
+  const ClientRequest* const request = requests_.find(attempt->request);
+  if (!request) return attempts_.drop(ref);
+  run_.trace(TraceEvent::answerReceived, static_cast<std::uint64_t>(answer));
+  switch (answer) {
+    case Answer::ok:
+      return receiveResult(ref, *request);
+    case Answer::rejected:
+      ++run_.metrics().rejected;
+      ++run_.currentSecond().rejected;
+      return endAttempt(ref, Retry::allowed, retryAfter);
+    case Answer::failed:
+      ++run_.metrics().failedAnswers;
+      return endAttempt(ref, retryAfterFailure(*request), retryAfter);
+  }
+}
+
+void ClientPopulation::receiveResult(SlotRef ref, const ClientRequest& request) {
+  const ClientAttempt& attempt = *attempts_.find(ref);
+  const Duration took = run_.now() - request.startedAt;
+  const bool inTime = took <= run_.scenario().methods[request.method].soft;
+  Metrics& metrics = run_.metrics();
+  ++(inTime ? metrics.inTime : metrics.late);
+  ++(inTime ? run_.currentSecond().inTime : run_.currentSecond().late);
+  if (attempt.insideQuota) metrics.worth += worthOf(request) * (inTime ? 1 : kLateUtility);
+  metrics.latency.add(took);
+  const SlotRef requestRef = attempt.request;
+  attempts_.drop(ref);
+  requests_.drop(requestRef);
+}
+
+void ClientPopulation::gatewayDied(const ProcessRef& gateway) {
+  std::vector<SlotRef> connected;
+  attempts_.each([&](SlotRef ref, const ClientAttempt& attempt) {
+    if (attempt.gateway == gateway) connected.push_back(ref);
+  });
+  for (const SlotRef ref : connected)
+    run_.events().after(network_.delay(), [this, ref] {
+      const ClientRequest* const request = requestOf(ref);
+      endAttempt(ref, request ? retryAfterFailure(*request) : Retry::forbidden, Duration{0});
+    });
+}
+
+}  // namespace merlinbridge::emulator
--- /dev/null
+++ b/src/emulator/host_fleet.cpp
@@ -0,0 +1,220 @@
+#include "emulator/host_fleet.hpp"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <charconv>
+#include <cmath>
+
+#include "emulator/faults/active_faults.hpp"
+
+namespace merlinbridge::emulator {
+namespace {
+
+using core::SlotRef;
+
+constexpr std::uint32_t kCells = 8;
+/// A host that did not start during the run finished its slow start that long before it.
+constexpr Duration kLongRunning = std::chrono::hours(1);
+
+}  // namespace
+
+HostFleet::HostFleet(RunContext& run, std::uint64_t seed, const ActiveFaults& faults, HostObserver& observer)
+    : run_(run), faults_(faults), observer_(observer), work_(seed, "works") {}
+
+bool HostFleet::isUnresponsive(std::uint32_t host) const {
+  return faults_.affects(FaultKind::hostVanish, host);
+}
+
+bool HostFleet::isHanging(std::uint32_t host) const {
+  return faults_.affects(FaultKind::hostHang, host);
+}
+
+config::Endpoint HostFleet::endpointOf(std::uint32_t host) const {
+  const EmulatedHost& at = hosts_[host];
+  config::Endpoint endpoint;
+  endpoint.name = at.name;
+  endpoint.address = std::to_string(host);
+  endpoint.zone = fmt::format("z{}", at.zone);
+  endpoint.machine = "m";
+  endpoint.cell = at.cell;
+  endpoint.serving = !at.draining && at.state != State::gone;
+  endpoint.gone = at.state == State::gone;
+  if (at.startedDuringRun) endpoint.started = at.startedAt.time_since_epoch();
+  return endpoint;
+}
+
+std::uint32_t HostFleet::numberOf(std::string_view address) {
+  std::uint32_t number = 0;
+  std::from_chars(address.data(), address.data() + address.size(), number);
+  return number;
+}
+
+double HostFleet::loadOf(std::string_view address) const {
+  const std::uint32_t host = numberOf(address);
+  const EmulatedHost& at = hosts_[host];
+  if (at.state != State::up || at.draining || isUnresponsive(host) || isHanging(host)) return -1;
+  const double slow = faults_.affects(FaultKind::hostSlow, host) ? faults_.factor(FaultKind::hostSlow) : 1;
+  return (at.running + double(at.queue.size())) * slow / (run_.scenario().cores * rampFactor(at));
+}
+
+LoadReport HostFleet::loadReport(std::uint32_t host) const {
+  const EmulatedHost& at = hosts_[host];
+  LoadReport load;
+  load.inFlight = at.running + double(at.queue.size());
+  load.queued = double(at.queue.size());
+  load.answersPerSecond = at.recentAnswers;
+  return load;
+}
+
+std::uint32_t HostFleet::add(std::uint32_t zone, Start start) {
+  const std::uint32_t number = size();
+  EmulatedHost host;
+  host.zone = zone;
+  host.cell = static_cast<std::int64_t>(number % kCells);
+  host.name = fmt::format("h{}", number);
+  host.startedDuringRun = start == Start::now;
+  host.startedAt = host.startedDuringRun ? run_.now() : kRunStart - run_.scenario().cold - kLongRunning;
+  hosts_.push_back(std::move(host));
+  return number;
+}
+
+void HostFleet::kill(std::uint32_t host) {
+  EmulatedHost& at = hosts_[host];
+  if (at.state != State::up) return;
+  at.state = State::down;
+  ++at.incarnation;
+  at.running = 0;
+  at.connections = 0;
+  at.queue.clear();
+  std::vector<SlotRef> ended;
+  jobs_.each([&](SlotRef ref, const Job& job) {
+    if (job.host == host) ended.push_back(ref);
+  });
+  for (const SlotRef ref : ended) {
+    const ProcessSlot attempt = jobs_.find(ref)->attempt;
+    jobs_.drop(ref);
+    observer_.attemptEnded(attempt, Outcome::lost);
+  }
+  observer_.hostDied(host);
+}
+
+void HostFleet::remove(std::uint32_t host) {
+  kill(host);
+  hosts_[host].state = State::gone;
+}
+
+void HostFleet::start(std::uint32_t host) {
+  EmulatedHost& at = hosts_[host];
+  if (at.state == State::gone) return;
+  at.state = State::up;
+  ++at.incarnation;
+  at.startedAt = run_.now();
+  at.startedDuringRun = true;
+}
+
+void HostFleet::resume(std::uint32_t host) {
+  if (isHanging(host)) return;
+  std::vector<SlotRef> running;
+  jobs_.each([&](SlotRef ref, const Job& job) {
+    if (job.host == host && job.running) running.push_back(ref);
+  });
+  for (const SlotRef ref : running) run_.events().after(jobs_.find(ref)->work, [this, ref] { finish(ref); });
+}
+
+bool HostFleet::openConnection(std::uint32_t host) {
+  EmulatedHost& at = hosts_[host];
+  if (at.state != State::up || at.connections >= run_.scenario().connections) return false;
+  ++at.connections;
+  return true;
+}
+
+void HostFleet::connectionsClosed(std::uint32_t host, std::size_t count) {
+  EmulatedHost& at = hosts_[host];
+  if (at.state == State::up) at.connections -= static_cast<int>(count);
+}
+
+std::variant<SlotRef, Outcome> HostFleet::submit(const Arrival& arrival) {
+  const Scenario& scenario = run_.scenario();
+  const Duration work = scaled(scenario.methods[arrival.method].work, 0.5 + work_.exponential(0.5));
+  if (isOverloadedBy(arrival, work)) {
+    ++run_.metrics().hostsFallen;
+    run_.trace(TraceEvent::hostOverloaded, arrival.host);
+    kill(arrival.host);
+    return Outcome::lost;
+  }
+  EmulatedHost& at = hosts_[arrival.host];
+  if (at.running >= scenario.cores && at.queue.size() >= static_cast<std::size_t>(scenario.room))
+    return Outcome::rejected;
+  const SlotRef job = jobs_.add(
+      Job{arrival.host, arrival.attempt, arrival.clientAttemptId, arrival.attemptNumber, work, false});
+  if (at.running < scenario.cores)
+    run(job);
+  else
+    at.queue.push_back(job);
+  return job;
+}
+
+bool HostFleet::isOverloadedBy(const Arrival& arrival, Duration work) {
+  const EmulatedHost& at = hosts_[arrival.host];
+  return at.startedDuringRun &&
+         run_.checker().hostAsked(run_.now(), {arrival.host}, at.startedAt, work, arrival.startAnnounced);
+}
+
+void HostFleet::cancel(SlotRef ref) {
+  const Job* const job = jobs_.find(ref);
+  if (!job) return;
+  const std::uint32_t host = job->host;
+  const bool running = job->running;
+  if (running && !run_.scenario().stopsCancelled && !isHanging(host)) return;
+  jobs_.drop(ref);
+  if (running) startQueued(host);
+}
+
+double HostFleet::rampFactor(const EmulatedHost& host) const {
+  const Scenario& scenario = run_.scenario();
+  if (scenario.cold <= Duration{0}) return 1;
+  const double ramp = std::clamp(seconds(run_.now() - host.startedAt) / seconds(scenario.cold), 0.0, 1.0);
+  return scenario.startCapacity + (1 - scenario.startCapacity) * ramp;
+}
+
+void HostFleet::run(SlotRef ref) {
+  Job& job = *jobs_.find(ref);
+  EmulatedHost& at = hosts_[job.host];
+  job.running = true;
+  ++at.running;
+  run_.checker().ran(run_.now(), job.clientAttemptId, job.attemptNumber.value, {job.host}, at.zone, at.cell);
+  if (isHanging(job.host)) return;
+  const double slow = faults_.scaledFor(FaultKind::hostSlow, job.host, 1 / rampFactor(at));
+  run_.events().after(scaled(job.work, slow), [this, ref] { finish(ref); });
+}
+
+void HostFleet::finish(SlotRef ref) {
+  const Job* const found = jobs_.find(ref);
+  if (!found) return;
+  const Job job = *found;
+  jobs_.drop(ref);
+  const TimePoint now = run_.now();
+  EmulatedHost& at = hosts_[job.host];
+  at.recentAnswers = at.recentAnswers * std::exp(-seconds(now - at.lastAnswerAt)) + 1;
+  at.lastAnswerAt = now;
+  const bool failed = faults_.any(FaultKind::hostErr, [&](const ActiveFault& fault) {
+    return fault.affects(job.host) && work_.bernoulli(fault.fault->factor);
+  });
+  if (!failed) run_.checker().served(now, job.clientAttemptId, job.attemptNumber.value);
+  observer_.attemptEnded(job.attempt, failed ? Outcome::error : Outcome::ok);
+  startQueued(job.host);
+}
+
+// A core of the host has become free.
+void HostFleet::startQueued(std::uint32_t host) {
+  EmulatedHost& at = hosts_[host];
+  --at.running;
+  while (!at.queue.empty() && at.running < run_.scenario().cores) {
+    const SlotRef job = at.queue.front();
+    at.queue.pop_front();
+    if (jobs_.find(job)) run(job);
+  }
+}
+
+}  // namespace merlinbridge::emulator
--- /dev/null
+++ b/src/emulator/host_fleet.hpp
@@ -0,0 +1,140 @@
+#pragma once
+
+#include <cstdint>
+#include <deque>
+#include <string>
+#include <string_view>
+#include <variant>
+#include <vector>
+
+#include "config/endpoint_list.hpp"
+#include "emulator/process_ref.hpp"
+#include "emulator/random_stream.hpp"
+#include "emulator/run_context.hpp"
+
+namespace merlinbridge::emulator {
+
+class ActiveFaults;
+
+/// What the hosts tell the gateways.
+class HostObserver {
+ public:
+  virtual ~HostObserver() = default;
+  /// A host has answered an attempt, or its connection has ended. The attempt may be over already.
+  virtual void attemptEnded(const ProcessSlot& attempt, Outcome) = 0;
+  /// The host's process has ended, and with it all connections to it.
+  virtual void hostDied(std::uint32_t host) = 0;
+};
+
+/// The hosts. Each serves as many requests at a time as it has cores, keeps a bounded queue behind them, and
+/// is slower while it warms up. A host is named by its number, from 0 in the order of their appearance; the
+/// number is its address, too.
+class HostFleet {
+ public:
+  /// When a host started.
+  enum class Start { longBeforeRun, now };
+  /// A request that has arrived at a host.
+  struct Arrival {
+    std::uint32_t host = 0;
+    ProcessSlot attempt;
+    ClientAttemptId clientAttemptId;
+    AttemptNumber attemptNumber;
+    std::uint32_t method = 0;
+    bool startAnnounced = false;  ///< Whether discovery has told the gateway of the host's start.
+  };
+
+  /// Context, faults and observer must outlive the fleet.
+  HostFleet(RunContext&, std::uint64_t seed, const ActiveFaults&, HostObserver&);
+
+  std::uint32_t size() const { return static_cast<std::uint32_t>(hosts_.size()); }
+  std::uint32_t zoneOf(std::uint32_t host) const { return hosts_[host].zone; }
+  std::int64_t cellOf(std::uint32_t host) const { return hosts_[host].cell; }
+  std::uint64_t incarnationOf(std::uint32_t host) const { return hosts_[host].incarnation; }
+  bool isUp(std::uint32_t host) const { return hosts_[host].state == State::up; }
+  bool isUp(std::uint32_t host, std::uint64_t incarnation) const {
+    return isUp(host) && hosts_[host].incarnation == incarnation;
+  }
+  bool isDown(std::uint32_t host) const { return hosts_[host].state == State::down; }
+  /// Whether the host has been removed for good.
+  bool isGone(std::uint32_t host) const { return hosts_[host].state == State::gone; }
+  bool isDraining(std::uint32_t host) const { return hosts_[host].draining; }
+  /// Whether the host says nothing any more, to old connections and new ones.
+  bool isUnresponsive(std::uint32_t host) const;
+  /// Whether the host started during the run: discovery then gives the time of its start.
+  bool startedDuringRun(std::uint32_t host) const { return hosts_[host].startedDuringRun; }
+  /// The host as discovery lists it.
+  config::Endpoint endpointOf(std::uint32_t host) const;
+  /// The host with that address.
+  static std::uint32_t numberOf(std::string_view address);
+  /// Work in flight over the host's present speed; below 0 if it is of no use now.
+  double loadOf(std::string_view address) const;
+  /// What the host reports of its load in an answer.
+  LoadReport loadReport(std::uint32_t host) const;
+
+  /// Adds a host and returns its number.
+  std::uint32_t add(std::uint32_t zone, Start);
+  void beginDrain(std::uint32_t host) { hosts_[host].draining = true; }
+  /// Ends the host's process, if it runs: attempts in flight end as lost.
+  void kill(std::uint32_t host);
+  /// Ends the host's process and removes it for good.
+  void remove(std::uint32_t host);
+  /// Starts the host's process again, cold. No effect on a host that is gone.
+  void start(std::uint32_t host);
+  /// A host that hung goes on with what it was at, unless another fault still holds it up.
+  void resume(std::uint32_t host);
+
+  /// Takes a new connection. False: refused.
+  bool openConnection(std::uint32_t host);
+  /// Connections were closed by the other side. No effect on a host that is not up.
+  void connectionsClosed(std::uint32_t host, std::size_t count);
+  /// Takes a request: either the job that it is now, or the outcome that it had at once.
+  std::variant<core::SlotRef, Outcome> submit(const Arrival&);
+  /// The gateway has closed the connection of that job. No effect if the job is over.
+  void cancel(core::SlotRef job);
+
+ private:
+  enum class State {
+    up,
+    down,  ///< Its process has ended; it may start again.
+    gone   ///< It never comes back.
+  };
+  struct EmulatedHost {
+    std::uint32_t zone = 0;
+    std::int64_t cell = 0;
+    std::string name;
+    TimePoint startedAt;
+    bool startedDuringRun = false;
+    State state = State::up;
+    bool draining = false;
+    std::uint64_t incarnation = 1;
+    int running = 0;
+    int connections = 0;
+    std::deque<core::SlotRef> queue{};
+    double recentAnswers = 0;  ///< Decays by a factor e a second.
+    TimePoint lastAnswerAt{};
+  };
+  struct Job {
+    std::uint32_t host = 0;
+    ProcessSlot attempt;
+    ClientAttemptId clientAttemptId;
+    AttemptNumber attemptNumber;
+    Duration work{};
+    bool running = false;
+  };
+
+  double rampFactor(const EmulatedHost&) const;
+  bool isHanging(std::uint32_t host) const;
+  bool isOverloadedBy(const Arrival&, Duration work);
+  void run(core::SlotRef job);
+  void finish(core::SlotRef job);
+  void startQueued(std::uint32_t host);
+
+  RunContext& run_;
+  const ActiveFaults& faults_;
+  HostObserver& observer_;
+  RandomStream work_;
+  std::vector<EmulatedHost> hosts_;
+  core::SlotTable<Job> jobs_;
+};
+
+}  // namespace merlinbridge::emulator
