--- a/scripts/compare_results.sh
+++ b/scripts/compare_results.sh
@@ -43,7 +43,7 @@
   awk 'FILENAME == ARGV[1] { new[$1] = $2; next }
        { for (i = 1; i <= NF; ++i) if ($i in new) $i = new[$i] }
        $2 == "hash" || $2 == "version" || $2 ~ /^\(/ { next }
-       { print }' "$titles" "$1" | sort
+       { $1 = $1; print }' "$titles" "$1" | sort
 }
 
 compare() {
--- a/src/lab/chart.hpp
+++ b/src/lab/chart.hpp
@@ -3,29 +3,43 @@
 #include <string>
 #include <vector>
 
-#include "lab/compare.hpp"
+#include "lab/comparison.hpp"
 
+/// Charts of a figure over a changed field.
 namespace merlinbridge::lab {
 
-struct Point {
-  double x = 0;
-  Estimate y;
+enum class AxisScale { linear, logarithmic };
+
+struct ChartPoint {
+  double position = 0;  ///< On the horizontal axis.
+  Estimate value;
 };
-struct Line {
+
+struct ChartSeries {
   std::string name;
-  std::vector<Point> points;
+  std::vector<ChartPoint> points;  ///< By rising position.
 };
+
 struct Chart {
-  std::string title, x, y;  ///< the axes' names, with their units
-  bool logX = false;
-  std::vector<Line> lines;
+  std::string title;
+  std::string horizontalTitle;  ///< With its unit, as is verticalTitle.
+  std::string verticalTitle;
+  AxisScale horizontalScale = AxisScale::linear;
+  std::vector<ChartSeries> series;
 };
 
-/// Round values between two, some five of them.
-std::vector<double> ticksOf(double least, double most, bool log);
-/// The chart as an SVG picture, with an interval at each point that has one.
-std::string draw(const Chart&);
-/// One figure over one changed field, a line for each policy (and for each value of a second field).
-Chart chartOf(const std::vector<Row>&, const std::string& field, const std::string& figure, bool logX);
+/// One figure over one changed field: a series for each policy and each combination of the other changed
+/// fields, a point for each value of the field, estimated over the seeds. The figure is named by its present
+/// title or that of an earlier version. Throws LabError if no run has both, or if a value of the field is no
+/// number.
+Chart chartOf(const std::vector<Row>&, const std::string& field, const std::string& figure, AxisScale);
+
+/// Round values from `low` to `high`, about five on a linear axis; 1 and 3 of each power of ten on a
+/// logarithmic one, where `low` must be above 0.
+std::vector<double> axisTicks(double low, double high, AxisScale);
+
+/// The chart as an SVG image, with the confidence interval of each point that has one. Throws LabError if
+/// there is no point, or one at or below 0 on a logarithmic axis.
+std::string renderSvg(const Chart&);
 
 }  // namespace merlinbridge::lab
--- /dev/null
+++ b/src/lab/scenario_shrinker.cpp
@@ -0,0 +1,98 @@
+#include "lab/scenario_shrinker.hpp"
+
+#include <algorithm>
+#include <utility>
+#include <vector>
+
+#include "lab/lab_error.hpp"
+
+namespace merlinbridge::lab {
+namespace {
+
+using emulator::Fault;
+using emulator::Scenario;
+
+constexpr Duration kMinLength = std::chrono::seconds(1);
+/// A shortened scenario lasts so much longer than the start of its last fault, so that the effect shows.
+constexpr double kSecondsAfterLastFault = 1;
+/// A fault that begins earlier is not moved further towards the start.
+constexpr double kMinFaultStartSeconds = 0.5;
+
+/// Collects the scenarios that are one step smaller than a given one.
+class SmallerScenarios {
+ public:
+  explicit SmallerScenarios(const Scenario& scenario) : scenario_(scenario) {}
+
+  /// All of them, those that save the most first.
+  std::vector<Scenario> all() && {
+    leaveOutEach(&Scenario::faults, 0);
+    halve(&Scenario::gateways, 1);
+    halve(&Scenario::hosts, 1);
+    halve(&Scenario::customers, 1);
+    halve(&Scenario::rate, 1);
+    halve(&Scenario::zones, 1);
+    halve(&Scenario::spread, 1);
+    shorten();
+    startFaultsEarlier();
+    leaveOutEach(&Scenario::methods, 1);
+    leaveOutEach(&Scenario::plans, 1);
+    return std::move(smaller_);
+  }
+
+ private:
+  template <class List>
+  void leaveOutEach(List Scenario::*list, std::size_t minSize) {
+    const std::size_t size = (scenario_.*list).size();
+    if (size <= minSize) return;
+    for (std::size_t index = 0; index < size; ++index) {
+      List& shorter = smaller_.emplace_back(scenario_).*list;
+      shorter.erase(shorter.begin() + static_cast<std::ptrdiff_t>(index));
+    }
+  }
+  template <class Number>
+  void halve(Number Scenario::*field, std::type_identity_t<Number> minimum) {
+    const Number before = scenario_.*field;
+    const Number after = std::max(minimum, before / 2);
+    if (after != before) smaller_.emplace_back(scenario_).*field = after;
+  }
+  void shorten() {
+    double lastStart = 0;
+    for (const Fault& fault : scenario_.faults) lastStart = std::max(lastStart, fault.from.most);
+    const Duration shorter =
+        std::max({scaled(scenario_.length, 0.5), durationOf(lastStart + kSecondsAfterLastFault), kMinLength});
+    if (shorter < scenario_.length) smaller_.emplace_back(scenario_).length = shorter;
+  }
+  void startFaultsEarlier() {
+    for (std::size_t index = 0; index < scenario_.faults.size(); ++index) {
+      if (scenario_.faults[index].from.most < kMinFaultStartSeconds) continue;
+      Fault& fault = smaller_.emplace_back(scenario_).faults[index];
+      fault.from.least /= 2;
+      fault.from.most /= 2;
+    }
+  }
+
+  const Scenario& scenario_;
+  std::vector<Scenario> smaller_;
+};
+
+}  // namespace
+
+ShrunkScenario shrink(const Scenario& scenario, const ShowsBehaviour& shows, std::size_t maxRuns) {
+  ShrunkScenario found{scenario, 1};
+  if (!shows(scenario)) throw LabError("the scenario does not show it with this seed");
+  bool improved = true;
+  while (improved && found.runs < maxRuns) {
+    improved = false;
+    for (Scenario& smaller : SmallerScenarios(found.scenario).all()) {
+      if (found.runs >= maxRuns) break;
+      ++found.runs;
+      if (!shows(smaller)) continue;
+      found.scenario = std::move(smaller);
+      improved = true;
+      break;
+    }
+  }
+  return found;
+}
+
+}  // namespace merlinbridge::lab
--- a/tests/compare_results_test.sh
+++ b/tests/compare_results_test.sh
@@ -25,7 +25,7 @@
 expect 0 "10 runs are equal"
 
 # One decision changed in one run: the fingerprint alone differs.
-sed -i 's/^\( *print *\).*/\10123456789abcdef/' "$folder/after/short-7.txt"
+sed -Ei 's/^( *(finger)?print +).*/\10123456789abcdef/' "$folder/after/short-7.txt"
 expect 1 "short-7 differs"
 cp "$folder/before/short-7.txt" "$folder/after/"
 
--- a/tests/test_services/emulator_validation.cpp
+++ b/tests/test_services/emulator_validation.cpp
@@ -11,7 +11,8 @@
 #include <filesystem>
 #include <iostream>
 
-#include "lab/table.hpp"
+#include "emulator/metrics.hpp"
+#include "lab/result_table.hpp"
 #include "test_services.hpp"
 
 namespace merlinbridge::test_services {
@@ -62,7 +63,7 @@
   Daemons& operator=(const Daemons&) = delete;
   explicit Daemons(std::string program) : program_(std::move(program)) {
     char folder[] = "/tmp/merlinbridge-validation-XXXXXX";
-    if (!mkdtemp(folder)) throw lab::Unfit("no folder for the daemons' files");
+    if (!mkdtemp(folder)) throw lab::LabError("no folder for the daemons' files");
     folder_ = folder;
   }
   ~Daemons() {
@@ -71,7 +72,7 @@
   }
   void start(const std::string& config) {
     const std::string path = fmt::format("{}/{}.json", folder_, pids_.size()), log = path + ".log";
-    lab::putFile(path, config);
+    lab::replaceFile(path, config);
     const std::string setting = "GW_CONFIG=" + path;
     posix_spawn_file_actions_t files;
     posix_spawn_file_actions_init(&files);
@@ -80,7 +81,7 @@
     char* const env[] = {const_cast<char*>(setting.c_str()), nullptr};
     pid_t pid = 0;
     if (posix_spawn(&pid, program_.c_str(), &files, nullptr, argv, env) != 0)
-      throw lab::Unfit(program_ + " does not start");
+      throw lab::LabError(program_ + " does not start");
     posix_spawn_file_actions_destroy(&files);
     pids_.push_back(pid);
   }
@@ -327,13 +328,13 @@
   for (const auto& host : hosts)
     t.attempts += host->asked, t.connects += host->connects(), t.unitsSent += host->units;
   t.countCalls = counter.calls;
-  if (!daemons.end()) throw lab::Unfit("a daemon did not end with 0");
+  if (!daemons.end()) throw lab::LabError("a daemon did not end with 0");
   return t;
 }
 
 int hold(const std::string& file, const std::string& seeds, const std::string& program) {
   const Scenario s = emulator::readScenario(emulator::textOfFile(file), file);
-  if (!s.faults.empty()) throw lab::Unfit("only a scenario without faults is held against sockets");
+  if (!s.faults.empty()) throw lab::LabError("only a scenario without faults is held against sockets");
   int far = 0;
   std::istringstream words(seeds);
   std::cout << "seed,figure,emulated,sockets,may_differ,verdict\n";
