--- a/scripts/compare_results.sh
+++ b/scripts/compare_results.sh
@@ -1,71 +1,106 @@
 #!/usr/bin/env bash
-# Shows whether two builds of the laboratory decide alike. Every run of a scenario is reduced to lines of
-# "scenario seed figure value"; a run's fingerprint covers every event in order, so one changed decision shows.
+# Shows whether two builds of the laboratory decide alike: the first build's results are recorded, then the
+# second's, then the two records are compared.
 #
-#   compare_results.sh record LAB FOLDER SCENARIO...   runs each scenario on seeds 1 to 10 and keeps the figures
+#   compare_results.sh record LAB FOLDER SCENARIO...   runs each scenario on seeds 1 to 10 and keeps the results
 #   compare_results.sh compare FOLDER FOLDER           exit 0: equal, 1: the first differences are printed
 #
-# Titles that a later version renamed are compared under their new names (renamed_titles.txt, "old new" a line).
-# The scenario's hash and the program's version are left out: both change without a decision.
+# A record is one text file for each run, SCENARIO-SEED.txt: the summary that `lab run` prints and its two tables,
+# runs.csv and timeline.csv, as lines "row title value". The summary's fingerprint covers every event of the run in order,
+# so a single changed decision shows even where no figure changes.
+#
+# Before two records are compared, both are normalized; all that remains must be equal word by word:
+#   - Titles that a later version renamed get their new names (renamed_titles.txt, "old new" a line), so that a record of
+#     an earlier version can be compared with one of today.
+#   - Lines with the scenario's hash or the program's version go: both change without a changed decision.
+#   - Runs of spaces become one, and lines are sorted: the width and the order of columns are not results.
 set -euo pipefail
+
 titles=$(cd "$(dirname "$0")" && pwd)/renamed_titles.txt
-readonly titles seeds=10
+readonly titles
+readonly seeds=10
+readonly shown_differences=6
 
 usage() {
   sed -n '5,6s/^#   //p' "$0" >&2
   exit 2
 }
 
-# A table as lines "row title value".
+# csv_to_lines TABLE: the table as lines "row title value". Rows count from 1; the comment at the end is left out.
 csv_to_lines() {
-  awk -F, '/^#/ { next } !seen { for (i = 1; i <= NF; ++i) title[i] = $i; seen = 1; next }
-           { ++row; for (i = 1; i <= NF; ++i) print row, title[i], $i }' "$1"
+  awk -F, '
+    /^#/ { next }
+    !titles_read { for (i = 1; i <= NF; ++i) title[i] = $i; titles_read = 1; next }
+    { ++row; for (i = 1; i <= NF; ++i) print row, title[i], $i }
+  ' "$1"
+}
+
+# record_run LAB SCENARIO SEED FILE: plays one run and writes its record.
+record_run() {
+  local lab=$1 scenario=$2 seed=$3 file=$4 folder
+  folder=$(mktemp -d)
+  # Exit code 1 says that the run violated an invariant; it is recorded like any other.
+  "$lab" run "$scenario" --seed "$seed" --out "$folder" >"$folder/summary.txt" || (($? == 1))
+  {
+    cat "$folder/summary.txt"
+    csv_to_lines "$folder/runs.csv"
+    csv_to_lines "$folder/timeline.csv"
+  } >"$file"
+  rm -rf "$folder"
 }
 
+# record LAB FOLDER SCENARIO...
 record() {
-  local lab=$1 folder=$2 scenario seed name run
+  local lab=$1 folder=$2 scenario seed
   shift 2
   mkdir -p "$folder"
   for scenario in "$@"; do
-    name=$(basename "$scenario" .toml)
     for ((seed = 1; seed <= seeds; ++seed)); do
-      run=$(mktemp -d)
-      # A run that breaks a rule exits with 1 and is recorded like any other.
-      "$lab" run "$scenario" --seed "$seed" --out "$run" >"$run/figures.txt" || (($? == 1))
-      { cat "$run/figures.txt"; csv_to_lines "$run/runs.csv"; csv_to_lines "$run/timeline.csv"; } \
-        >"$folder/$name-$seed.txt"
-      rm -rf "$run"
+      record_run "$lab" "$scenario" "$seed" "$folder/$(basename "$scenario" .toml)-$seed.txt"
     done
   done
 }
 
+# normalized FILE: a record in the form in which records are compared; see the head of this script.
 normalized() {
-  awk 'FILENAME == ARGV[1] { new[$1] = $2; next }
-       { for (i = 1; i <= NF; ++i) if ($i in new) $i = new[$i] }
-       $2 == "hash" || $2 == "version" || $2 ~ /^\(/ { next }
-       { $1 = $1; print }' "$titles" "$1" | sort
+  awk '
+    FILENAME == ARGV[1] { new_title[$1] = $2; next }
+    { for (i = 1; i <= NF; ++i) if ($i in new_title) $i = new_title[$i] }
+    $2 == "hash" || $2 == "version" { next }
+    $2 ~ /^\(/ { next }  # The head of the summary: "NAME (HASH), seed ..."
+    { $1 = $1; print }   # Joins the words by single spaces.
+  ' "$titles" "$1" | sort
 }
 
+# compare FOLDER FOLDER: returns 0 if all runs are equal.
 compare() {
-  local first=$1 second=$2 file differs=0
+  local first=$1 second=$2 file run differs=0 differences
   if ! diff <(cd "$first" && ls) <(cd "$second" && ls); then
     echo "the folders hold different runs"
     return 1
   fi
   [[ -n $(ls "$first") ]] || usage
   for file in "$first"/*.txt; do
-    if ! diff <(normalized "$file") <(normalized "$second/$(basename "$file")") >/tmp/compare_results.$$; then
-      echo "$(basename "$file" .txt) differs:" && head -6 "/tmp/compare_results.$$"
+    run=$(basename "$file" .txt)
+    if ! differences=$(diff <(normalized "$file") <(normalized "$second/$run.txt")); then
+      echo "$run differs:"
+      head -n "$shown_differences" <<<"$differences"
       differs=1
     fi
   done
-  rm -f "/tmp/compare_results.$$"
   ((differs)) || echo "$(find "$first" -name '*.txt' | wc -l) runs are equal"
   return "$differs"
 }
 
 case ${1:-} in
-  record) (($# >= 4)) || usage; shift; record "$@" ;;
-  compare) (($# == 3)) || usage; compare "$2" "$3" ;;
+  record)
+    (($# >= 4)) || usage
+    shift
+    record "$@"
+    ;;
+  compare)
+    (($# == 3)) || usage
+    compare "$2" "$3"
+    ;;
   *) usage ;;
 esac
