--- /dev/null
+++ b/tests/test_services/platform_settings.hpp
@@ -0,0 +1,14 @@
+#pragma once
+
+#include <cstdint>
+#include <string>
+
+#include "emulator/scenario.hpp"
+
+namespace merlinbridge::test_services {
+
+/// The platform's settings, as JSON, that give a daemon what a scenario gives an emulated gateway.
+/// `gatewayNumber` counts from 0.
+std::string platformSettings(const emulator::Scenario&, std::uint32_t gatewayNumber);
+
+}  // namespace merlinbridge::test_services
--- a/tests/test_services/test_services_main.cpp
+++ b/tests/test_services/test_services_main.cpp
@@ -1,11 +1,13 @@
-// Hosts, a counter service and discovery on loopback, for trying a gateway by hand. Writes the gateway's
-// configuration and serves until Ctrl-C, or until its time is up.
+// Hosts, a counter service and discovery on loopback, to try a gateway by hand. Writes the gateway's
+// configuration and serves until SIGINT or SIGTERM, or until its time is up.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <fstream>
 #include <iostream>
 
-#include "test_services.hpp"
+#include "counter_service.hpp"
+#include "discovery_service.hpp"
+#include "service_host.hpp"
 
 namespace merlinbridge::test_services {
 namespace {
@@ -17,8 +19,10 @@
   int seconds = 600;
 };
 
+constexpr int kMaxHosts = 100;
 constexpr Duration kWork = std::chrono::milliseconds(20);
-constexpr int kCores = 4, kQueue = 64;
+constexpr Duration kCounterServiceTime = std::chrono::microseconds(200);
+constexpr ServiceHost::Capacity kCapacity{4, 64};
 
 /// One method, and one plan of five units a second with a burst of twenty.
 constexpr std::string_view kSettings =
@@ -29,46 +33,58 @@
     R"("maxRetryAfter":1000000},"rules":{"startCapacity":0.2,"tipMultiple":3,"cold":1000000,"fall":1000000,)"
     R"("answerSlack":16000}})";
 
-int serve(const Options& options) {
-  asio::io_context io;
-  std::vector<std::unique_ptr<Host>> hosts;
-  std::string list;
-  for (int h = 0; h < options.hosts; ++h) {
-    hosts.push_back(std::make_unique<Host>(io, kCores, kQueue, true, [](std::string_view) { return kWork; }));
-    list += fmt::format(
+using Hosts = std::vector<std::unique_ptr<ServiceHost>>;
+
+std::string endpointList(const Hosts& hosts) {
+  std::string entries;
+  for (std::size_t index = 0; index < hosts.size(); ++index)
+    entries += fmt::format(
         R"({}{{"instanceId":"host-{}","hostPort":"{}","zone":"a","machineType":"m","cell":0,"lifecycle":"in_service","startedAtMs":0}})",
-        h ? "," : "", h, hosts.back()->address());
-  }
-  const std::string endpoints = fmt::format(R"({{"generation":1,"reset":true,"instances":[{}]}})", list);
-  Counter counter(io, std::chrono::microseconds(200));
-  Discovery discovery(io);
-  discovery.tell(endpoints);
+        index > 0 ? "," : "", index, hosts[index]->address());
+  return fmt::format(R"({{"generation":1,"reset":true,"instances":[{}]}})", entries);
+}
+
+void writeConfiguration(const Options& options, const std::string& discovery, const std::string& counter,
+                        const std::string& endpoints) {
   std::ofstream(options.configFile) << fmt::format(
       R"({{"name":"try","listen":"127.0.0.1:{}","discovery":"{}","counter":"{}","seed":"1","limits":{{"sockets":256}},"known":{},"settings":{}}})",
-      options.port, discovery.address(), counter.address(), endpoints, kSettings);
+      options.port, discovery, counter, endpoints, kSettings);
   std::cout << "configuration: " << options.configFile << ", gateway's address: 127.0.0.1:" << options.port
             << std::endl;
-  asio::signal_set ends(io, SIGINT, SIGTERM);
-  ends.async_wait([&io](const Error&, int) { io.stop(); });
+}
+
+void serve(const Options& options) {
+  asio::io_context io;
+  Hosts hosts;
+  for (int index = 0; index < options.hosts; ++index)
+    hosts.push_back(std::make_unique<ServiceHost>(io, kCapacity, ServiceHost::LoadReports::inHeader,
+                                                  [](std::string_view) { return kWork; }));
+  const std::string endpoints = endpointList(hosts);
+  CounterService counter(io, kCounterServiceTime);
+  DiscoveryService discovery(io);
+  discovery.publish(endpoints);
+  writeConfiguration(options, discovery.address(), counter.address(), endpoints);
+  asio::signal_set signals(io, SIGINT, SIGTERM);
+  signals.async_wait([&io](const Error&, int) { io.stop(); });
   io.run_for(std::chrono::seconds(options.seconds));
-  for (std::size_t h = 0; h < hosts.size(); ++h)
-    std::cout << "host-" << h << " answered " << hosts[h]->served << " requests\n";
-  return 0;
+  for (std::size_t index = 0; index < hosts.size(); ++index)
+    std::cout << "host-" << index << " answered " << hosts[index]->answered() << " requests\n";
 }
 
 }  // namespace
 }  // namespace merlinbridge::test_services
 
 int main(int argc, char** argv) {
-  merlinbridge::test_services::Options options;
+  using namespace merlinbridge::test_services;
+  Options options;
   CLI::App app{"merlinbridge_test_services: hosts, a counter service and discovery on loopback"};
   app.add_option("--config", options.configFile, "where the gateway's configuration is written")
       ->capture_default_str();
   app.add_option("--port", options.port, "where the gateway is to listen")->capture_default_str();
   app.add_option("--hosts", options.hosts, "how many hosts")
       ->capture_default_str()
-      ->check(CLI::Range(0, 100));
+      ->check(CLI::Range(0, kMaxHosts));
   app.add_option("--seconds", options.seconds, "ends after so long")->capture_default_str();
   CLI11_PARSE(app, argc, argv);
-  return merlinbridge::test_services::serve(options);
+  serve(options);
 }
