--- a/tests/cold_hosts_test.cpp
+++ b/tests/cold_hosts_test.cpp
@@ -1,3 +1,6 @@
+/// \file
+/// What all gateways together send to a host in slow start, in the emulator: at most N + 2 x root of N + 2
+/// requests of mean work, N being what the settings allow the host at that time.
 #include <catch2/catch.hpp>
 
 #include "emulator/metrics.hpp"
@@ -5,11 +8,10 @@
 using namespace merlinbridge;
 using namespace merlinbridge::emulator;
 
-// What all gateways together send a host that has just started, against the budget of the operators' page: N
-// + 2 x root of N + 2 requests of mean work, N being what the settings allow it then.
 namespace {
 
-const std::string kReplaced = R"(name = "cold hosts"
+/// Hosts of which nine in ten are replaced at once, under five times the usual load.
+const std::string kHostsReplaced = R"(name = "cold hosts"
 length = "5s"
 [fleet]
 gateways = 3
@@ -49,21 +51,22 @@
 
 }  // namespace
 
-TEST_CASE("cold hosts are not pushed over by the sum of all gateways, be they one or hundreds") {
+TEST_CASE("Hosts in slow start are not overloaded by all gateways together, one or hundreds") {
   const auto [gateways, spread] =
       GENERATE(table<std::string, std::string>({{"1", "1"}, {"3", "3"}, {"25", "8"}, {"300", "20"}}));
-  const Scenario s =
-      readScenario(kReplaced, "cold.toml", {"fleet.gateways=" + gateways, "clients.spread=" + spread});
+  const Scenario scenario =
+      readScenario(kHostsReplaced, "cold.toml", {"fleet.gateways=" + gateways, "clients.spread=" + spread});
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    const Metrics t = play(s, seed, Policy::module);
+    const Metrics metrics = play(scenario, seed, Policy::module);
     INFO(gateways << " gateways, seed " << seed);
-    CHECK(t.violations[static_cast<std::size_t>(Invariant::cold)] == 0);
-    CHECK(t.nearestCold < 1);
-    CHECK(t.nearestCold > 0.05);  // they are used all the same
+    CHECK(metrics.violations[static_cast<std::size_t>(Invariant::cold)] == 0);
+    CHECK(metrics.nearestCold < 1);
+    CHECK(metrics.nearestCold > 0.05);  // the hosts are used
   }
 }
 
-TEST_CASE("gateways that let all in push the same cold hosts over") {
-  const Scenario s = readScenario(kReplaced, "cold.toml", {"fleet.gateways=25", "clients.spread=8"});
-  CHECK(play(s, 1, Policy::all).violations[static_cast<std::size_t>(Invariant::cold)] > 0);
+TEST_CASE("Gateways that admit everything overload the same hosts in slow start") {
+  const Scenario scenario =
+      readScenario(kHostsReplaced, "cold.toml", {"fleet.gateways=25", "clients.spread=8"});
+  CHECK(play(scenario, 1, Policy::all).violations[static_cast<std::size_t>(Invariant::cold)] > 0);
 }
--- a/tests/faults/fault_plan.hpp
+++ b/tests/faults/fault_plan.hpp
@@ -11,17 +11,20 @@
 #include <stdexcept>
 #include <string>
 
-// Which system calls of another process fail, by whose choice a test can change it while that process runs.
+/// \file
+/// The plan by which system calls of the program under test fail. A test writes it and the program reads it,
+/// through a file that both map into memory, so a test can change it while the program runs.
 namespace merlinbridge::testing {
 
+/// A system call, or a group of calls, that can be made to fail.
 enum class FaultyCall : std::size_t {
   accept,
   socket,
   connect,
   receive,       ///< recv, recvmsg and read of a socket
   send,          ///< send, sendmsg and write of a socket
-  shortReceive,  ///< One byte at most is read.
-  shortSend,     ///< One byte at most is taken.
+  shortReceive,  ///< Not an error: at most one byte is read.
+  shortSend,     ///< Not an error: at most one byte is written.
   setNonBlocking,
   epollAdd,
   epollModify,
@@ -33,19 +36,19 @@
   fileOpen,
   fileRead,
   logWrite,   ///< write and writev of standard error
-  stepClock,  ///< Fails not; the wall clock is ahead by `error` seconds.
+  stepClock,  ///< Not an error: the wall clock is ahead by `error` seconds.
   bind,
   listen,
   count
 };
 
-/// The faults of one call. `times` calls fail with `error`; of those that would, only each `every`-th does.
+/// The faults of one call. Every `every`-th call fails with `error`, until `times` of them have failed.
 struct Fault {
-  std::atomic<int> error;
-  std::atomic<int> times;
-  std::atomic<int> every;
-  std::atomic<int> seen;
-  std::atomic<int> failed;
+  std::atomic<int> error;   ///< The errno of a failed call.
+  std::atomic<int> times;   ///< Calls that are still to fail.
+  std::atomic<int> every;   ///< 1: each call fails.
+  std::atomic<int> seen;    ///< Calls made since fail() was called.
+  std::atomic<int> failed;  ///< Calls that have failed since the plan was made.
 };
 
 using FaultTable = std::array<Fault, static_cast<std::size_t>(FaultyCall::count)>;
@@ -53,9 +56,11 @@
 /// The environment variable that names the file with the table.
 inline constexpr const char* kFaultPlanVariable = "MERLINBRIDGE_FAULT_PLAN";
 
-/// A table of faults in a file that both processes map.
+/// A table of faults in a file that both processes map. Owns the mapping; the file stays. Safe to use from
+/// several threads and processes at once.
 class FaultPlan {
  public:
+  /// Maps the file `path`, which is made if it does not exist. Throws std::runtime_error if that fails.
   explicit FaultPlan(const std::string& path) {
     const int file = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
     if (file < 0 || ::ftruncate(file, sizeof(FaultTable)) != 0) throw std::runtime_error("no fault plan");
@@ -68,13 +73,19 @@
   FaultPlan& operator=(const FaultPlan&) = delete;
   ~FaultPlan() { ::munmap(table_, sizeof(FaultTable)); }
 
+  /// The fault of `call`, as both processes see it.
   Fault& at(FaultyCall call) { return (*table_)[static_cast<std::size_t>(call)]; }
+  /// From now on, every `every`-th `call` fails with `error`, `times` times.
   void fail(FaultyCall call, int error, int times, int every = 1) {
     Fault& fault = at(call);
-    fault.error = error, fault.every = every, fault.seen = 0;
-    fault.times = times;
+    fault.error = error;
+    fault.every = every;
+    fault.seen = 0;
+    fault.times = times;  // last, since it arms the fault
   }
+  /// From now on, `call` succeeds.
   void stop(FaultyCall call) { at(call).times = 0; }
+  /// Returns the number of calls that have failed.
   int failed(FaultyCall call) { return at(call).failed; }
 
  private:
--- a/tests/faults/system_call_faults.cpp
+++ b/tests/faults/system_call_faults.cpp
@@ -1,5 +1,6 @@
-// Stands in front of the C library's system calls in the program under test and lets them fail as the table
-// in the file that MERLINBRIDGE_FAULT_PLAN names says. Without that variable every call goes through.
+/// \file
+/// Interposes the C library's system calls in the program under test. Each call fails as the plan says that
+/// is in the file named by MERLINBRIDGE_FAULT_PLAN; without that variable every call goes through.
 #include <dlfcn.h>
 #include <poll.h>
 #include <sys/epoll.h>
@@ -24,6 +25,7 @@
 using merlinbridge::testing::FaultPlan;
 using merlinbridge::testing::FaultyCall;
 
+/// The plan of this process; null without one.
 FaultPlan* plan() {
   static const std::unique_ptr<FaultPlan> mapped = [] {
     const char* const path = std::getenv(merlinbridge::testing::kFaultPlanVariable);
@@ -32,9 +34,10 @@
   return mapped.get();
 }
 
-/// Whether this call is to fail; then errno says how.
+/// Returns true if this call has to fail, and sets errno in that case.
 bool fails(FaultyCall call) {
-  static thread_local bool asking = false;  // the plan itself is opened by calls that stand here
+  // Opening the plan makes calls that are interposed here, too.
+  static thread_local bool asking = false;
   if (asking) return false;
   asking = true;
   FaultPlan* const faults = plan();
@@ -48,11 +51,13 @@
   return true;
 }
 
+/// The C library's function of that name, which the one in this file hides.
 template <class Function>
 Function* next(const char* name) {
   return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
 }
 
+/// What a file descriptor refers to, as far as the plan distinguishes it.
 enum class Kind { socket, pipe, file, standardError, other };
 
 Kind kindOf(int descriptor) {
@@ -90,7 +95,8 @@
   }
 }
 
-// Only where somebody waits to be accepted. A connection that was aborted is there no more.
+/// Returns true if this accept has to fail. A failure counts only if a connection waits to be accepted. For
+/// an error that says that the connection was aborted, that connection is closed.
 bool acceptFails(int listener) {
   pollfd at{listener, POLLIN, 0};
   static auto* const realPoll = next<int(pollfd*, nfds_t, int)>("poll");
@@ -124,7 +130,7 @@
   return domain == AF_INET && fails(FaultyCall::socket) ? -1 : real(domain, type, protocol);
 }
 
-// An interrupted connect goes on all the same.
+// An interrupted connect continues in the kernel.
 int connect(int descriptor, const sockaddr* address, socklen_t size) {
   static auto* const real = next<decltype(connect)>("connect");
   if (!fails(FaultyCall::connect)) return real(descriptor, address, size);
--- a/tests/net/client_connection_test.cpp
+++ b/tests/net/client_connection_test.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-TEST_CASE("A client that closes ends neither the gateway nor gets its response delivered to another client") {
+TEST_CASE("A client that closes neither stops the gateway nor has its response delivered to another client") {
   GatewayUnderTest gateway;
   ForwardedRequest forwarded(gateway);
   forwarded.client.close();
--- a/tests/net/graceful_shutdown_test.cpp
+++ b/tests/net/graceful_shutdown_test.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Graceful shutdown of the server: what is still accepted and answered, and when connections close.
-/// Server::leave() begins it, closeIdle() ends idle connections, shut() stops accepting, discard() reads what
-/// nobody will answer.
+/// Server::leave() begins it, closeIdle() closes idle connections, shut() stops accepting, discard() reads
+/// and drops bytes that have arrived.
 #include <catch2/catch.hpp>
 #include <optional>
 
--- a/tests/support/policy_invariant_checker.hpp
+++ b/tests/support/policy_invariant_checker.hpp
@@ -38,8 +38,8 @@
 
  private:
   struct CeilingBucket {
-    double level;
-    TimePoint updatedAt;
+    double level = 0;  ///< Units; negative within the plan's slack.
+    TimePoint updatedAt{};
   };
 
   const Method& methodOf(const SimulatedRequest& request) const;
