--- a/src/gateway_core/engine_log_event.hpp
+++ b/src/gateway_core/engine_log_event.hpp
@@ -5,7 +5,7 @@
 
 namespace merlinbridge::core {
 
-/// The log event under which a state change of the decision engine is written.
+/// Returns the log event that reports a state change of the decision engine.
 constexpr LogEvent logEventOf(EngineEvent event) {
   switch (event) {
     case EngineEvent::counterUnreachable:
--- a/src/gateway_core/request_parser.cpp
+++ b/src/gateway_core/request_parser.cpp
@@ -1,22 +1,66 @@
 #include "gateway_core/request_parser.hpp"
 
 #include <algorithm>
+#include <array>
 #include <charconv>
 #include <cmath>
 
+#include "gateway_core/request_fields.hpp"
+
 namespace merlinbridge::core {
 namespace {
 
-// What a count can hold exactly; whatever claims more is no request.
+// The largest cost of one request, in units. A client that claims more would distort the counts of its quota.
 constexpr double kMaxUnits = 1e6;
+constexpr double kDefaultUnits = 1;  // where Quota-Info names none
+constexpr int kHexBase = 16;
+constexpr std::string_view kUnitsParameter = "units";
+constexpr std::string_view kGatewayCountParameter = "spread";
+
+// The values of the request's header fields; empty where a field is missing.
+struct FieldValues {
+  std::string_view requestId;
+  std::string_view method;
+  std::string_view plan;
+  std::string_view customer;
+  std::string_view deadline;
+  std::string_view quotaInfo;
+  std::string_view idempotencyKey;
+};
+struct FieldBinding {
+  std::string_view name;
+  std::string_view FieldValues::*value;
+};
+constexpr std::array kFieldBindings{
+    FieldBinding{kRequestIdField, &FieldValues::requestId},
+    FieldBinding{kMethodField, &FieldValues::method},
+    FieldBinding{kPlanField, &FieldValues::plan},
+    FieldBinding{kCustomerField, &FieldValues::customer},
+    FieldBinding{kDeadlineField, &FieldValues::deadline},
+    FieldBinding{kQuotaInfoField, &FieldValues::quotaInfo},
+    FieldBinding{kIdempotencyKeyField, &FieldValues::idempotencyKey},
+};
+
+FieldValues findFieldValues(const http::Message& message) {
+  FieldValues values;
+  for (std::size_t index = 0; index < message.fields(); ++index) {
+    const auto [name, value] = message.field(index);
+    for (const FieldBinding& binding : kFieldBindings)
+      if (http::same(name, binding.name)) values.*binding.value = value;
+  }
+  return values;
+}
 
+// Returns false unless the whole text is a number of the type.
 template <class T, class... Base>
 bool parseNumber(std::string_view text, T& into, Base... base) {
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), into, base...);
-  return error == std::errc{} && end == text.data() + text.size();
+  const char* const textEnd = text.data() + text.size();
+  const auto [end, error] = std::from_chars(text.data(), textEnd, into, base...);
+  return error == std::errc{} && end == textEnd;
 }
 
-// One word of a list like "units=2,spread=3", empty where there is none.
+// Returns the value of one parameter of a list like "units=2,spread=3"; empty if the list has none of that
+// name.
 std::string_view listParameter(std::string_view list, std::string_view name) {
   while (!list.empty()) {
     const auto comma = std::min(list.find(','), list.size());
@@ -29,46 +73,59 @@
   return {};
 }
 
-}  // namespace
+bool parseUnits(std::string_view text, double& units) {
+  return parseNumber(text, units) && std::isfinite(units) && units >= 0 && units <= kMaxUnits;
+}
 
-ParsedRequest parseRequest(const http::Message& message, const NameTables& words,
-                           const PolicySettings& settings, TimePoint came) {
-  std::string_view id, kind, plan, account, deadline, quota, idempotencyKey;
-  for (std::size_t n = 0; n < message.fields(); ++n) {
-    const auto [name, value] = message.field(n);
-    if (http::same(name, "Req-Id")) id = value;
-    if (http::same(name, "Req-Kind")) kind = value;
-    if (http::same(name, "Plan")) plan = value;
-    if (http::same(name, "Account")) account = value;
-    if (http::same(name, "Req-Deadline-Ms")) deadline = value;
-    if (http::same(name, "Quota-Info")) quota = value;
-    if (http::same(name, "Idempotency-Key")) idempotencyKey = value;
-  }
-  ParsedRequest ask{};
-  Request& a = ask.request;
-  const auto blame = [&ask](std::string_view why) { return ask.fault = why, ask; };
-  if (id.empty()) return blame("Req-Id is missing");
-  const auto method = words.methods.find(kind);
-  if (!method) return blame("Req-Kind is not known");
-  a.method = *method;
-  if (words.plans.size() > 0) {
-    const auto known = words.plans.find(plan);
-    if (!known) return blame("Plan is not known");
-    a.plan = *known;
+// Each of these sets its part of the request, or returns what is wrong with it.
+
+std::optional<RequestError> parseIdentity(const FieldValues& values, const NameTables& names,
+                                          Request& request) {
+  if (values.requestId.empty()) return RequestError::requestIdMissing;
+  const auto method = names.methods.find(values.method);
+  if (!method) return RequestError::methodUnknown;
+  request.method = *method;
+  if (names.plans.size() > 0) {
+    const auto plan = names.plans.find(values.plan);
+    if (!plan) return RequestError::planUnknown;
+    request.plan = *plan;
   }
-  if (!parseNumber(account, a.customer.value, 16)) return blame("Account is not a hex number");
-  std::uint32_t ms = 0;
-  if (!parseNumber(deadline, ms)) return blame("Req-Deadline-Ms is not a whole number");
-  a.deadline = came + std::chrono::milliseconds(ms);
-  a.hasIdempotencyKey = !idempotencyKey.empty();
-  a.units = 1;
-  a.gateways = settings.gateways;
-  const auto units = listParameter(quota, "units"), spread = listParameter(quota, "spread");
-  if (!units.empty() &&
-      !(parseNumber(units, a.units) && std::isfinite(a.units) && a.units >= 0 && a.units <= kMaxUnits))
-    return blame("Quota-Info has no number of units");
-  if (!spread.empty() && !parseNumber(spread, a.gateways)) return blame("Quota-Info has no spread");
-  return ask;
+  if (!parseNumber(values.customer, request.customer.value, kHexBase)) return RequestError::customerInvalid;
+  request.hasIdempotencyKey = !values.idempotencyKey.empty();
+  return std::nullopt;
+}
+
+std::optional<RequestError> parseDeadline(const FieldValues& values, TimePoint arrivedAt, Request& request) {
+  std::uint32_t milliseconds = 0;
+  if (!parseNumber(values.deadline, milliseconds)) return RequestError::deadlineInvalid;
+  request.deadline = arrivedAt + std::chrono::milliseconds(milliseconds);
+  return std::nullopt;
+}
+
+std::optional<RequestError> parseQuotaInfo(const FieldValues& values, const PolicySettings& settings,
+                                           Request& request) {
+  request.units = kDefaultUnits;
+  request.gateways = settings.gateways;
+  const auto units = listParameter(values.quotaInfo, kUnitsParameter);
+  const auto gatewayCount = listParameter(values.quotaInfo, kGatewayCountParameter);
+  if (!units.empty() && !parseUnits(units, request.units)) return RequestError::unitsInvalid;
+  if (!gatewayCount.empty() && !parseNumber(gatewayCount, request.gateways))
+    return RequestError::gatewayCountInvalid;
+  return std::nullopt;
+}
+
+}  // namespace
+
+ParsedRequest parseRequest(const http::Message& message, const NameTables& names,
+                           const PolicySettings& settings, TimePoint arrivedAt) {
+  const FieldValues values = findFieldValues(message);
+  ParsedRequest parsed{};
+  Request& request = parsed.request;
+  parsed.error = parseIdentity(values, names, request);
+  if (!parsed.error) parsed.error = parseDeadline(values, arrivedAt, request);
+  if (!parsed.error) parsed.error = parseQuotaInfo(values, settings, request);
+  if (parsed.error) parsed.fault = textOf(*parsed.error);
+  return parsed;
 }
 
 }  // namespace merlinbridge::core
--- a/tests/gateway_core_test.cpp
+++ b/tests/gateway_core_test.cpp
@@ -10,46 +10,48 @@
 
 namespace {
 
-// Writes down what the core has done, and answers attempts with links numbered from 1.
-struct Written final : core::Transport {
+// Records what the core does. Attempts get connections numbered from 1.
+struct RecordingTransport final : core::Transport {
   void answerOk(SlotRef, std::string_view body, std::string_view) override {
     answers.push_back("ok " + std::string(body));
   }
   void answerRejected(SlotRef, Duration) override { answers.emplace_back("rejected"); }
   void answerFailed(SlotRef) override { answers.emplace_back("failed"); }
-  std::variant<SlotRef, Outcome> startAttempt(RequestId requestId, AttemptNumber no, SlotRef, HostId host,
-                                              AttemptDeadline deadline) override {
-    calls.push_back({requestId, no, host, deadline});
-    if (atOnce) return *atOnce;
-    return SlotRef{static_cast<std::uint32_t>(calls.size()), 1};
+  core::AttemptStart startAttempt(RequestId requestId, AttemptNumber attemptNumber, SlotRef, HostId host,
+                                  AttemptDeadline deadline) override {
+    startedAttempts.push_back({requestId, attemptNumber, host, deadline});
+    if (immediateOutcome) return *immediateOutcome;
+    return SlotRef{static_cast<std::uint32_t>(startedAttempts.size()), 1};
   }
-  bool closeAttempt(SlotRef, AttemptNumber, SlotRef link) override {
-    return givenUp.push_back(link.slot), true;
+  bool closeAttempt(SlotRef, AttemptNumber, SlotRef connection) override {
+    closedConnections.push_back(connection.slot);
+    return true;
   }
-  bool isUnsent(SlotRef link) override { return dialling.contains(link.slot); }
-  bool clientConnected(SlotRef) override { return there; }
+  bool isUnsent(SlotRef connection) override { return unsentConnections.contains(connection.slot); }
+  bool clientConnected(SlotRef) override { return clientIsConnected; }
   void addToCounter(const CounterKey&, double, Duration) override {}
-  void hostUnavailable(HostId host) override { gone.push_back(host.value); }
+  void hostUnavailable(HostId host) override { unavailableHosts.push_back(host.value); }
   void report(EngineEvent event) override { events.push_back(event); }
   void endpointTableFull(std::string_view hostName) override { ignoredHosts.emplace_back(hostName); }
 
-  struct Call {
+  struct StartedAttempt {
     RequestId requestId;
-    AttemptNumber no;
+    AttemptNumber attemptNumber;
     HostId host;
     AttemptDeadline deadline;
   };
-  std::set<std::uint32_t> dialling;
-  bool there = true;
-  std::optional<Outcome> atOnce;
+  std::set<std::uint32_t> unsentConnections;
+  bool clientIsConnected = true;
+  std::optional<Outcome> immediateOutcome;
   std::vector<std::string> answers;
   std::vector<EngineEvent> events;
   std::vector<std::string> ignoredHosts;
-  std::vector<Call> calls;
-  std::vector<std::uint32_t> givenUp, gone;
+  std::vector<StartedAttempt> startedAttempts;
+  std::vector<std::uint32_t> closedConnections;
+  std::vector<std::uint32_t> unavailableHosts;
 };
 
-config::Endpoint line(const std::string& name, bool serving = true) {
+config::Endpoint endpoint(const std::string& name, bool serving = true) {
   return {name, "127.0.0.1:1", "a", "m", 0, serving, !serving, 1, 0s};
 }
 config::GatewayConfig plainConfig(int hosts) {
@@ -60,213 +62,221 @@
   config.answerSlack = 16ms;
   config.longestDeadline = 2s;
   config.known.generation = 1;
-  for (int h = 0; h < hosts; ++h) config.known.entries.push_back(line("h" + std::to_string(h)));
+  for (int number = 0; number < hosts; ++number)
+    config.known.entries.push_back(endpoint("h" + std::to_string(number)));
   return config;
 }
 
-struct Core {
-  explicit Core(int hosts = 2) : Core(plainConfig(hosts)) {}
-  explicit Core(const config::GatewayConfig& config) : core(config, now, deadlines, transport) {}
-  RequestId ask(std::uint32_t method, Duration timeout = 1s) {
-    return core.requestArrived(now, {0, 1}, {{}, {++customers}, {1}, {method}, now + timeout, 1, 1});
+struct Fixture {
+  explicit Fixture(int hosts = 2) : Fixture(plainConfig(hosts)) {}
+  explicit Fixture(const config::GatewayConfig& config) : core(config, now, deadlines, transport) {}
+  RequestId requestArrives(std::uint32_t method, Duration timeout = 1s) {
+    return core.requestArrived(now, {0, 1}, {{}, {++lastCustomer}, {1}, {method}, now + timeout, 1, 1});
+  }
+  void advance(Duration duration) {
+    now += duration;
+    deadlines.run(now);
   }
-  void pass(Duration span) { deadlines.run(now += span); }
 
-  std::uint64_t customers = 0;
+  std::uint64_t lastCustomer = 0;
   TimePoint now{1'700'000'000s};
   core::DeadlineQueue deadlines;
-  Written transport;
+  RecordingTransport transport;
   core::GatewayCore core;
 };
 
 }  // namespace
 
-TEST_CASE("a host's answer goes to the client once, whatever comes after it") {
-  Core core;
-  const RequestId requestId = core.ask(0);
-  core.core.attemptEnded(core.now, requestId, {0}, Outcome::ok, {"body", {}, 0, {}});
-  core.core.attemptEnded(core.now, requestId, {0}, Outcome::ok, {"again", {}, 0, {}});
-  core.core.clientLeft(core.now, requestId);
-  core.pass(2s);
-  CHECK(core.transport.answers == std::vector<std::string>{"ok body"});
-  CHECK(core.core.unanswered() == 0);
+TEST_CASE("the client gets a host's answer once, whatever is reported after it") {
+  Fixture fixture;
+  const RequestId requestId = fixture.requestArrives(0);
+  fixture.core.attemptEnded(fixture.now, requestId, {0}, Outcome::ok, {"body", {}, 0, {}});
+  fixture.core.attemptEnded(fixture.now, requestId, {0}, Outcome::ok, {"again", {}, 0, {}});
+  fixture.core.clientLeft(fixture.now, requestId);
+  fixture.advance(2s);
+  CHECK(fixture.transport.answers == std::vector<std::string>{"ok body"});
+  CHECK(fixture.core.unanswered() == 0);
 }
 
-TEST_CASE("what comes late for an earlier generation of a slot is not taken for the later one's") {
-  Core core;
-  const RequestId first = core.ask(0);
-  core.core.attemptEnded(core.now, first, {0}, Outcome::ok, {"one", {}, 0, {}});
-  const RequestId second = core.ask(0);
+TEST_CASE("a late answer to an earlier request in the same slot is ignored") {
+  Fixture fixture;
+  const RequestId first = fixture.requestArrives(0);
+  fixture.core.attemptEnded(fixture.now, first, {0}, Outcome::ok, {"one", {}, 0, {}});
+  const RequestId second = fixture.requestArrives(0);
   CHECK((first.value & 0xffffffff) == (second.value & 0xffffffff));
-  core.core.attemptEnded(core.now, first, {0}, Outcome::ok, {"late", {}, 0, {}});
-  CHECK(core.transport.answers.size() == 1);
-  CHECK(core.core.unanswered() == 1);
+  fixture.core.attemptEnded(fixture.now, first, {0}, Outcome::ok, {"late", {}, 0, {}});
+  CHECK(fixture.transport.answers.size() == 1);
+  CHECK(fixture.core.unanswered() == 1);
 }
 
-TEST_CASE("a request is answered before its client gives up, and what is out for it is given up") {
-  Core core;
-  core.ask(3);
-  core.pass(983ms);
-  CHECK(core.transport.answers.empty());
-  core.pass(1ms);  // the slack before the deadline
-  CHECK(core.transport.answers == std::vector<std::string>{"failed"});
-  CHECK(core.transport.givenUp == std::vector<std::uint32_t>{1});
+TEST_CASE("at its deadline a request is answered before its client gives up, and its attempts are closed") {
+  Fixture fixture;
+  fixture.requestArrives(3);
+  fixture.advance(983ms);
+  CHECK(fixture.transport.answers.empty());
+  fixture.advance(1ms);  // the slack before the deadline
+  CHECK(fixture.transport.answers == std::vector<std::string>{"failed"});
+  CHECK(fixture.transport.closedConnections == std::vector<std::uint32_t>{1});
 }
 
-TEST_CASE("the loop's own delay comes off the time that a request has") {
-  Core core;
-  core.deadlines.add(core.now, [](TimePoint) {});
-  core.pass(100ms);  // it came 100 ms late
-  core.ask(3);
-  core.pass(885ms);
-  CHECK(core.transport.answers == std::vector<std::string>{"failed"});
+TEST_CASE("the recent lateness of the event loop shortens the deadline of a new request") {
+  Fixture fixture;
+  fixture.deadlines.add(fixture.now, [](TimePoint) {});
+  fixture.advance(100ms);  // the callback ran 100 ms late
+  fixture.requestArrives(3);
+  fixture.advance(885ms);
+  CHECK(fixture.transport.answers == std::vector<std::string>{"failed"});
 }
 
-TEST_CASE("a stall of the loop that has not ended yet comes off it too") {
-  Core core;
-  core.deadlines.add(core.now + 10ms, [](TimePoint) {});
-  core.now += 510ms;  // the request may have waited as long
-  core.ask(3);
-  core.pass(485ms);
-  CHECK(core.transport.answers == std::vector<std::string>{"failed"});
+TEST_CASE("a stall of the event loop that still lasts shortens the deadline of a new request") {
+  Fixture fixture;
+  fixture.deadlines.add(fixture.now + 10ms, [](TimePoint) {});
+  fixture.now += 510ms;  // the request may have waited as long
+  fixture.requestArrives(3);
+  fixture.advance(485ms);
+  CHECK(fixture.transport.answers == std::vector<std::string>{"failed"});
 }
 
-TEST_CASE("a host that has started again loses the connections that rest towards it") {
-  Core core;
-  config::Endpoint back = line("h1");
-  back.started = 1'700'000'000s;
-  core.core.endpointsUpdated(core.now, {2, false, {line("h0"), back}});
-  CHECK(core.transport.gone == std::vector<std::uint32_t>{1});
+TEST_CASE("a restarted host is reported unavailable, so that idle connections to it are closed") {
+  Fixture fixture;
+  config::Endpoint restarted = endpoint("h1");
+  restarted.started = 1'700'000'000s;
+  fixture.core.endpointsUpdated(fixture.now, {2, false, {endpoint("h0"), restarted}});
+  CHECK(fixture.transport.unavailableHosts == std::vector<std::uint32_t>{1});
 }
 
-TEST_CASE("an attempt that ends at once is told after the module has had its say") {
-  Core core;
-  core.transport.atOnce = Outcome::noConnection;
-  core.ask(3);  // non-idempotent, but none of its attempts ran
-  CHECK(core.transport.calls.size() == 2);
-  CHECK(core.transport.answers == std::vector<std::string>{"rejected"});
-  CHECK(core.core.unanswered() == 0);
+TEST_CASE("an attempt that ends while it is started is reported to the engine afterwards") {
+  Fixture fixture;
+  fixture.transport.immediateOutcome = Outcome::noConnection;
+  fixture.requestArrives(3);  // non-idempotent, but none of its attempts ran
+  CHECK(fixture.transport.startedAttempts.size() == 2);
+  CHECK(fixture.transport.answers == std::vector<std::string>{"rejected"});
+  CHECK(fixture.core.unanswered() == 0);
 }
 
-TEST_CASE("a client that has left gets no answer, and nothing more is sent for it") {
-  Core core;
-  const RequestId requestId = core.ask(0);
-  core.core.clientLeft(core.now, requestId);
-  core.core.attemptEnded(core.now, requestId, {0}, Outcome::noConnection);
-  core.pass(2s);
-  CHECK(core.transport.calls.size() == 1);
-  CHECK(core.transport.answers.empty());
+TEST_CASE("a request whose client has left gets no answer and no retry") {
+  Fixture fixture;
+  const RequestId requestId = fixture.requestArrives(0);
+  fixture.core.clientLeft(fixture.now, requestId);
+  fixture.core.attemptEnded(fixture.now, requestId, {0}, Outcome::noConnection);
+  fixture.advance(2s);
+  CHECK(fixture.transport.startedAttempts.size() == 1);
+  CHECK(fixture.transport.answers.empty());
 }
 
-TEST_CASE("hosts that are gone, or missing from a whole list, are asked no more") {
-  Core core(3);
-  core.core.endpointsUpdated(core.now, {2, false, {line("h0", false)}});
-  core.core.endpointsUpdated(core.now, {3, true, {line("h2")}});
-  CHECK(core.transport.gone == std::vector<std::uint32_t>{0, 1});
-  for (int n = 0; n < 6; ++n) core.ask(0);
-  CHECK(std::all_of(core.transport.calls.begin(), core.transport.calls.end(),
-                    [](auto& c) { return c.host.value == 2; }));
+TEST_CASE("hosts that are gone or missing from a complete list get no more attempts") {
+  Fixture fixture(3);
+  fixture.core.endpointsUpdated(fixture.now, {2, false, {endpoint("h0", false)}});
+  fixture.core.endpointsUpdated(fixture.now, {3, true, {endpoint("h2")}});
+  CHECK(fixture.transport.unavailableHosts == std::vector<std::uint32_t>{0, 1});
+  for (int round = 0; round < 6; ++round) fixture.requestArrives(0);
+  CHECK(std::all_of(fixture.transport.startedAttempts.begin(), fixture.transport.startedAttempts.end(),
+                    [](const auto& attempt) { return attempt.host.value == 2; }));
 }
 
-TEST_CASE("hosts' numbers stay bounded while hosts come and go") {
-  Core core(1);
-  for (int n = 0; n < 9000; ++n) {
-    core.core.endpointsUpdated(core.now, {2, false, {line("n" + std::to_string(n))}});
-    core.core.endpointsUpdated(core.now, {3, false, {line("n" + std::to_string(n), false)}});
+TEST_CASE("host numbers stay below the limit while hosts come and go") {
+  Fixture fixture(1);
+  for (int round = 0; round < 9000; ++round) {
+    fixture.core.endpointsUpdated(fixture.now, {2, false, {endpoint("n" + std::to_string(round))}});
+    fixture.core.endpointsUpdated(fixture.now, {3, false, {endpoint("n" + std::to_string(round), false)}});
   }
-  core.core.endpointsUpdated(core.now, {4, true, {line("last")}});
-  core.ask(0);
-  REQUIRE(core.transport.calls.size() == 1);
-  CHECK(core.transport.calls[0].host.value < 4096);
-  CHECK(core.transport.ignoredHosts.empty());
-  CHECK(core.transport.events.empty());
+  fixture.core.endpointsUpdated(fixture.now, {4, true, {endpoint("last")}});
+  fixture.requestArrives(0);
+  REQUIRE(fixture.transport.startedAttempts.size() == 1);
+  CHECK(fixture.transport.startedAttempts[0].host.value < 4096);
+  CHECK(fixture.transport.ignoredHosts.empty());
+  CHECK(fixture.transport.events.empty());
 }
 
-TEST_CASE("the number of a host long gone goes to a new one, and nothing of the old is left to it") {
-  Core core;
-  for (int n = 0; n < 300; ++n) {
-    core.core.endpointsUpdated(core.now, {2, false, {line("n" + std::to_string(n))}});
-    core.transport.gone.clear();
-    core.core.endpointsUpdated(core.now, {3, false, {line("n" + std::to_string(n), false)}});
-    core.now += 1s;
+TEST_CASE("a new host that reuses the number of a removed one inherits none of its connections") {
+  Fixture fixture;
+  for (int round = 0; round < 300; ++round) {
+    fixture.core.endpointsUpdated(fixture.now, {2, false, {endpoint("n" + std::to_string(round))}});
+    fixture.transport.unavailableHosts.clear();
+    fixture.core.endpointsUpdated(fixture.now, {3, false, {endpoint("n" + std::to_string(round), false)}});
+    fixture.now += 1s;
   }
-  core.transport.gone.clear();
-  core.core.endpointsUpdated(core.now, {4, true, {line("last")}});
-  core.ask(0);
-  REQUIRE(core.transport.calls.size() == 1);
-  const std::uint32_t number = core.transport.calls[0].host.value;
+  fixture.transport.unavailableHosts.clear();
+  fixture.core.endpointsUpdated(fixture.now, {4, true, {endpoint("last")}});
+  fixture.requestArrives(0);
+  REQUIRE(fixture.transport.startedAttempts.size() == 1);
+  const std::uint32_t number = fixture.transport.startedAttempts[0].host.value;
   CHECK(number < 10);
-  CHECK(std::count(core.transport.gone.begin(), core.transport.gone.end(), number) ==
-        1);  // what rests there may go
+  CHECK(std::count(fixture.transport.unavailableHosts.begin(), fixture.transport.unavailableHosts.end(),
+                   number) == 1);  // its idle connections may be closed
 }
 
-TEST_CASE("a thousand hosts and gateways are borne, and so is the replacement of all of them") {
+TEST_CASE("a thousand hosts are served, and so are a thousand others that replace them at once") {
   config::GatewayConfig config = plainConfig(1024);
   config.settings.gateways = 1024;
-  Written transport;
+  RecordingTransport transport;
   core::DeadlineQueue deadlines;
   const TimePoint now{1'700'000'000s};
   core::GatewayCore core(config, now, deadlines, transport);
-  config::EndpointList all{2, true, {}};
-  for (int h = 0; h < 1024; ++h) all.entries.push_back(line("new" + std::to_string(h)));
-  core.endpointsUpdated(now, all);
-  for (std::uint64_t n = 0; n < 200; ++n) {
-    const RequestId requestId = core.requestArrived(now, {0, 1}, {{}, {n + 1}, {1}, {0}, now + 1s, 1, 1024});
+  config::EndpointList replacement{2, true, {}};
+  for (int number = 0; number < 1024; ++number)
+    replacement.entries.push_back(endpoint("new" + std::to_string(number)));
+  core.endpointsUpdated(now, replacement);
+  for (std::uint64_t round = 0; round < 200; ++round) {
+    const RequestId requestId =
+        core.requestArrived(now, {0, 1}, {{}, {round + 1}, {1}, {0}, now + 1s, 1, 1024});
     core.attemptEnded(now, requestId, {0}, Outcome::ok, {"body", {}, 0, {}});
   }
-  CHECK(transport.calls.size() == 200);
-  std::vector<std::uint32_t> asked;
-  for (const auto& call : transport.calls) {
-    CHECK(core.nameOf(call.host).starts_with("new"));
-    asked.push_back(call.host.value);
+  CHECK(transport.startedAttempts.size() == 200);
+  std::vector<std::uint32_t> usedHosts;
+  for (const auto& attempt : transport.startedAttempts) {
+    CHECK(core.nameOf(attempt.host).starts_with("new"));
+    usedHosts.push_back(attempt.host.value);
   }
-  std::sort(asked.begin(), asked.end());
-  CHECK(std::unique(asked.begin(), asked.end()) - asked.begin() > 150);  // spread, not heaped
+  std::sort(usedHosts.begin(), usedHosts.end());
+  CHECK(std::unique(usedHosts.begin(), usedHosts.end()) - usedHosts.begin() >
+        150);  // the load is spread over the hosts
   CHECK(transport.ignoredHosts.empty());
   CHECK(transport.events.empty());
 }
 
-TEST_CASE("told when it ends, the core answers by then, also what was taken before") {
-  Core core;
-  core.ask(3, 10s);
-  core.core.setAnswerDeadline(core.now + 1s);
-  core.ask(3, 10s);
-  core.ask(3, 500ms);
-  core.pass(700ms);
-  CHECK(core.transport.answers.size() == 1);
-  core.pass(300ms);
-  CHECK(core.transport.answers == std::vector<std::string>{"failed", "failed", "failed"});
-  CHECK(core.core.unanswered() == 0);
+TEST_CASE("after setAnswerDeadline every request is answered by then, earlier ones included") {
+  Fixture fixture;
+  fixture.requestArrives(3, 10s);
+  fixture.core.setAnswerDeadline(fixture.now + 1s);
+  fixture.requestArrives(3, 10s);
+  fixture.requestArrives(3, 500ms);
+  fixture.advance(700ms);
+  CHECK(fixture.transport.answers.size() == 1);
+  fixture.advance(300ms);
+  CHECK(fixture.transport.answers == std::vector<std::string>{"failed", "failed", "failed"});
+  CHECK(fixture.core.unanswered() == 0);
 }
 
-TEST_CASE("due together, the older goes first, and what is added meanwhile waits") {
+TEST_CASE(
+    "DeadlineQueue runs callbacks due together in the order added, and later additions in the next run") {
   core::DeadlineQueue deadlines;
   std::string order;
-  const TimePoint at{1s};
-  deadlines.add(at, [&](TimePoint) {
+  const TimePoint dueAt{1s};
+  deadlines.add(dueAt, [&](TimePoint) {
     order += 'a';
-    deadlines.add(at, [&](TimePoint) { order += 'd'; });
+    deadlines.add(dueAt, [&](TimePoint) { order += 'd'; });
   });
-  const auto dropped = deadlines.add(at, [&](TimePoint) { order += 'x'; });
-  deadlines.add(at, [&](TimePoint) { order += 'b'; });
-  deadlines.add(at - 1ns, [&](TimePoint) { order += 'c'; });
-  deadlines.cancel(dropped);
-  deadlines.run(at);
+  const auto cancelled = deadlines.add(dueAt, [&](TimePoint) { order += 'x'; });
+  deadlines.add(dueAt, [&](TimePoint) { order += 'b'; });
+  deadlines.add(dueAt - 1ns, [&](TimePoint) { order += 'c'; });
+  deadlines.cancel(cancelled);
+  deadlines.run(dueAt);
   CHECK(order == "cab");
-  deadlines.run(at);
+  deadlines.run(dueAt);
   CHECK(order == "cabd");
   CHECK(deadlines.nextDueAt() == TimePoint::max());
 }
 
-TEST_CASE("what a client says of its request is read, or its fault is named") {
+TEST_CASE("a request is parsed from the header fields, or the first error is returned") {
   const PolicySettings settings = plainSettings();
   const auto config = plainConfig(1);
-  const core::NameTables words{
+  const core::NameTables names{
       core::NameTable<MethodId>(config.methods), core::NameTable<PlanId>(config.plans), {}, {}};
   const std::string good =
       "GET /look HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: book\r\nPlan: open\r\nAccount: 00000000b4d65521\r\n"
       "Req-Deadline-Ms: 480\r\nQuota-Info: units=2, spread=3,first=1\r\n\r\n";
-  const auto [was, is, fault] = GENERATE(table<std::string, std::string, std::string>({
+  const auto [original, replacement, errorText] = GENERATE(table<std::string, std::string, std::string>({
       {"", "", ""},
       {"Req-Id: 1", "Req-Id: 1\r\nidempotency-key: k", ""},
       {"Req-Id: 1", "Req-Id: 1\r\nIdempotency-Key: ", ""},
@@ -281,102 +291,106 @@
       {"spread=3", "spread=x", "Quota-Info has no spread"},
   }));
   std::string text = good;
-  if (!was.empty()) text.replace(text.find(was), was.size(), is);
+  if (!original.empty()) text.replace(text.find(original), original.size(), replacement);
   http::Message message(http::Message::Kind::request);
   REQUIRE(message.advance(text.data(), text.size()) == http::Message::Stage::done);
-  const core::ParsedRequest ask = core::parseRequest(message, words, settings, TimePoint(1s));
-  CHECK(ask.fault == fault);
-  if (!fault.empty()) return;
-  CHECK(ask.request.method == MethodId{1});
-  CHECK(ask.request.plan == PlanId{1});
-  CHECK(ask.request.customer == CustomerId{0xb4d65521});
-  CHECK(ask.request.deadline == TimePoint(1480ms));
-  CHECK(ask.request.units == 2);
-  CHECK(ask.request.gateways == 3);
-  CHECK(ask.request.hasIdempotencyKey == (is.ends_with(": k")));
+  const core::ParsedRequest parsed = core::parseRequest(message, names, settings, TimePoint(1s));
+  CHECK(std::string(parsed.error ? core::textOf(*parsed.error) : "") == errorText);
+  if (!errorText.empty()) return;
+  CHECK(parsed.request.method == MethodId{1});
+  CHECK(parsed.request.plan == PlanId{1});
+  CHECK(parsed.request.customer == CustomerId{0xb4d65521});
+  CHECK(parsed.request.deadline == TimePoint(1480ms));
+  CHECK(parsed.request.units == 2);
+  CHECK(parsed.request.gateways == 3);
+  CHECK(parsed.request.hasIdempotencyKey == (replacement.ends_with(": k")));
 }
 
-TEST_CASE("a request of a deduplicated method without its mark is repeated only where it never ran") {
-  const bool marked = GENERATE(true, false);
+TEST_CASE(
+    "a deduplicated request without an idempotency key is retried only if the first attempt did not run") {
+  const bool hasKey = GENERATE(true, false);
   const Outcome first = GENERATE(Outcome::error, Outcome::lost, Outcome::noConnection, Outcome::rejected);
-  Core core(4);
+  Fixture fixture(4);
   const RequestId requestId =
-      core.core.requestArrived(core.now, {0, 1}, {{}, {1}, {1}, {1}, core.now + 1s, 1, 1, marked});
-  core.pass(20ms);
-  core.core.attemptEnded(core.now, requestId, {0}, first);
-  const bool ran = first == Outcome::error || first == Outcome::lost;
-  CHECK(core.transport.calls.size() == (ran && !marked ? 1 : 2));
-  if (ran && !marked)
-    CHECK(core.transport.answers == std::vector<std::string>{"failed"});  // no rejection, either
+      fixture.core.requestArrived(fixture.now, {0, 1}, {{}, {1}, {1}, {1}, fixture.now + 1s, 1, 1, hasKey});
+  fixture.advance(20ms);
+  fixture.core.attemptEnded(fixture.now, requestId, {0}, first);
+  const bool mayHaveRun = first == Outcome::error || first == Outcome::lost;
+  CHECK(fixture.transport.startedAttempts.size() == (mayHaveRun && !hasKey ? 1 : 2));
+  if (mayHaveRun && !hasKey)
+    CHECK(fixture.transport.answers ==
+          std::vector<std::string>{"failed"});  // a rejection would invite the client to repeat it
 }
 
-TEST_CASE("a client leaves: what is not written yet is given up, what is on its way is left") {
-  const bool dialling = GENERATE(true, false);
-  Core core;
-  const RequestId requestId = core.ask(0);
-  if (dialling) core.transport.dialling.insert(1);
-  core.core.clientLeft(core.now, requestId);
-  CHECK(core.transport.givenUp == (dialling ? std::vector<std::uint32_t>{1} : std::vector<std::uint32_t>{}));
-  CHECK(core.core.holds(requestId) != dialling);
-  CHECK(core.transport.calls.size() == 1);
+TEST_CASE("when a client leaves, its unsent attempts are closed and its sent ones run to their end") {
+  const bool isUnsent = GENERATE(true, false);
+  Fixture fixture;
+  const RequestId requestId = fixture.requestArrives(0);
+  if (isUnsent) fixture.transport.unsentConnections.insert(1);
+  fixture.core.clientLeft(fixture.now, requestId);
+  CHECK(fixture.transport.closedConnections ==
+        (isUnsent ? std::vector<std::uint32_t>{1} : std::vector<std::uint32_t>{}));
+  CHECK(fixture.core.holds(requestId) != isUnsent);
+  CHECK(fixture.transport.startedAttempts.size() == 1);
 }
 
-TEST_CASE("a host is told to drain: what still dials to it goes elsewhere, be the list whole or not") {
-  const bool dialling = GENERATE(true, false), whole = GENERATE(true, false);
-  Core core;
-  core.ask(3);  // not to be repeated
-  const std::uint32_t at = core.transport.calls[0].host.value;
-  if (dialling) core.transport.dialling.insert(1);
-  config::EndpointList endpoints{2, whole, {}};
-  for (std::uint32_t h = 0; h < 2; ++h)
-    if (h != at) endpoints.entries.push_back(line("h" + std::to_string(h)));
-  if (!whole) endpoints.entries.push_back(line("h" + std::to_string(at), false));
-  core.core.endpointsUpdated(core.now, endpoints);
-  REQUIRE(core.transport.calls.size() == (dialling ? 2 : 1));
-  if (dialling) CHECK(core.transport.calls[1].host.value != at);
+TEST_CASE("unsent attempts to a host that begins to drain are retried at another host") {
+  const bool isUnsent = GENERATE(true, false);
+  const bool isComplete = GENERATE(true, false);
+  Fixture fixture;
+  fixture.requestArrives(3);  // non-idempotent: never retried once it was sent
+  const std::uint32_t drained = fixture.transport.startedAttempts[0].host.value;
+  if (isUnsent) fixture.transport.unsentConnections.insert(1);
+  config::EndpointList endpoints{2, isComplete, {}};
+  for (std::uint32_t number = 0; number < 2; ++number)
+    if (number != drained) endpoints.entries.push_back(endpoint("h" + std::to_string(number)));
+  if (!isComplete) endpoints.entries.push_back(endpoint("h" + std::to_string(drained), false));
+  fixture.core.endpointsUpdated(fixture.now, endpoints);
+  REQUIRE(fixture.transport.startedAttempts.size() == (isUnsent ? 2 : 1));
+  if (isUnsent) CHECK(fixture.transport.startedAttempts[1].host.value != drained);
 }
 
-TEST_CASE("a repeat must be on its way before the hosts forget the first, a first one need not") {
-  Core core;
-  const RequestId requestId = core.ask(1);
-  CHECK(core.transport.calls[0].deadline.writeBy == TimePoint::max());
-  const TimePoint first = core.now;
-  core.pass(20ms);
-  core.core.attemptEnded(core.now, requestId, {0}, Outcome::error);
-  REQUIRE(core.transport.calls.size() == 2);
-  CHECK(core.transport.calls[1].deadline.writeBy == first + 2s);
+TEST_CASE("only a retry has a time by which it must be written: the end of the deduplication window") {
+  Fixture fixture;
+  const RequestId requestId = fixture.requestArrives(1);
+  CHECK(fixture.transport.startedAttempts[0].deadline.writeBy == TimePoint::max());
+  const TimePoint first = fixture.now;
+  fixture.advance(20ms);
+  fixture.core.attemptEnded(fixture.now, requestId, {0}, Outcome::error);
+  REQUIRE(fixture.transport.startedAttempts.size() == 2);
+  CHECK(fixture.transport.startedAttempts[1].deadline.writeBy == first + 2s);
 }
 
-TEST_CASE("what is given up at its time and was never written may be asked for again") {
-  Core core;
-  core.ask(3);
-  core.transport.dialling.insert(1);
-  core.pass(1s);
-  CHECK(core.transport.answers == std::vector<std::string>{"rejected"});
+TEST_CASE("a request whose only attempt is still unsent at the deadline is rejected, not failed") {
+  Fixture fixture;
+  fixture.requestArrives(3);
+  fixture.transport.unsentConnections.insert(1);
+  fixture.advance(1s);
+  CHECK(fixture.transport.answers == std::vector<std::string>{"rejected"});
 }
 
-TEST_CASE("no attempt begins for a client that is there no more: no first one, no retry, no hedge") {
+TEST_CASE("no first attempt, retry or hedged request starts for a client that has disconnected") {
   enum class Kind { first, retry, hedge };
   const Kind kind = GENERATE(Kind::first, Kind::retry, Kind::hedge);
-  const bool stays = GENERATE(true, false);
+  const bool staysConnected = GENERATE(true, false);
   config::GatewayConfig config = plainConfig(3);
   config.settings.allowHedging = true;
-  Core core(config);
-  for (int n = 0; n < 5; ++n) {  // what is usual for a host
-    const RequestId requestId = core.ask(0);
-    core.pass(10ms);
-    core.core.attemptEnded(core.now, requestId, {0}, Outcome::ok);
+  Fixture fixture(config);
+  for (int round = 0; round < 5; ++round) {  // answers from which the engine learns when to hedge
+    const RequestId requestId = fixture.requestArrives(0);
+    fixture.advance(10ms);
+    fixture.core.attemptEnded(fixture.now, requestId, {0}, Outcome::ok);
   }
-  const std::size_t before = core.transport.calls.size();
-  if (kind == Kind::first) core.transport.there = stays;
-  const RequestId requestId = core.ask(0);
-  core.transport.there = stays;
-  if (kind == Kind::retry) core.core.attemptEnded(core.now, requestId, {0}, Outcome::rejected);
-  for (int n = 0; kind == Kind::hedge && n < 30; ++n) core.pass(10ms);
-  const std::size_t begun = core.transport.calls.size() - before;
-  const std::size_t whileThere = kind == Kind::first ? 0 : 1;
-  CHECK(begun >= whileThere);
-  CHECK((begun > whileThere) == stays);
-  if (!stays && kind == Kind::retry) CHECK_FALSE(core.core.holds(requestId));
-  CHECK(core.core.unanswered() == (stays ? 1u : 0u));
+  const std::size_t startedBefore = fixture.transport.startedAttempts.size();
+  if (kind == Kind::first) fixture.transport.clientIsConnected = staysConnected;
+  const RequestId requestId = fixture.requestArrives(0);
+  fixture.transport.clientIsConnected = staysConnected;
+  if (kind == Kind::retry) fixture.core.attemptEnded(fixture.now, requestId, {0}, Outcome::rejected);
+  for (int round = 0; kind == Kind::hedge && round < 30; ++round) fixture.advance(10ms);
+  const std::size_t started = fixture.transport.startedAttempts.size() - startedBefore;
+  const std::size_t whileConnected = kind == Kind::first ? 0 : 1;
+  CHECK(started >= whileConnected);
+  CHECK((started > whileConnected) == staysConnected);
+  if (!staysConnected && kind == Kind::retry) CHECK_FALSE(fixture.core.holds(requestId));
+  CHECK(fixture.core.unanswered() == (staysConnected ? 1u : 0u));
 }
