--- a/src/net/upstream/upstream_pool.hpp
+++ b/src/net/upstream/upstream_pool.hpp
@@ -1,94 +1,61 @@
 #pragma once
 
 #include <optional>
-#include <string>
+#include <string_view>
 #include <variant>
+#include <vector>
 
 #include "gateway_core/gateway_core.hpp"
-#include "http/message.hpp"
-#include "net/connection.hpp"
+#include "net/event_loop.hpp"
+#include "net/upstream/deadline_field.hpp"
+#include "net/upstream/upstream_connection.hpp"
 
 namespace merlinbridge::net {
 
-class UpstreamPool;
-
-/// The request's field that tells a host how long its answer is waited for, as the gateway writes it.
-inline constexpr std::string_view kDeadlineField = "\r\nReq-Deadline-Ms: ";
-/// Rounded up, one at least.
-long millisecondsLeft(Duration);
-
-/// A connection to a host: one attempt at a time, idle between them.
-class UpstreamConnection final : public Connection {
- public:
-  UpstreamConnection(EventLoop&, UpstreamPool&, HostId);
-
-  /// Carries an attempt. Returns its outcome where it had one at once.
-  std::optional<Outcome> start(std::string_view message, RequestId, AttemptNumber, AttemptDeadline);
-  HostId host() const { return host_; }
-  bool idle() const { return state_ == State::idle; }
-  /// The attempt is not written whole: given up now, it never reaches the host.
-  bool isUnsent() const {
-    return state_ == State::attempt && !(isUp() && allWritten() && queuedRequest_.empty());
-  }
-  TimePoint idleSince() const { return since_; }
-
- private:
-  enum class State { idle, attempt };
-
-  void onData() override;
-  void onClosed() override;
-  void onConnected() override;
-  void beforeRetry() override;
-  bool mayWrite() const override;
-  bool expectsMore() const override { return state_ == State::attempt && message_.begun(); }
-  TimePoint waitDeadline() const override;
-  void onTimeout() override;
-
-  std::string withTimeLeft(std::string_view message) const;
-  void logEnd(Outcome);
-  void ended(Outcome, const core::UpstreamResponse& = {});
-  Outcome outcomeOf() const;
-  core::UpstreamResponse readResponse() const;
-  void becomeIdle();
-
-  UpstreamPool& hosts_;
-  const HostId host_;
-  http::Message message_{http::Message::Kind::answer};
-  State state_ = State::idle;
-  bool starting_ = false;
-  RequestId requestId_{};
-  AttemptNumber no_{};
-  TimePoint since_, writtenBy_ = TimePoint::max(), giveUp_{};
-  std::string queuedRequest_;     ///< Until the connection is up.
-  std::size_t requestBytes_ = 0;  ///< Of the attempt's message.
-};
-
-/// The connections to hosts, cached for the next attempt, within their share of the descriptors.
-class UpstreamPool {
+/// The connections to all hosts. Takes the connection to a host that was used last for the next attempt,
+/// opens one if none is idle, and keeps their number within the gateway's descriptors by closing the one that
+/// has been idle longest. Used on the event loop's strand.
+class UpstreamPool final : private UpstreamConnectionOwner {
  public:
-  UpstreamPool(EventLoop&, std::size_t maxConnections, Duration idle, Duration connectTimeout);
+  /// `idle` is the time after which hosts close idle connections, by the settings. `loop` must outlive the
+  /// pool.
+  UpstreamPool(EventLoop& loop, std::size_t maxConnections, Duration idle, Duration connectTimeout);
 
+  /// Sets the core to which attempts report their end; called once, before the first attempt.
   void serve(core::GatewayCore& core) { core_ = &core; }
-  /// Either the connection that carries the attempt, or the outcome that it had at once.
-  std::variant<SlotRef, Outcome> startAttempt(HostId, std::string_view message, RequestId, AttemptNumber,
-                                              AttemptDeadline);
-  void closeAttempt(SlotRef);
-  bool isUnsent(SlotRef);
+  /// Starts an attempt; `message` is the whole request with its deadline field, and is copied where it cannot
+  /// be written at once. Returns the connection that carries the attempt, or the outcome that it had at once.
+  /// In the first case, GatewayCore::attemptEnded() follows in a later turn, unless closeAttempt() is called.
+  std::variant<SlotRef, Outcome> startAttempt(HostId host, std::string_view message, RequestId requestId,
+                                              AttemptNumber attemptNumber, AttemptDeadline deadline);
+  /// Gives an attempt up and closes its connection; nothing is reported. Has no effect if it is gone.
+  void closeAttempt(SlotRef connection);
+  /// Returns true if the attempt's request has not been written in full.
+  bool isUnsent(SlotRef connection);
   /// Closes the idle connections to that host.
-  void closeIdle(HostId);
+  void closeIdle(HostId host) override;
 
  private:
-  friend class UpstreamConnection;
-  UpstreamConnection* connectionTo(HostId);
+  void closeConnection(SlotRef connection) override;
+  void connectionIdle(HostId host, SlotRef connection) override;
+  void attemptEnded(TimePoint now, RequestId requestId, AttemptNumber attemptNumber, Outcome outcome,
+                    const core::UpstreamResponse& response) override;
+  bool isPending(RequestId requestId) override;
+  std::string_view hostName(HostId host) const override;
+
+  UpstreamConnection* connectionTo(HostId host);
+  UpstreamConnection* takeIdle(HostId host);
+  UpstreamConnection* open(HostId host);
   bool evictIdle();
-  void close(SlotRef);
+  std::vector<SlotRef>& idleConnectionsTo(HostId host);
 
   EventLoop& loop_;
   core::GatewayCore* core_ = nullptr;
-  std::size_t maxConnections_;
-  Duration idle_, connectTimeout_, reuseDelay_;
-  std::vector<SlotRef> all_;
-  std::vector<std::vector<SlotRef>> idleConnections_;  ///< By HostId; the one used last is taken first.
+  const std::size_t maxConnections_;
+  const UpstreamTimeouts timeouts_;
+  const Duration reuseDelay_;
+  std::vector<SlotRef> connections_;                   ///< All, in the order in which they were opened.
+  std::vector<std::vector<SlotRef>> idleConnections_;  ///< By HostId; the one used last is at the end.
 };
 
 }  // namespace merlinbridge::net
