--- /dev/null
+++ b/src/net/client/client_acceptor.cpp
@@ -0,0 +1,160 @@
+#include "net/client/client_acceptor.hpp"
+
+#include <poll.h>
+
+#include <algorithm>
+#include <boost/asio/post.hpp>
+#include <boost/asio/yield.hpp>
+#include <cerrno>
+#include <utility>
+
+namespace merlinbridge::net {
+namespace {
+
+// Connections that broke while they were accepted: after so many in a row, other handlers have their turn.
+constexpr int kMaxBrokenInRow = 16;
+// The pause after a failed accept doubles with each failure in a row, at most this often.
+constexpr int kMaxBackoffDoublings = 4;
+
+constexpr std::string_view kAcceptingPauses = "accepting pauses";
+constexpr std::string_view kNextIsAccepted = "the next one is accepted";
+constexpr std::string_view kReadinessMissed = "readiness was missed";
+
+}  // namespace
+
+ClientAcceptor::ClientAcceptor(EventLoop& loop, const SocketAddress& address, int backlog,
+                               ClientAcceptorOwner& owner)
+    : loop_(loop), owner_(owner), protocol_(address.protocol()), acceptor_(loop.strand) {
+  acceptor_.open(protocol_);
+  acceptor_.set_option(asio::socket_base::reuse_address(true));
+  acceptor_.bind(address);
+  acceptor_.listen(backlog);
+  acceptor_.non_blocking(true);
+}
+
+// NOLINTNEXTLINE(readability-function-cognitive-complexity): the macros of the coroutine count as branches
+void ClientAcceptor::acceptStep(Error error) {
+  if (!acceptor_.is_open()) return;
+  reenter(accepting_) {
+    while (acceptor_.is_open()) {
+      // No connection is evicted before another client waits.
+      if (owner_.isFull()) {
+        yield waitForClients();
+      }
+      while (owner_.isFull()) {
+        owner_.makeRoom();
+        state_ = State::paused;
+        yield return;
+      }
+      lastAccept_ = acceptOne();
+      if (lastAccept_ == CallStatus::done) continue;
+      if (lastAccept_ == CallStatus::broken && ++brokenInRow_ < kMaxBrokenInRow) continue;
+      brokenInRow_ = 0;
+      if (lastAccept_ == CallStatus::wouldBlock) {
+        owner_.backlogEmpty();
+        yield waitForClients();
+        if (!error || error == asio::error::operation_aborted) continue;
+        loop_.faults.record(loop_.now(), SystemCall::wait, error.value(), kAcceptingPauses);
+      }
+      backOff();
+      yield return;
+    }
+  }
+}
+
+void ClientAcceptor::waitForClients() {
+  state_ = State::waiting;
+  acceptor_.async_wait(decltype(acceptor_)::wait_read, [this](const Error& error) {
+    state_ = State::accepting;
+    readyUnnoticed_ = false;
+    acceptStep(error);
+    loop_.endTurn();
+  });
+}
+
+// Handlers that the system has made ready run first; if the wait is still there after them, its notification
+// was lost, and cancelling the wait lets acceptStep() go on.
+void ClientAcceptor::recoverMissedReadiness() {
+  if (state_ != State::waiting || !acceptor_.is_open()) return;
+  pollfd listener{acceptor_.native_handle(), POLLIN, 0};
+  if (::poll(&listener, 1, 0) <= 0) return;
+  readyUnnoticed_ = true;
+  loop_.io.poll();
+  if (!std::exchange(readyUnnoticed_, false)) return;
+  loop_.faults.record(loop_.now(), SystemCall::wait, ETIME, kReadinessMissed);
+  Error ignored;
+  acceptor_.cancel(ignored);
+}
+
+// Takes one connection from the backlog. A connection that could not be registered before comes first.
+CallStatus ClientAcceptor::acceptOne() {
+  if (accepted_) return registerAccepted();
+  const CallResult result = acceptConnection(acceptor_.native_handle(), accepted_);
+  recordFailure(result);
+  return result.status == CallStatus::done ? registerAccepted() : result.status;
+}
+
+CallStatus ClientAcceptor::registerAccepted() {
+  Socket socket(loop_.strand);
+  Error error;
+  socket.assign(protocol_, accepted_.get(), error);
+  if (error) {
+    loop_.faults.record(loop_.now(), SystemCall::registration, error.value(), kAcceptingPauses);
+    return CallStatus::shortage;
+  }
+  accepted_.release();
+  brokenInRow_ = 0;
+  backoffsInRow_ = 0;
+  owner_.clientAccepted(std::move(socket));
+  return CallStatus::done;
+}
+
+void ClientAcceptor::recordFailure(const CallResult& result) {
+  if (result.status == CallStatus::shortage)
+    loop_.faults.record(loop_.now(), SystemCall::accept, result.error, kAcceptingPauses);
+  if (result.status == CallStatus::broken)
+    loop_.faults.record(loop_.now(), SystemCall::accept, result.error, kNextIsAccepted);
+}
+
+// The system has accepted the clients of the backlog, and their requests may be on the way: the first pause
+// is short.
+void ClientAcceptor::backOff() {
+  state_ = State::paused;
+  const Duration pause = loop_.retryPause() * (1 << std::min(backoffsInRow_++, kMaxBackoffDoublings));
+  loop_.deadlines.add(loop_.now() + pause, [this](TimePoint) { resume(); });
+}
+
+void ClientAcceptor::resume() {
+  if (state_ != State::paused) return;
+  state_ = State::accepting;
+  acceptStep({});
+}
+
+void ClientAcceptor::resumeLater() {
+  asio::post(loop_.strand, [this] {
+    resume();
+    loop_.endTurn();
+  });
+}
+
+bool ClientAcceptor::stop() {
+  bool accepted = false;
+  CallStatus status = CallStatus::wouldBlock;
+  for (int broken = 0; acceptor_.is_open() && !owner_.isFull() && broken < kMaxBrokenInRow;) {
+    status = acceptOne();
+    if (status == CallStatus::done)
+      accepted = true;
+    else if (status == CallStatus::broken)
+      ++broken;
+    else
+      break;
+  }
+  if (accepted || status != CallStatus::wouldBlock) return false;
+  Error ignored;
+  acceptor_.close(ignored);
+  return true;
+}
+
+}  // namespace merlinbridge::net
+
+#include <boost/asio/unyield.hpp>
--- a/src/net/client/client_connection.hpp
+++ b/src/net/client/client_connection.hpp
@@ -1,84 +1,115 @@
 #pragma once
 
+#include <cstddef>
+#include <string>
+#include <string_view>
+
 #include "gateway_core/gateway_core.hpp"
 #include "http/message.hpp"
+#include "net/client/client_connection_log.hpp"
+#include "net/client/client_deadlines.hpp"
+#include "net/client/client_response.hpp"
 #include "net/connection.hpp"
 
 namespace merlinbridge::net {
 
-class ClientListener;
+/// What a client's connection asks of its listener, and reports to it. All functions run on the event loop's
+/// strand. The implementation outlives its connections.
+class ClientConnectionOwner {
+ public:
+  virtual ~ClientConnectionOwner() = default;
+  /// Where requests go. GatewayCore may answer a request before requestArrived() returns.
+  virtual core::GatewayCore& core() = 0;
+  /// What `/health/ready` answers.
+  virtual bool isReady() const = 0;
+  /// Whether a graceful shutdown has begun.
+  virtual bool isDraining() const = 0;
+  /// While draining: from this time on, each answer is its connection's last.
+  virtual TimePoint lastAnswerBy() const = 0;
+  /// Bytes in the buffers of all clients' connections.
+  virtual std::size_t bufferedBytes() = 0;
+  /// The connection has no request any more and may be evicted. Must not close a connection at once.
+  virtual void connectionIdle() = 0;
+  /// The connection is about to close.
+  virtual void connectionClosed(SlotRef) = 0;
+};
 
-/// A client's connection: one request at a time, whose message stays in the buffer until it has its answer.
+/// One client's connection. It takes one request at a time, whose message stays in the buffer until it has
+/// its answer; what the client pipelines behind it waits in the buffer or the socket. The event loop owns it.
 class ClientConnection final : public Connection {
  public:
-  ClientConnection(EventLoop&, Socket, ClientListener&);
+  ClientConnection(EventLoop&, Socket, ClientConnectionOwner&, const ClientTimeouts&);
 
-  /// The message that is in hand. Good until the next read: what the client pipelines may move the buffer.
+  /// The message in hand. Valid until the next read, which may move the buffer.
   const http::Message& message() {
     message_.movedTo(buffer_.data());
     return message_;
   }
-  /// Answers the request in hand. `fields`: whole header lines, each with its CRLF.
+  /// Answers the request in hand. `fields`: whole header lines, each with its CRLF. Has no effect on a closed
+  /// connection.
   void answer(int status, std::string_view fields, std::string_view body);
-  /// Between requests, all answers written.
-  bool idle() const { return state_ == State::receiving && !message_.begun() && allWritten(); }
-  TimePoint idleSince() const { return waitsSince_; }
-  /// A request has begun to come and is not whole.
-  bool receivesRequest() const { return state_ == State::receiving && message_.begun() && allWritten(); }
-  /// From when on such a request may be given up for the sake of a client that waits for a place.
-  TimePoint mayBeGivenUpAt() const;
-  /// Answers 408 to such a request and closes; the client has so long to close as well.
-  void giveUpRequest(Duration lingerFor);
-  bool lingering() const { return state_ == State::lingering; }
+  /// Whether the connection is between two requests, with all answers written.
+  bool isIdle() const { return state_ == State::receiving && !message_.begun() && allWritten(); }
+  /// When isIdle(): since when.
+  TimePoint idleSince() const { return deadlines_.waitStartedAt(); }
+  /// Whether a part of a request has come, and not all of it.
+  bool hasIncompleteRequest() const { return state_ == State::receiving && message_.begun() && allWritten(); }
+  /// When hasIncompleteRequest(): from when on timeOutRequest() may be called to make room for another
+  /// client.
+  TimePoint evictableAt() const { return deadlines_.evictableAt(); }
+  /// Answers 408 to an incomplete request and closes; the client has `closeWithin` to close as well.
+  void timeOutRequest(Duration closeWithin);
+  bool isLingering() const { return state_ == State::lingering; }
   std::size_t bufferedBytes() const { return buffer_.size(); }
-  /// Lingering close: nothing more is sent; what still comes is read for nobody until the client closes, or
-  /// for so long.
+  /// Starts a lingering close: ends the gateway's stream, then reads and drops what still comes until the
+  /// client closes, or for `timeout`.
   void lingeringClose(Duration timeout);
 
  private:
   enum class State {
-    receiving,       ///< No request in hand, or one that has not come whole.
+    receiving,       ///< No request in hand, or an incomplete one.
     deciding,        ///< The core has been handed a request and has not returned.
     awaitingAnswer,  ///< The core has the request.
-    lingering        ///< Our side is closed.
+    lingering        ///< The gateway's stream has ended; see lingeringClose().
   };
 
   void onData() override;
   void onClosed() override;
   void onAllWritten() override;
+  void onTimeout() override;
   bool mustPause() const override;
   bool expectsMore() const override { return state_ == State::receiving && message_.begun(); }
   std::size_t readAheadLimit() const override;
   TimePoint waitDeadline() const override;
-  TimePoint requestDeadline() const;
-  void onTimeout() override;
 
   void enter(State next);
   void parseRequests();
-  void parseLater();
+  void parseRequestsLater();
+  void answerBadFraming();
+  void sendContinueIfExpected();
   void handleRequest();
-  void handOver();
-  void answerText(int status, std::string_view text);
-  bool isLastAnswer(bool messageComplete) const;
+  bool answerHealthCheck();
+  void forwardRequest();
+  void answerText(const TextResponse& response);
+  Persistence persistenceAfter(bool messageComplete) const;
+  bool hasNextRequest(bool messageComplete) const;
   void scheduleEndCheck();
-  void checkEnd();
-  void logUnanswered();
-  void logUnwritten();
+  void checkForEnd();
+  WriteProgress writeProgress() const;
+  ClientConnectionEnd presentEnd() const;
 
-  ClientListener& listener_;
+  ClientConnectionOwner& owner_;
+  ClientDeadlines deadlines_;
   http::Message message_{http::Message::Kind::request};
   State state_ = State::receiving;
-  RequestId requestId_{};          ///< While awaitingAnswer.
-  bool parsing_ = false;           ///< parseRequests() is on the stack.
-  bool closeAfterAnswer_ = false;  ///< The next answer is the connection's last.
-  bool endCheckScheduled_ = false;
+  RequestId requestId_{};  ///< While awaitingAnswer.
+  Persistence persistence_ = Persistence::keepAlive;
+  ClientConnectionEnd::Cause closeCause_ = ClientConnectionEnd::Cause::peerOrFault;
+  bool parsing_ = false;               ///< parseRequests() is on the stack.
+  bool endCheckScheduled_ = false;     ///< checkForEnd() will run.
+  std::size_t pipelineAllowance_ = 0;  ///< Bytes that may be buffered beyond the usual bound.
   std::string answeredRequest_;        ///< Req-Id of the last answer, for the log.
-  bool timedOut_ = false;              ///< The present close is by a time-out of ours.
-  std::size_t pipelineAllowance_ = 0;  ///< Bytes that may be buffered beyond the usual.
-  bool firstRequest_ = true;           ///< No request on this connection has been answered yet.
-  const TimePoint acceptedAt_;
-  TimePoint waitsSince_;     ///< The present wait began.
-  TimePoint lingerUntil_{};  ///< While lingering.
+  TimePoint lingerUntil_{};            ///< While lingering.
 };
 
 }  // namespace merlinbridge::net
--- /dev/null
+++ b/src/net/forwarded_request.cpp
@@ -0,0 +1,45 @@
+#include "net/forwarded_request.hpp"
+
+#include <fmt/compile.h>
+
+#include <algorithm>
+#include <array>
+#include <iterator>
+
+#include "net/upstream/upstream_pool.hpp"
+
+namespace merlinbridge::net {
+namespace {
+
+// Fields that are not forwarded: those that concern one connection only (hop-by-hop), and those that the
+// gateway writes itself.
+constexpr std::array<std::string_view, 11> kFieldsNotForwarded{
+    "Host", "Connection", "Content-Length", "Req-Deadline-Ms", "Transfer-Encoding", "Keep-Alive",
+    "TE",   "Trailer",    "Upgrade",        "Expect",          "Proxy-Connection"};
+constexpr std::string_view kConnectionField = "Connection";
+
+// `connectionField`: the request's Connection field, which lists further hop-by-hop fields.
+bool isForwarded(std::string_view name, std::string_view connectionField) {
+  const auto isSame = [name](std::string_view other) { return http::same(name, other); };
+  return std::none_of(kFieldsNotForwarded.begin(), kFieldsNotForwarded.end(), isSame) &&
+         !http::listContains(connectionField, name);
+}
+
+}  // namespace
+
+void writeForwardedRequest(const http::Message& request, std::string_view hostAddress, Duration timeLeft,
+                           std::string& message) {
+  message.clear();
+  fmt::format_to(std::back_inserter(message), FMT_COMPILE("{} {} HTTP/1.1\r\nHost: {}{}{}\r\n"),
+                 request.method(), request.target(), hostAddress, kDeadlineField, millisecondsLeft(timeLeft));
+  const std::string_view connectionField = request.get(kConnectionField);
+  for (std::size_t at = 0; at < request.fields(); ++at) {
+    const auto [name, value] = request.field(at);
+    if (isForwarded(name, connectionField)) message.append(name).append(": ").append(value).append("\r\n");
+  }
+  if (!request.body().empty() || request.method() != "GET")
+    fmt::format_to(std::back_inserter(message), FMT_COMPILE("Content-Length: {}\r\n"), request.body().size());
+  message.append("\r\n").append(request.body());
+}
+
+}  // namespace merlinbridge::net
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -3,43 +3,43 @@
 #include <fmt/compile.h>
 #include <sys/resource.h>
 
-#include <iterator>
+#include <algorithm>
 
 #include "net/client/client_connection.hpp"
+#include "net/forwarded_request.hpp"
 
 namespace merlinbridge::net {
 namespace {
 
-// Kept for the log, the loop, the listener, the counter and discovery.
+// Descriptors for the log, the event loop, the listening socket, the counter service and discovery.
 constexpr std::size_t kReservedDescriptors = 32;
-// Of the connect timeout: the first pause after a call that this machine could not serve.
+// The first pause after a call that this machine could not serve, as a part of the connect timeout.
 constexpr int kRetryPauseParts = 50;
-// Of the connect timeout: no wait of the event loop lasts longer.
+// The longest wait of the event loop, as a part of the connect timeout.
 constexpr int kCheckIntervalParts = 2;
 
-// Clients and hosts share evenly what is left: a request needs one of each.
-std::size_t shareOf(std::size_t descriptors) {
+constexpr int kStatusOk = 200;
+constexpr int kStatusRejected = 429;
+constexpr int kStatusFailed = 502;
+
+// A longer content type of a host's answer is left out: the head of a response is bounded.
+constexpr std::size_t kMaxContentTypeBytes = 100;
+
+// How many connections clients may have, and hosts, if `descriptors` are allowed to the process. Each side
+// has half of what is left, since a request needs one of each.
+std::size_t connectionsPerSide(std::size_t descriptors) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) == 0) descriptors = std::min<std::size_t>(descriptors, limit.rlim_cur);
   return std::max<std::size_t>(1, (std::max(descriptors, kReservedDescriptors) - kReservedDescriptors) / 2);
 }
 
-// What is between two neighbours only does not pass on, nor what is written anew.
-bool passesOn(std::string_view name) {
-  for (const std::string_view own :
-       {"Host", "Connection", "Content-Length", "Req-Deadline-Ms", "Transfer-Encoding", "Keep-Alive", "TE",
-        "Trailer", "Upgrade", "Expect", "Proxy-Connection"})
-    if (http::same(name, own)) return false;
-  return true;
-}
-
 }  // namespace
 
 Server::Server(EventLoop& loop, const config::GatewayConfig& config)
     : loop_(loop),
-      clients_(loop, parseAddress(config.listen), shareOf(config.sockets), config.idle,
-               config.longestDeadline),
-      hosts_(loop, shareOf(config.sockets), config.idle, config.settings.connectTimeout),
+      clients_(loop, parseAddress(config.listen), connectionsPerSide(config.sockets),
+               {config.idle, config.longestDeadline}),
+      hosts_(loop, connectionsPerSide(config.sockets), config.idle, config.settings.connectTimeout),
       counter_(loop, config.counter,
                {config.settings.counterTimeout, config.settings.connectTimeout, config.idle}),
       discovery_(loop, config.discovery, config.known.generation, config.settings.connectTimeout,
@@ -54,25 +54,25 @@
   counter_.serve(core_);
   discovery_.serve(core_);
   clients_.serve(core_);
-  clients_.setReady(true);
 }
 
+// The counter's address is parsed first, so that nothing changes if it is not valid.
 void Server::moveTo(const std::string& discovery, const std::string& counter) {
   if (!counter.empty()) parseAddress(counter);
   discovery_.setAddress(discovery);
   counter_.setAddress(counter);
 }
 
-void Server::leave(TimePoint by) {
-  core_.setAnswerDeadline(by);
-  clients_.drain(by);
+void Server::leave(TimePoint answerBy) {
+  core_.setAnswerDeadline(answerBy);
+  clients_.drain(answerBy);
 }
 
 void Server::answerOk(SlotRef ref, std::string_view body, std::string_view type) {
   ClientConnection* const client = loop_.find<ClientConnection>(ref);
   if (!client) return;
-  if (type.empty() || type.size() > 100) return client->answer(200, "", body);
-  client->answer(200, fmt::format(FMT_COMPILE("Content-Type: {}\r\n"), type), body);
+  if (type.empty() || type.size() > kMaxContentTypeBytes) return client->answer(kStatusOk, "", body);
+  client->answer(kStatusOk, fmt::format(FMT_COMPILE("Content-Type: {}\r\n"), type), body);
 }
 
 void Server::answerRejected(SlotRef ref, Duration retryAfter) {
@@ -80,9 +80,10 @@
   if (!client) return;
   if (loop_.log.enabled(LogEvent::requestRejected))
     loop_.log(LogEvent::requestRejected, LogField{"request", client->message().get("Req-Id")},
-              LogField{"status", 429});
-  if (retryAfter <= Duration{0}) return client->answer(429, "", "");
-  client->answer(429, fmt::format(FMT_COMPILE("Retry-After: {:.3f}\r\n"), seconds(retryAfter)), "");
+              LogField{"status", kStatusRejected});
+  if (retryAfter <= Duration{0}) return client->answer(kStatusRejected, "", "");
+  client->answer(kStatusRejected, fmt::format(FMT_COMPILE("Retry-After: {:.3f}\r\n"), seconds(retryAfter)),
+                 "");
 }
 
 void Server::answerFailed(SlotRef ref) {
@@ -90,33 +91,27 @@
   if (!client) return;
   if (loop_.log.enabled(LogEvent::requestFailed))
     loop_.log(LogEvent::requestFailed, LogField{"request", client->message().get("Req-Id")},
-              LogField{"status", 502});
-  client->answer(502, "", "");
+              LogField{"status", kStatusFailed});
+  client->answer(kStatusFailed, "", "");
 }
 
-std::variant<SlotRef, Outcome> Server::startAttempt(RequestId requestId, AttemptNumber no, SlotRef ref,
-                                                    HostId host, AttemptDeadline deadline) {
+std::variant<SlotRef, Outcome> Server::startAttempt(RequestId requestId, AttemptNumber attemptNumber,
+                                                    SlotRef ref, HostId host, AttemptDeadline deadline) {
   ClientConnection* const client = loop_.find<ClientConnection>(ref);
   if (!client) return Outcome::notSent;
-  const http::Message& asked = client->message();
-  const std::string_view hop = asked.get("Connection");
-  message_.clear();
-  fmt::format_to(std::back_inserter(message_), FMT_COMPILE("{} {} HTTP/1.1\r\nHost: {}{}{}\r\n"),
-                 asked.method(), asked.target(), core_.addressOf(host), kDeadlineField,
-                 millisecondsLeft(deadline.abandonAt - loop_.now()));
-  for (std::size_t n = 0; n < asked.fields(); ++n) {
-    const auto [name, value] = asked.field(n);
-    if (passesOn(name) && !http::listContains(hop, name))
-      message_.append(name).append(": ").append(value).append("\r\n");
-  }
-  if (!asked.body().empty() || asked.method() != "GET")
-    fmt::format_to(std::back_inserter(message_), FMT_COMPILE("Content-Length: {}\r\n"), asked.body().size());
-  message_.append("\r\n").append(asked.body());
+  const http::Message& request = client->message();
+  writeForwardedRequest(request, core_.addressOf(host), deadline.abandonAt - loop_.now(), forwardedRequest_);
   if (loop_.log.enabled(LogEvent::attemptStarted))
-    loop_.log(LogEvent::attemptStarted, LogField{"request", asked.get("Req-Id")},
-              LogField{"request_number", requestId.value}, LogField{"attempt", no.value},
+    loop_.log(LogEvent::attemptStarted, LogField{"request", request.get("Req-Id")},
+              LogField{"request_number", requestId.value}, LogField{"attempt", attemptNumber.value},
               LogField{"host", core_.nameOf(host)});
-  return hosts_.startAttempt(host, message_, requestId, no, deadline);
+  return hosts_.startAttempt(host, forwardedRequest_, requestId, attemptNumber, deadline);
+}
+
+// Closing the connection ends the attempt at once, and the pool reports no outcome for it.
+bool Server::closeAttempt(SlotRef /*client*/, AttemptNumber /*attemptNumber*/, SlotRef connection) {
+  hosts_.closeAttempt(connection);
+  return true;
 }
 
 bool Server::clientConnected(SlotRef ref) {
--- a/src/net/server.hpp
+++ b/src/net/server.hpp
@@ -1,6 +1,9 @@
 #pragma once
 
+#include <cstddef>
 #include <string>
+#include <string_view>
+#include <variant>
 
 #include "gateway_core/engine_log_event.hpp"
 #include "gateway_core/gateway_core.hpp"
@@ -11,28 +14,35 @@
 
 namespace merlinbridge::net {
 
-/// The sockets round the core: carries what it decides to clients, hosts and the counter.
+/// The gateway's sockets around its core: the core's Transport to clients, hosts and the counter service. It
+/// owns the core, and the part for each kind of peer. All functions run on the event loop's strand; the loop
+/// outlives the server, and is stopped before the server is destroyed.
 class Server final : private core::Transport {
  public:
+  /// Binds and listens; nothing is accepted before serve(). Throws std::invalid_argument for an address that
+  /// cannot be parsed, and boost::system::system_error where the gateway cannot listen.
   Server(EventLoop&, const config::GatewayConfig&);
 
-  /// From here on clients are accepted and discovery is watched.
+  /// Accepts clients, and watches discovery, from now on.
   void serve();
-  /// Where discovery and the counter are from now on. Throws std::invalid_argument, and then nothing has
-  /// moved.
+  /// Sets the addresses of discovery and the counter service; an empty `counter`: there is none. Throws
+  /// std::invalid_argument, and then nothing has changed.
   void moveTo(const std::string& discovery, const std::string& counter);
-  /// Graceful shutdown begins: not ready; what comes is answered, all of it by then.
-  void leave(TimePoint by);
-  void closeIdle(Duration since = Duration{0}) { clients_.closeIdle(since); }
-  /// See ClientListener::stopAccepting.
+  /// Begins a graceful shutdown: the gateway is not ready, and answers all requests by `answerBy`.
+  void leave(TimePoint answerBy);
+  /// Closes the clients' connections that have been idle for at least `idleFor`.
+  void closeIdle(Duration idleFor = Duration{0}) { clients_.closeIdle(idleFor); }
+  /// Stops accepting if no client waits; see ClientAcceptor::stop().
   bool shut() { return clients_.stopAccepting(); }
-  /// See EventLoop::run; for the listener.
+  /// Looks whether clients wait unnoticed; the event loop does the same for its connections.
   void recoverMissedReadiness() { clients_.recoverMissedReadiness(); }
+  /// Drops unread data of all clients, so that the exit of the process resets no connection.
   void discard() { clients_.discardUnread(); }
+  /// Requests that the core has not answered yet.
   std::size_t unanswered() const { return core_.unanswered(); }
-  /// All that was taken has its answer.
-  bool quiet() { return unanswered() == 0 && clients_.quiet(); }
-  /// Every client's connection has closed.
+  /// Whether no request is unanswered, and no client is in the middle of a request or of an answer.
+  bool quiet() { return unanswered() == 0 && clients_.allIdle(); }
+  /// Whether the connections of all clients have closed.
   bool allClosed() { return clients_.allClosed(); }
 
  private:
@@ -41,8 +51,8 @@
   void answerFailed(SlotRef client) override;
   std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
                                               AttemptDeadline) override;
-  bool closeAttempt(SlotRef, AttemptNumber, SlotRef link) override { return hosts_.closeAttempt(link), true; }
-  bool isUnsent(SlotRef link) override { return hosts_.isUnsent(link); }
+  bool closeAttempt(SlotRef client, AttemptNumber, SlotRef connection) override;
+  bool isUnsent(SlotRef connection) override { return hosts_.isUnsent(connection); }
   bool clientConnected(SlotRef client) override;
   void addToCounter(const CounterKey& key, double units, Duration keepFor) override;
   void hostUnavailable(HostId host) override { hosts_.closeIdle(host); }
@@ -56,7 +66,7 @@
   UpstreamPool hosts_;
   CounterClient counter_;
   DiscoveryClient discovery_;
-  std::string message_;  ///< The request that is being written to a host.
+  std::string forwardedRequest_;  ///< The request that is being written to a host; its memory is kept.
   core::GatewayCore core_;
 };
 
