--- a/src/net/client/client_connection.cpp
+++ b/src/net/client/client_connection.cpp
@@ -4,6 +4,8 @@
 #include <boost/asio/post.hpp>
 #include <utility>
 
+#include "net/header_fields.hpp"
+
 namespace merlinbridge::net {
 namespace {
 
@@ -16,8 +18,6 @@
 // Of a Req-Id: the rest is cut off in the log.
 constexpr std::size_t kMaxLoggedIdBytes = 32;
 
-constexpr std::string_view kRequestIdField = "Req-Id";
-
 }  // namespace
 
 ClientConnection::ClientConnection(EventLoop& loop, Socket socket, ClientConnectionOwner& owner,
--- a/src/net/forwarded_request.cpp
+++ b/src/net/forwarded_request.cpp
@@ -6,6 +6,7 @@
 #include <array>
 #include <iterator>
 
+#include "net/header_fields.hpp"
 #include "net/upstream/upstream_pool.hpp"
 
 namespace merlinbridge::net {
@@ -13,10 +14,17 @@
 
 // Fields that are not forwarded: those that concern one connection only (hop-by-hop), and those that the
 // gateway writes itself.
-constexpr std::array<std::string_view, 11> kFieldsNotForwarded{
-    "Host", "Connection", "Content-Length", "Req-Deadline-Ms", "Transfer-Encoding", "Keep-Alive",
-    "TE",   "Trailer",    "Upgrade",        "Expect",          "Proxy-Connection"};
-constexpr std::string_view kConnectionField = "Connection";
+constexpr std::array kFieldsNotForwarded{kHostField,
+                                         kConnectionField,
+                                         kContentLengthField,
+                                         kRequestDeadlineField,
+                                         std::string_view("Transfer-Encoding"),
+                                         std::string_view("Keep-Alive"),
+                                         std::string_view("TE"),
+                                         std::string_view("Trailer"),
+                                         std::string_view("Upgrade"),
+                                         std::string_view("Expect"),
+                                         std::string_view("Proxy-Connection")};
 
 // `connectionField`: the request's Connection field, which lists further hop-by-hop fields.
 bool isForwarded(std::string_view name, std::string_view connectionField) {
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -7,6 +7,7 @@
 
 #include "net/client/client_connection.hpp"
 #include "net/forwarded_request.hpp"
+#include "net/header_fields.hpp"
 
 namespace merlinbridge::net {
 namespace {
@@ -79,7 +80,7 @@
   ClientConnection* const client = loop_.find<ClientConnection>(ref);
   if (!client) return;
   if (loop_.log.enabled(LogEvent::requestRejected))
-    loop_.log(LogEvent::requestRejected, LogField{"request", client->message().get("Req-Id")},
+    loop_.log(LogEvent::requestRejected, LogField{"request", client->message().get(kRequestIdField)},
               LogField{"status", kStatusRejected});
   if (retryAfter <= Duration{0}) return client->answer(kStatusRejected, "", "");
   client->answer(kStatusRejected, fmt::format(FMT_COMPILE("Retry-After: {:.3f}\r\n"), seconds(retryAfter)),
@@ -90,7 +91,7 @@
   ClientConnection* const client = loop_.find<ClientConnection>(ref);
   if (!client) return;
   if (loop_.log.enabled(LogEvent::requestFailed))
-    loop_.log(LogEvent::requestFailed, LogField{"request", client->message().get("Req-Id")},
+    loop_.log(LogEvent::requestFailed, LogField{"request", client->message().get(kRequestIdField)},
               LogField{"status", kStatusFailed});
   client->answer(kStatusFailed, "", "");
 }
@@ -102,7 +103,7 @@
   const http::Message& request = client->message();
   writeForwardedRequest(request, core_.addressOf(host), deadline.abandonAt - loop_.now(), forwardedRequest_);
   if (loop_.log.enabled(LogEvent::attemptStarted))
-    loop_.log(LogEvent::attemptStarted, LogField{"request", request.get("Req-Id")},
+    loop_.log(LogEvent::attemptStarted, LogField{"request", request.get(kRequestIdField)},
               LogField{"request_number", requestId.value}, LogField{"attempt", attemptNumber.value},
               LogField{"host", core_.nameOf(host)});
   return hosts_.startAttempt(host, forwardedRequest_, requestId, attemptNumber, deadline);
