--- a/src/emulator/client_population.cpp
+++ b/src/emulator/client_population.cpp
@@ -91,7 +91,7 @@
   const SlotRef ref = requests_.add(request);
   ++run_.metrics().asked;
   ++run_.currentSecond().asked;
-  run_.metrics().worthAsked += worthOf(request);
+  run_.metrics().utilityOffered += utilityOf(request);
   const bool early = arrivals_.bernoulli(scenario.leaves);
   const TimePoint until =
       early ? request.startedAt + scaled(timeout, arrivals_.uniform01())
@@ -100,7 +100,7 @@
   startAttempt(ref);
 }
 
-double ClientPopulation::worthOf(const ClientRequest& request) const {
+double ClientPopulation::utilityOf(const ClientRequest& request) const {
   const Scenario& scenario = run_.scenario();
   return scenario.methods[request.method].utility * scenario.plans[request.plan].plan.price * request.units;
 }
@@ -130,7 +130,7 @@
   run_.checker().taken(
       run_.now(), attempt->id,
       {{gateway}, request.method, request.plan, request.customer, request.units, request.deadline});
-  run_.metrics().mostInFlight = std::max(run_.metrics().mostInFlight, run_.checker().held());
+  run_.metrics().maxInFlight = std::max(run_.metrics().maxInFlight, run_.checker().held());
   run_.trace(TraceEvent::requestTaken, attempt->id.value);
   Request forGateway;
   forGateway.customer = {request.customer};
@@ -187,7 +187,7 @@
   if (!request) return;
   const SlotRef attempt = request->currentAttempt;
   if (early)
-    ++run_.metrics().left;
+    ++run_.metrics().abandoned;
   else
     countFailure();
   requests_.drop(ref);
@@ -244,7 +244,7 @@
   Metrics& metrics = run_.metrics();
   ++(inTime ? metrics.inTime : metrics.late);
   ++(inTime ? run_.currentSecond().inTime : run_.currentSecond().late);
-  if (attempt.insideQuota) metrics.worth += worthOf(request) * (inTime ? 1 : kLateUtility);
+  if (attempt.insideQuota) metrics.utilityServed += utilityOf(request) * (inTime ? 1 : kLateUtility);
   metrics.latency.add(took);
   const SlotRef requestRef = attempt.request;
   attempts_.drop(ref);
--- a/src/emulator/client_population.hpp
+++ b/src/emulator/client_population.hpp
@@ -85,7 +85,7 @@
   void scheduleArrival();
   void sendRequest();
   double drawUnits();
-  double worthOf(const ClientRequest&) const;
+  double utilityOf(const ClientRequest&) const;
   void startAttempt(core::SlotRef request);
   void reachGateway(core::SlotRef attempt);
   void endAttempt(core::SlotRef attempt, Retry, Duration retryAfter);
--- a/src/emulator/discovery_service.cpp
+++ b/src/emulator/discovery_service.cpp
@@ -82,7 +82,7 @@
   const std::set<std::uint32_t> changed = changedSince(subscription.generation);
   const auto endpoints = transmit(listText(changed));
   if (!endpoints) return retryUpdate(gateway, connectTimeout);
-  run_.metrics().listLines += endpoints->entries.size();
+  run_.metrics().endpointUpdates += endpoints->entries.size();
   subscription.generation = generation_;
   subscription.state = State::upToDate;
   for (const std::uint32_t host : changed) announce(gateway, host);
--- a/src/emulator/emulated_gateway.cpp
+++ b/src/emulator/emulated_gateway.cpp
@@ -12,11 +12,11 @@
 
 using core::SlotRef;
 
-// The daemon's own core, with the module inside.
-class Own final : public EmulatedGateway {
+/// The daemon's own core, with its decision engine.
+class CoreGateway final : public EmulatedGateway {
  public:
-  Own(const config::GatewayConfig& config, TimePoint now, core::DeadlineQueue& deadlines,
-      core::Transport& transport)
+  CoreGateway(const config::GatewayConfig& config, TimePoint now, core::DeadlineQueue& deadlines,
+              core::Transport& transport)
       : core_(config, now, deadlines, transport) {}
 
   void requestArrived(TimePoint now, SlotRef client, const Request& request) override {
@@ -34,33 +34,33 @@
     requests_.erase(at);
     core_.clientLeft(now, requestId);
   }
-  void attemptEnded(TimePoint now, RequestId requestId, AttemptNumber no, Outcome outcome,
+  void attemptEnded(TimePoint now, RequestId requestId, AttemptNumber attemptNumber, Outcome outcome,
                     const core::UpstreamResponse& response) override {
-    core_.attemptEnded(now, requestId, no, outcome, response);
+    core_.attemptEnded(now, requestId, attemptNumber, outcome, response);
   }
-  void counterCallEnded(TimePoint now, const CounterKey& name, CounterCallOutcome end, double total,
+  void counterCallEnded(TimePoint now, const CounterKey& key, CounterCallOutcome outcome, double total,
                         Duration took) override {
-    core_.counterCallEnded(now, name, end, total, took);
+    core_.counterCallEnded(now, key, outcome, total, took);
   }
   void endpointsUpdated(TimePoint now, const config::EndpointList& endpoints) override {
     core_.endpointsUpdated(now, endpoints);
   }
   const std::string& addressOf(HostId host) const override { return core_.addressOf(host); }
-  void setAnswerDeadline(TimePoint by) override { core_.setAnswerDeadline(by); }
+  void setAnswerDeadline(TimePoint deadline) override { core_.setAnswerDeadline(deadline); }
   std::size_t unanswered() const override { return core_.unanswered(); }
 
  private:
   core::GatewayCore core_;
   std::unordered_map<std::uint64_t, RequestId>
-      requests_;  // by client, looked up and never walked in its order
+      requests_;  ///< By client. Looked up only, never iterated in its order.
   std::size_t sweepAt_ = 64;
 };
 
-// What the policies beside the module share: one attempt for each request, and no second.
-class Simple : public EmulatedGateway {
+/// Base of the simple policies: admits all requests and makes one attempt for each, at a random host.
+class AdmitAllGateway : public EmulatedGateway {
  public:
-  Simple(const config::GatewayConfig& config, TimePoint now, core::DeadlineQueue& deadlines,
-         core::Transport& transport)
+  AdmitAllGateway(const config::GatewayConfig& config, TimePoint now, core::DeadlineQueue& deadlines,
+                  core::Transport& transport)
       : settings_(config.settings),
         slack_(config.answerSlack),
         deadlines_(deadlines),
@@ -68,46 +68,47 @@
         random_(config.seed, "policy") {
     config::EndpointList known = config.known;
     known.complete = true;
-    Simple::endpointsUpdated(now, known);
+    AdmitAllGateway::endpointsUpdated(now, known);
   }
 
   void requestArrived(TimePoint now, SlotRef client, const Request& request) override {
     const auto host = admits(now, request) ? choose(now) : std::nullopt;
     if (!host) return transport_.answerRejected(client, settings_.connectTimeout);
-    const RequestId requestId{++last_};
-    const TimePoint by = std::min(request.deadline, latest_) - slack_;
-    const auto sent = transport_.startAttempt(requestId, {0}, client, *host, {by, TimePoint::max()});
+    const RequestId requestId{++lastRequest_};
+    const TimePoint abandonAt = std::min(request.deadline, answerDeadline_) - slack_;
+    const auto sent = transport_.startAttempt(requestId, {0}, client, *host, {abandonAt, TimePoint::max()});
     if (std::holds_alternative<Outcome>(sent)) return transport_.answerRejected(client, Duration{0});
     requests_[requestId.value] = {client, std::get<SlotRef>(sent),
                                   settings_.methods[request.method.value].repeat == Repeat::idempotent};
     byClient_[client.packed()] = requestId.value;
-    deadlines_.add(std::max(now, by), [this, requestId](TimePoint) { closeAttempt(requestId, true); });
+    deadlines_.add(std::max(now, abandonAt),
+                   [this, requestId](TimePoint) { closeAttempt(requestId, Answering::failed); });
   }
   void clientLeft(TimePoint, SlotRef client) override {
     if (const auto at = byClient_.find(client.packed()); at != byClient_.end())
-      closeAttempt({at->second}, false);
+      closeAttempt({at->second}, Answering::none);
   }
   void attemptEnded(TimePoint, RequestId requestId, AttemptNumber, Outcome outcome,
                     const core::UpstreamResponse& response) override {
     const auto at = requests_.find(requestId.value);
     if (at == requests_.end()) return;
-    const Held held = at->second;
+    const PendingRequest pending = at->second;
     drop(requestId);
-    if (outcome == Outcome::ok) return transport_.answerOk(held.client, response.body, response.type);
-    if (held.idempotent || outcome == Outcome::rejected || outcome == Outcome::noConnection)
-      return transport_.answerRejected(held.client, Duration{0});
-    transport_.answerFailed(held.client);
+    if (outcome == Outcome::ok) return transport_.answerOk(pending.client, response.body, response.type);
+    if (pending.idempotent || outcome == Outcome::rejected || outcome == Outcome::noConnection)
+      return transport_.answerRejected(pending.client, Duration{0});
+    transport_.answerFailed(pending.client);
   }
   void counterCallEnded(TimePoint, const CounterKey&, CounterCallOutcome, double, Duration) override {}
   void endpointsUpdated(TimePoint, const config::EndpointList& endpoints) override {
     if (endpoints.complete) serving_.clear();
-    for (const config::Endpoint& line : endpoints.entries) {
-      std::erase(serving_, line.address);
-      if (line.serving) serving_.push_back(line.address);
+    for (const config::Endpoint& endpoint : endpoints.entries) {
+      std::erase(serving_, endpoint.address);
+      if (endpoint.serving) serving_.push_back(endpoint.address);
     }
   }
   const std::string& addressOf(HostId host) const override { return serving_[host.value]; }
-  void setAnswerDeadline(TimePoint by) override { latest_ = by; }
+  void setAnswerDeadline(TimePoint deadline) override { answerDeadline_ = deadline; }
   std::size_t unanswered() const override { return requests_.size(); }
 
  protected:
@@ -119,24 +120,27 @@
 
   const PolicySettings settings_;
   const Duration slack_;
-  std::vector<std::string> serving_;  // an attempt is made at once, so its place here is the host's number
+  /// Addresses. The index of a host is its id only until the next update: attempts are made at once.
+  std::vector<std::string> serving_;
 
  private:
-  struct Held {
-    SlotRef client, link;
+  struct PendingRequest {
+    SlotRef client;
+    SlotRef attempt;
     bool idempotent = false;
   };
+  enum class Answering { none, failed };
   void drop(RequestId requestId) {
     byClient_.erase(requests_.at(requestId.value).client.packed());
     requests_.erase(requestId.value);
   }
-  void closeAttempt(RequestId requestId, bool answer) {
+  void closeAttempt(RequestId requestId, Answering answering) {
     const auto at = requests_.find(requestId.value);
     if (at == requests_.end()) return;
-    const Held held = at->second;
+    const PendingRequest pending = at->second;
     drop(requestId);
-    transport_.closeAttempt(held.client, {0}, held.link);
-    if (answer) transport_.answerFailed(held.client);
+    transport_.closeAttempt(pending.client, {0}, pending.attempt);
+    if (answering == Answering::failed) transport_.answerFailed(pending.client);
   }
 
   core::DeadlineQueue& deadlines_;
@@ -146,59 +150,64 @@
   RandomStream random_;
 
  private:
-  std::uint64_t last_ = 0;
-  TimePoint latest_ = TimePoint::max();
-  std::unordered_map<std::uint64_t, Held> requests_;
+  std::uint64_t lastRequest_ = 0;
+  TimePoint answerDeadline_ = TimePoint::max();
+  std::unordered_map<std::uint64_t, PendingRequest> requests_;
   std::unordered_map<std::uint64_t, std::uint64_t> byClient_;
 };
 
-// Each gateway keeps to its even part of every quota and ceiling, and tells nobody.
-class Even final : public Simple {
+/// Keeps to an even part of every quota and ceiling, without a counter service.
+class EvenQuotaGateway final : public AdmitAllGateway {
  public:
-  using Simple::Simple;
+  using AdmitAllGateway::AdmitAllGateway;
 
  private:
-  struct Part {
-    double level, ceiling;
-    TimePoint at;
+  /// This gateway's part of a customer's quota and ceiling, in units.
+  struct QuotaPart {
+    double level = 0;
+    double ceiling = 0;
+    TimePoint updatedAt;
   };
-  bool admits(TimePoint now, const Request& a) override {
-    const Plan& p = settings_.plans[a.plan.value];
-    const double share = 1.0 / std::max(1u, a.gateways);
-    // A part of the ceiling begins empty: what an earlier life has sent is not known.
-    Part& part = parts_.try_emplace(a.customer.value, Part{p.burst * share, 0, now}).first->second;
-    const double passed = seconds(now - part.at) * share;
-    part.level = std::min(std::max(p.burst * share, settings_.maxUnits), part.level + p.rate * passed);
-    part.ceiling = std::min(p.ceilingBurst * share, part.ceiling + p.ceilingRate * passed);
-    part.at = now;
-    if (p.rate > 0 && part.level < a.units) return false;
-    if (p.ceilingRate > 0 && part.ceiling < a.units) return false;
-    part.level -= a.units, part.ceiling -= a.units;
+  bool admits(TimePoint now, const Request& request) override {
+    const Plan& plan = settings_.plans[request.plan.value];
+    const double share = 1.0 / std::max(1u, request.gateways);
+    // The ceiling begins empty: how much an earlier incarnation has sent is not known.
+    QuotaPart& part =
+        parts_.try_emplace(request.customer.value, QuotaPart{plan.burst * share, 0, now}).first->second;
+    const double passed = seconds(now - part.updatedAt) * share;
+    part.level = std::min(std::max(plan.burst * share, settings_.maxUnits), part.level + plan.rate * passed);
+    part.ceiling = std::min(plan.ceilingBurst * share, part.ceiling + plan.ceilingRate * passed);
+    part.updatedAt = now;
+    if (plan.rate > 0 && part.level < request.units) return false;
+    if (plan.ceilingRate > 0 && part.ceiling < request.units) return false;
+    part.level -= request.units;
+    part.ceiling -= request.units;
     return true;
   }
-  std::map<std::uint64_t, Part> parts_;
+  std::map<std::uint64_t, QuotaPart> parts_;
 };
 
-// Sees every quota and every host as they are.
-class Seeing final : public Simple {
+/// Sees the true state of every quota and host.
+class OmniscientGateway final : public AdmitAllGateway {
  public:
-  Seeing(const config::GatewayConfig& config, TimePoint now, core::DeadlineQueue& deadlines,
-         core::Transport& transport, Truth truth)
-      : Simple(config, now, deadlines, transport), truth_(std::move(truth)) {}
+  OmniscientGateway(const config::GatewayConfig& config, TimePoint now, core::DeadlineQueue& deadlines,
+                    core::Transport& transport, Truth truth)
+      : AdmitAllGateway(config, now, deadlines, transport), truth_(std::move(truth)) {}
 
  private:
-  bool admits(TimePoint, const Request& a) override {
-    return truth_.inside(a.customer.value, a.plan.value, a.units);
+  bool admits(TimePoint, const Request& request) override {
+    return truth_.inside(request.customer.value, request.plan.value, request.units);
   }
   std::optional<HostId> choose(TimePoint) override {
     std::optional<HostId> best;
     double least = 0;
-    const std::size_t from = serving_.empty() ? 0 : random_.below(serving_.size());
-    for (std::size_t n = 0; n < serving_.size(); ++n) {
-      const std::size_t h = (from + n) % serving_.size();
-      const double load = truth_.load(serving_[h]);
+    const std::size_t first = serving_.empty() ? 0 : random_.below(serving_.size());
+    for (std::size_t i = 0; i < serving_.size(); ++i) {
+      const std::size_t host = (first + i) % serving_.size();
+      const double load = truth_.load(serving_[host]);
       if (load < 0 || (best && load >= least)) continue;
-      best = HostId{static_cast<std::uint32_t>(h)}, least = load;
+      best = HostId{static_cast<std::uint32_t>(host)};
+      least = load;
     }
     return best;
   }
@@ -225,13 +234,13 @@
                                              core::Transport& transport, const Truth& truth) {
   switch (policy) {
     case Policy::module:
-      return std::make_unique<Own>(config, now, deadlines, transport);
+      return std::make_unique<CoreGateway>(config, now, deadlines, transport);
     case Policy::all:
-      return std::make_unique<Simple>(config, now, deadlines, transport);
+      return std::make_unique<AdmitAllGateway>(config, now, deadlines, transport);
     case Policy::even:
-      return std::make_unique<Even>(config, now, deadlines, transport);
+      return std::make_unique<EvenQuotaGateway>(config, now, deadlines, transport);
     case Policy::truth:
-      return std::make_unique<Seeing>(config, now, deadlines, transport, truth);
+      return std::make_unique<OmniscientGateway>(config, now, deadlines, transport, truth);
   }
   return nullptr;
 }
--- a/src/emulator/emulated_gateway.hpp
+++ b/src/emulator/emulated_gateway.hpp
@@ -8,8 +8,8 @@
 
 namespace merlinbridge::emulator {
 
-/// Whoever decides at a gateway's door: the project's own core with its module, or another policy in its
-/// place. The calls are the core's own.
+/// The gateway inside an emulated process: the daemon's own core, or a simple policy in its place. The calls
+/// are those of core::GatewayCore, except that a client is named by its slot.
 class EmulatedGateway {
  public:
   virtual ~EmulatedGateway() = default;
@@ -24,17 +24,28 @@
   virtual std::size_t unanswered() const = 0;
 };
 
-/// What only a policy that is told the truth knows.
+/// The true state of the run, which no real gateway can see. For Policy::truth, the upper bound that others
+/// are compared with.
 struct Truth {
-  std::function<bool(std::uint64_t customer, std::uint32_t plan, double units)>
-      inside;                                            ///< quota and ceiling
-  std::function<double(std::string_view address)> load;  ///< work held over cores; below 0: of no use now
+  /// Whether the units are inside the customer's quota and ceiling now.
+  std::function<bool(std::uint64_t customer, std::uint32_t plan, double units)> inside;
+  /// Work in flight at the host over its speed; below 0 if the host is of no use now.
+  std::function<double(std::string_view address)> load;
 };
 
-enum class Policy { module, all, even, truth };
+/// Which gateway runs in the emulated processes.
+enum class Policy {
+  module,  ///< The daemon's own core with its decision engine.
+  all,     ///< Admits all; hosts at random.
+  even,    ///< Each gateway keeps to an even part of every quota and ceiling; hosts at random.
+  truth    ///< Admits by the true quotas and sends to the host with the least load.
+};
+/// The name of a policy on the command line and in tables.
 std::string_view wordOf(Policy);
+/// The policy with that name; empty if there is none.
 std::optional<Policy> policyNamed(std::string_view word);
 
+/// Makes the gateway of a policy. Queue and transport must outlive it.
 std::unique_ptr<EmulatedGateway> makeGateway(Policy, const config::GatewayConfig&, TimePoint now,
                                              core::DeadlineQueue&, core::Transport&, const Truth&);
 
--- a/src/emulator/gateway_process.cpp
+++ b/src/emulator/gateway_process.cpp
@@ -163,7 +163,7 @@
                      hosts.cellOf(host));
   ++run.metrics().attempts;
   ++run.currentSecond().attempts;
-  if (attemptNumber.value > 0) ++run.metrics().further;
+  if (attemptNumber.value > 0) ++run.metrics().retries;
   run.trace(TraceEvent::attemptStarted, host);
   Duration delay = surroundings_.network.delay();
   if (connection == ConnectionState::connecting) {
--- a/src/emulator/host_fleet.cpp
+++ b/src/emulator/host_fleet.cpp
@@ -138,7 +138,7 @@
   const Scenario& scenario = run_.scenario();
   const Duration work = scaled(scenario.methods[arrival.method].work, 0.5 + work_.exponential(0.5));
   if (isOverloadedBy(arrival, work)) {
-    ++run_.metrics().hostsFallen;
+    ++run_.metrics().hostsOverloaded;
     run_.trace(TraceEvent::hostOverloaded, arrival.host);
     kill(arrival.host);
     return Outcome::lost;
--- a/src/emulator/invariant_checker.cpp
+++ b/src/emulator/invariant_checker.cpp
@@ -17,7 +17,7 @@
 }  // namespace
 
 std::string_view wordOf(Invariant rule) {
-  static constexpr std::string_view kWords[] = {"lost", "twice", "drain", "cold", "ceiling"};
+  static constexpr std::string_view kWords[] = {"lost", "duplicate", "drain", "slow_start", "ceiling"};
   return kWords[static_cast<std::size_t>(rule)];
 }
 
@@ -84,7 +84,7 @@
   if (how == Answer::rejected && mayHaveRun(*open)) {
     const ScenarioMethod& m = s_.methods[open->asked.method];
     if (m.repeat == Repeat::nonIdempotent || (m.repeat == Repeat::deduplicated && m.group != Group::all))
-      violation(now, Invariant::twice, attemptId, "rejected though it may have run");
+      violation(now, Invariant::duplicate, attemptId, "rejected though it may have run");
   }
   close(attemptId);
 }
@@ -127,11 +127,11 @@
   if (!open) return violation(now, Invariant::lost, attemptId, "sent on for a client that is not there");
   if (open->answered) violation(now, Invariant::lost, attemptId, "sent on after its final answer");
   if (!mayRepeat(now, *open, zone, cell))
-    violation(now, Invariant::twice, attemptId,
+    violation(now, Invariant::duplicate, attemptId,
               fmt::format("attempt {} though an earlier one may have run", no));
   if (!s_.allowHedging &&
       std::any_of(open->outs.begin(), open->outs.end(), [](const Out& o) { return o.out; }))
-    violation(now, Invariant::twice, attemptId, fmt::format("attempt {} while another is out", no));
+    violation(now, Invariant::duplicate, attemptId, fmt::format("attempt {} while another is out", no));
   if (const auto at = notServing_.find({open->asked.gateway.value, machine.value});
       at != notServing_.end() && now > at->second + s_.drainGrace)
     violation(now, Invariant::drain, attemptId,
@@ -154,7 +154,7 @@
         (m.group == Group::all || (m.group == Group::zone ? o.zone == zone : o.cell == cell));
     if (dropped) return;
     ++runsTwice_;
-    violation(now, Invariant::twice, attemptId, "its effect came twice");
+    violation(now, Invariant::duplicate, attemptId, "its effect came twice");
     break;
   }
   open->outs[no].ran = true;
@@ -169,7 +169,8 @@
   Open* const open = find(attemptId);
   if (!open || no >= open->outs.size()) return;
   Out& out = open->outs[no];
-  if (proven && out.ran) violation(now, Invariant::twice, attemptId, "told as never run, though it has run");
+  if (proven && out.ran)
+    violation(now, Invariant::duplicate, attemptId, "told as never run, though it has run");
   out.out = false, out.proven = proven;
   close(attemptId);
 }
--- a/src/emulator/invariant_checker.hpp
+++ b/src/emulator/invariant_checker.hpp
@@ -16,7 +16,7 @@
 using HostNumber = Id<struct HostNumberKind, std::uint32_t>;
 using GatewayNumber = Id<struct GatewayNumberKind, std::uint32_t>;
 
-enum class Invariant { lost, twice, drain, cold, ceiling };
+enum class Invariant { lost, duplicate, drain, cold, ceiling };
 inline constexpr std::size_t kInvariants = 5;
 std::string_view wordOf(Invariant);
 
--- a/src/emulator/random_stream.hpp
+++ b/src/emulator/random_stream.hpp
@@ -1,5 +1,6 @@
 #pragma once
 
+#include <algorithm>
 #include <cmath>
 #include <cstdint>
 #include <random>
@@ -9,35 +10,43 @@
 
 namespace merlinbridge::emulator {
 
-/// Chance for one part of a run. Each part draws from its own stream, so that a change to one leaves what the
-/// others draw as it was: two policies meet the same clients, and the same faults.
+/// Random numbers for one part of a run. Each part draws from its own stream, so that a change of one part
+/// leaves the draws of the others as they are: two policies meet the same clients and the same faults. The
+/// numbers depend on seed and name of the part alone, on every platform.
 class RandomStream {
  public:
   RandomStream(std::uint64_t seed, std::string_view part) {
-    std::uint64_t mixed = 1469598103934665603u;
-    const auto mix = [&mixed](unsigned char byte) { mixed = (mixed ^ byte) * 1099511628211u; };
-    for (const char c : part) mix(static_cast<unsigned char>(c));
-    for (int n = 0; n < 8; ++n) mix(static_cast<unsigned char>(seed >> (8 * n)));
-    mixed ^= mixed >> 29;
-    engine_.seed(static_cast<std::uint32_t>(mixed ^ (mixed >> 32)));
+    constexpr int kBytes = 8;
+    std::uint64_t hash = 1469598103934665603u;  // FNV-1a
+    const auto add = [&hash](unsigned char byte) { hash = (hash ^ byte) * 1099511628211u; };
+    for (const char letter : part) add(static_cast<unsigned char>(letter));
+    for (int i = 0; i < kBytes; ++i) add(static_cast<unsigned char>(seed >> (8 * i)));
+    hash ^= hash >> 29;
+    engine_.seed(static_cast<std::uint32_t>(hash ^ (hash >> 32)));
   }
 
-  /// From 0 on, under 1.
+  /// Uniform in [0, 1).
   double uniform01() {
-    const double high = double(engine_()), low = double(engine_());
+    const double high = double(engine_());
+    const double low = double(engine_());
     return (high + low / kSpan) / kSpan;
   }
+  /// Uniform in [least, most).
   double between(double least, double most) { return least + (most - least) * uniform01(); }
-  bool bernoulli(double odds) { return uniform01() < odds; }
-  std::size_t below(std::size_t n) {
-    return std::min(n - 1, static_cast<std::size_t>(uniform01() * double(n)));
+  /// True with the given probability.
+  bool bernoulli(double probability) { return uniform01() < probability; }
+  /// Uniform from 0 to count - 1; count must not be 0.
+  std::size_t below(std::size_t count) {
+    return std::min(count - 1, static_cast<std::size_t>(uniform01() * double(count)));
   }
+  /// Exponentially distributed with the given mean.
   double exponential(double mean) { return -mean * std::log(1 - uniform01()); }
   Duration duration(Duration mean) { return scaled(mean, exponential(1)); }
+  /// 48 random bits.
   std::uint64_t word() { return static_cast<std::uint64_t>(engine_()) << 24 | engine_(); }
 
  private:
-  static constexpr double kSpan = 16777216;  ///< of the engine's 24 bits
+  static constexpr double kSpan = 16777216;  ///< Values of the engine's 24 bits.
   std::ranlux24_base engine_;
 };
 
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -102,7 +102,7 @@
       if (rule_ == Invariant::lost && last_ % 7 == 0) transport_.answerFailed(client);  // and once more
       return;
     }
-    if (rule_ == Invariant::twice && held.no == 0) {  // whatever the method
+    if (rule_ == Invariant::duplicate && held.no == 0) {  // whatever the method
       const auto sent = transport_.startAttempt(requestId, {++held.no}, held.client, {0},
                                                 {TimePoint::max(), TimePoint::max()});
       if (const SlotRef* const link = std::get_if<SlotRef>(&sent)) held.link = *link;
@@ -223,8 +223,8 @@
   CHECK(a.events == b.events);
   CHECK(a.print != c.print);
   CHECK(a.asked == even.asked);
-  CHECK(a.worthAsked == even.worthAsked);
-  CHECK(a.asked == a.inTime + a.late + a.failed + a.left);
+  CHECK(a.utilityOffered == even.utilityOffered);
+  CHECK(a.asked == a.inTime + a.late + a.failed + a.abandoned);
   CHECK(a.broken() == 0);
   CHECK(a.inTime > a.asked / 2);
 }
@@ -237,7 +237,7 @@
   };
   const std::vector<Case> cases{
       {Invariant::lost, ""},
-      {Invariant::twice, fault("host_err", "0s", "6s", "factor = 0.5")},
+      {Invariant::duplicate, fault("host_err", "0s", "6s", "factor = 0.5")},
       {Invariant::drain, fault("host_replace", "1s", "1s", "share = 1")},
       {Invariant::cold,
        fault("host_replace", "1s", "0s", "share = 0.25"),
@@ -276,7 +276,7 @@
   CHECK(beyond(all) > 0.3);  // else it would show nothing
   CHECK(beyond(truth) < 0.02);
   CHECK(beyond(module) < most * beyond(all));
-  CHECK(module.worth > 0.9 * truth.worth);
+  CHECK(module.utilityServed > 0.9 * truth.utilityServed);
   CHECK(module.broken() == 0);
 }
 
@@ -311,7 +311,7 @@
     for (const Violation& b : t.first)
       UNSCOPED_INFO(seconds(b.at.time_since_epoch()) << " " << wordOf(b.rule) << " " << b.what);
     CHECK(t.broken() == 0);
-    CHECK(t.asked == t.inTime + t.late + t.failed + t.left);
+    CHECK(t.asked == t.inTime + t.late + t.failed + t.abandoned);
     if (kind != "load_burst") together += one;
   }
   const Metrics t = play(readScenario(kPlain + together, "s.toml"), 4, Policy::module);
@@ -332,12 +332,12 @@
   CHECK(played({"clients.rate=0"}).asked == 0);
   CHECK(played({}, fault("host_kill", "2s", "0s", "share = 1")).broken() == 0);  // over as it begins
   CHECK(played({}, fault("gateway_kill", "2s", "0s", "share = 1")).broken() == 0);
-  CHECK(played({"clients.leaves=0.5"}).left > 0);
+  CHECK(played({"clients.leaves=0.5"}).abandoned > 0);
 }
 
 TEST_CASE("what is remembered is bounded by what is in flight") {
   const Scenario s = readScenario(kPlain, "s.toml", {"length=30s", "clients.rate=300"});
   const Metrics t = play(s, 1, Policy::module);
   CHECK(t.asked > 8'000);
-  CHECK(t.mostInFlight < 200);
+  CHECK(t.maxInFlight < 200);
 }
