--- a/src/gateway_core/gateway_core.cpp
+++ b/src/gateway_core/gateway_core.cpp
@@ -54,9 +54,10 @@
   if (!attempt) return;
   request->endAttempt(*attempt);
   hosts_.attemptEnded(attempt->host);
-  const bool hasAnswer = outcome == Outcome::ok || response.answered;
+  const bool hasAnswer = outcome == Outcome::ok || response.answeredByAdapter;
   const bool isFirstAnswer = hasAnswer && requests_.markAnswered(requestId) != nullptr;
-  if (isFirstAnswer && !response.answered) transport_.answerOk(request->client, response.body, response.type);
+  if (isFirstAnswer && !response.answeredByAdapter)
+    transport_.answerOk(request->client, response.body, response.type);
   const AttemptResult result{
       .requestId = requestId,
       .attemptNumber = attemptNumber,
--- a/src/gateway_core/transport.hpp
+++ b/src/gateway_core/transport.hpp
@@ -55,7 +55,7 @@
   double trueUnits = 0;               ///< Cost of the request in units; 0: the host did not say.
   LoadReport load{};                  ///< The host's load as the host reports it.
   std::optional<Duration> took = {};  ///< Duration of the attempt, where the adapter measures it itself.
-  bool answered = false;              ///< The adapter has already passed the answer on to the client.
+  bool answeredByAdapter = false;     ///< The adapter has already passed the answer on to the client.
 };
 
 }  // namespace merlinbridge::core
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -4,92 +4,58 @@
 #include <charconv>
 #include <cstring>
 
+#include "http/status.hpp"
+
 namespace merlinbridge::http {
 namespace {
 
-char lower(char c) {
-  return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c;
-}
-bool isToken(char c) {
-  return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
-         (c != 0 && std::strchr("!#$%&'*+-.^_`|~", c) != nullptr);
-}
-bool isToken(std::string_view text) {
-  return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) { return isToken(c); });
-}
-bool isDigits(std::string_view text) {
-  return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; });
-}
-std::string_view trimmed(std::string_view text) {
-  while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
-  while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
-  return text;
-}
+constexpr std::string_view kLineEnd = "\r\n";
+constexpr std::string_view kHeadTerminator = "\r\n\r\n";
+constexpr std::size_t kStatusDigits = 3;
+constexpr int kDecimalBase = 10;
+constexpr int kMinStatus = 100;
+constexpr int kStatusesPerClass = 100;
+constexpr int kInterimClass = 1;
 
-}  // namespace
+constexpr std::string_view kContentLengthField = "Content-Length";
+constexpr std::string_view kTransferEncodingField = "Transfer-Encoding";
+constexpr std::string_view kConnectionField = "Connection";
+constexpr std::string_view kExpectField = "Expect";
 
-bool same(std::string_view a, std::string_view b) {
-  if (a.size() != b.size()) return false;
-  if (std::memcmp(a.data(), b.data(), a.size()) == 0) return true;  // as nearly all are written
-  return std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return lower(x) == lower(y); });
+constexpr bool hasNoBody(int status) {
+  return status == kNoContent || status == kNotModified;
 }
 
-bool listContains(std::string_view list, std::string_view word) {
-  while (!list.empty()) {
-    const auto comma = std::min(list.find(','), list.size());
-    if (same(trimmed(list.substr(0, comma)), word)) return true;
-    list.remove_prefix(std::min(list.size(), comma + 1));
-  }
-  return false;
-}
+}  // namespace
 
-std::string_view Message::get(std::string_view name) const {
-  for (const FieldParts& f : fields_)
-    if (same(view(f.name), name)) return view(f.value);
-  return {};
-}
+// ---- Life of a message ----
 
 void Message::clear() {
   data_ = nullptr;
   stage_ = Stage::head;
-  blame_ = status_ = 0;
-  keepAlive_ = true, expects_ = oldVersion_ = false;
-  start_ = headSeen_ = headEnd_ = decoded_ = raw_ = 0;
-  length_ = 0;
+  errorStatus_ = 0;
+  status_ = 0;
+  version_ = Version::http11;
+  keepsAlive_ = true;
+  expectsContinue_ = false;
+  start_ = 0;
+  headSeen_ = 0;
+  headEnd_ = 0;
+  decodedEnd_ = 0;
+  consumed_ = 0;
+  contentLength_ = 0;
   framing_ = Framing::none;
-  method_ = target_ = {};
+  method_ = {};
+  target_ = {};
   fields_.clear();
   chunks_ = {};
 }
 
-Message::Stage Message::bad(int status) {
-  blame_ = status, keepAlive_ = false;
-  return stage_ = Stage::bad;
-}
-
 Message::Stage Message::advance(char* data, std::size_t size) {
   data_ = data;
-  if (stage_ == Stage::head) {
-    // Empty lines before a request are passed over, as the standard asks.
-    while (kind_ == Kind::request && start_ + 1 < size && data[start_] == '\r' && data[start_ + 1] == '\n')
-      start_ += 2;
-    const std::string_view bytes(data, size);
-    const std::size_t from = std::max(start_, headSeen_ > 3 ? headSeen_ - 3 : 0);
-    const std::size_t end = bytes.find("\r\n\r\n", from);
-    headSeen_ = size;
-    if (std::min(end, size) > kMaxHeadBytes) return bad(431);
-    if (end == std::string_view::npos) return stage_;
-    headEnd_ = end + 4;
-    if (readHead() == Stage::bad) return stage_;
-    if (kind_ == Kind::answer && status_ / 100 == 1 && status_ != 101) {  // an interim answer is passed over
-      const std::size_t skip = headEnd_;
-      clear();
-      start_ = headSeen_ = skip;
-      return advance(data, size);
-    }
-    if (readFraming() == Stage::bad) return stage_;
-  }
-  return stage_ == Stage::body ? readBody(size) : stage_;
+  if (stage_ == Stage::head && !readHead(size)) return stage_;
+  if (stage_ == Stage::body) readBody(size);
+  return stage_;
 }
 
 Message::Stage Message::ended() {
@@ -97,110 +63,220 @@
   return stage_;
 }
 
-Message::Stage Message::readHead() {
-  std::size_t from = start_;
-  const std::size_t last = headEnd_ - 2;
-  for (bool first = true; from < last; first = false) {
-    const char* const at = static_cast<const char*>(std::memchr(data_ + from, '\r', last - from));
-    const std::size_t to = static_cast<std::size_t>(at - data_);
-    if (data_[to + 1] != '\n') return bad(400);
-    if (fields_.size() >= kMaxFields) return bad(431);
-    if (!(first ? readStartLine(from, to) : readField(from, to))) return bad(400);
-    from = to + 2;
+std::string_view Message::get(std::string_view name) const {
+  for (const FieldSpans& field : fields_)
+    if (same(view(field.name), name)) return view(field.value);
+  return {};
+}
+
+Message::Span Message::spanOf(std::string_view part) const {
+  return {static_cast<std::uint32_t>(part.data() - data_), static_cast<std::uint32_t>(part.size())};
+}
+
+// Makes the message bad and returns false. The functions below return false for a message that is bad, or
+// whose head is incomplete.
+bool Message::fail(int errorStatus) {
+  errorStatus_ = errorStatus;
+  keepsAlive_ = false;  // where the next message would start is not known
+  stage_ = Stage::bad;
+  return false;
+}
+
+// ---- Head ----
+
+bool Message::readHead(std::size_t size) {
+  while (true) {
+    if (!findHeadEnd(size) || !readHeadLines()) return false;
+    if (!isInterimAnswer()) return readFraming();
+    skipInterimAnswer();
   }
-  return stage_;
 }
 
-bool Message::readStartLine(std::size_t from, std::size_t to) {
-  const std::string_view line(data_ + from, to - from);
-  const auto firstGap = line.find(' '), secondGap = line.find(' ', firstGap + 1);
-  if (firstGap == std::string_view::npos) return false;
-  const auto version = kind_ == Kind::answer ? line.substr(0, firstGap)
-                                             : line.substr(std::min(secondGap, line.size() - 1) + 1);
-  if (version != "HTTP/1.1" && version != "HTTP/1.0") return false;
-  oldVersion_ = version == "HTTP/1.0";
-  if (kind_ == Kind::answer) {
-    const auto code = line.substr(firstGap + 1, 3);
-    if (code.size() != 3 || !isDigits(code) || (line.size() > firstGap + 4 && line[firstGap + 4] != ' '))
-      return false;
-    status_ = (code[0] - '0') * 100 + (code[1] - '0') * 10 + (code[2] - '0');
-    return status_ >= 100;
+bool Message::findHeadEnd(std::size_t size) {
+  const std::string_view bytes(data_, size);
+  // RFC 9112, section 2.2: empty lines before a request are skipped.
+  if (kind_ == Kind::request)
+    while (bytes.substr(start_).starts_with(kLineEnd)) start_ += kLineEnd.size();
+  // The terminator may have arrived in part by the last call.
+  const std::size_t overlap = kHeadTerminator.size() - 1;
+  const std::size_t searchFrom = std::max(start_, headSeen_ > overlap ? headSeen_ - overlap : 0);
+  const std::size_t terminator = bytes.find(kHeadTerminator, searchFrom);
+  headSeen_ = size;
+  if (std::min(terminator, size) > kMaxHeadBytes) return fail(kHeaderFieldsTooLarge);
+  if (terminator == std::string_view::npos) return false;
+  headEnd_ = terminator + kHeadTerminator.size();
+  return true;
+}
+
+bool Message::readHeadLines() {
+  const std::size_t linesEnd = headEnd_ - kLineEnd.size();
+  std::size_t lineStart = start_;
+  while (lineStart < linesEnd) {
+    const void* const lineEnd = std::memchr(data_ + lineStart, '\r', linesEnd - lineStart);
+    const std::string_view line(data_ + lineStart, static_cast<const char*>(lineEnd));
+    const std::size_t lineEndAt = lineStart + line.size();
+    if (data_[lineEndAt + 1] != '\n') return fail(kBadRequest);
+    if (fields_.size() >= kMaxFields) return fail(kHeaderFieldsTooLarge);
+    if (!(lineStart == start_ ? readStartLine(line) : readField(line))) return fail(kBadRequest);
+    lineStart = lineEndAt + kLineEnd.size();
   }
+  return true;
+}
+
+bool Message::readStartLine(std::string_view line) {
+  return kind_ == Kind::answer ? readStatusLine(line) : readRequestLine(line);
+}
+
+bool Message::readStatusLine(std::string_view line) {
+  const auto gap = line.find(' ');
+  if (gap == std::string_view::npos || !readVersion(line.substr(0, gap))) return false;
+  const auto code = line.substr(gap + 1, kStatusDigits);
+  if (code.size() != kStatusDigits || !isDigits(code)) return false;
+  const auto rest = line.substr(gap + 1 + kStatusDigits);
+  if (!rest.empty() && rest.front() != ' ') return false;
+  for (const char digit : code) status_ = status_ * kDecimalBase + (digit - '0');
+  return status_ >= kMinStatus;
+}
+
+bool Message::readRequestLine(std::string_view line) {
+  const auto firstGap = line.find(' ');
+  if (firstGap == std::string_view::npos) return false;
+  const auto secondGap = line.find(' ', firstGap + 1);
   if (secondGap == std::string_view::npos || secondGap == firstGap + 1) return false;
+  if (!readVersion(line.substr(secondGap + 1))) return false;
+  const auto method = line.substr(0, firstGap);
   const auto target = line.substr(firstGap + 1, secondGap - firstGap - 1);
-  if (!isToken(line.substr(0, firstGap))) return false;
-  if (!std::all_of(target.begin(), target.end(), [](unsigned char c) { return c > 0x20 && c != 0x7f; }))
-    return false;
-  method_ = {static_cast<std::uint32_t>(from), static_cast<std::uint32_t>(firstGap)};
-  target_ = {static_cast<std::uint32_t>(from + firstGap + 1), static_cast<std::uint32_t>(target.size())};
+  if (!isToken(method) || !isTarget(target)) return false;
+  method_ = spanOf(method);
+  target_ = spanOf(target);
   return true;
 }
 
-bool Message::readField(std::size_t from, std::size_t to) {
-  const std::string_view line(data_ + from, to - from);
+bool Message::readVersion(std::string_view text) {
+  if (text != "HTTP/1.1" && text != "HTTP/1.0") return false;
+  version_ = text == "HTTP/1.0" ? Version::http10 : Version::http11;
+  return true;
+}
+
+bool Message::readField(std::string_view line) {
   const auto colon = line.find(':');
-  if (colon == std::string_view::npos || !isToken(line.substr(0, colon))) return false;
+  if (colon == std::string_view::npos) return false;
+  const auto name = line.substr(0, colon);
   const auto value = trimmed(line.substr(colon + 1));
-  if (std::any_of(value.begin(), value.end(), [](unsigned char c) { return c < 0x20 && c != '\t'; }))
-    return false;
-  fields_.push_back(
-      {{static_cast<std::uint32_t>(from), static_cast<std::uint32_t>(colon)},
-       {static_cast<std::uint32_t>(value.data() - data_), static_cast<std::uint32_t>(value.size())}});
+  if (!isToken(name) || !isFieldValue(value)) return false;
+  fields_.push_back({spanOf(name), spanOf(value)});
   return true;
 }
 
-// Guards against two readers of one message that see different ends: whatever is not plain is bad.
-Message::Stage Message::readFraming() {
-  bool hasLength = false;
-  std::string_view coding, connection;
-  for (std::size_t n = 0; n < fields_.size(); ++n) {
-    const auto [name, value] = field(n);
-    if (same(name, "Content-Length")) {
-      std::uint64_t length = 0;
-      if (!isDigits(value)) return bad(400);
-      const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), length);
-      if (error != std::errc{}) return bad(413);
-      if (hasLength && length != length_) return bad(400);
-      hasLength = true, length_ = length;
-    } else if (same(name, "Transfer-Encoding")) {
-      if (!coding.empty() || !same(value, "chunked")) return bad(400);
-      coding = value;
-    } else if (same(name, "Connection")) {
-      if (listContains(value, "close")) keepAlive_ = false;
-      connection = value;
-    } else if (same(name, "Expect") && same(value, "100-continue")) {
-      expects_ = true;
-    }
+bool Message::isInterimAnswer() const {
+  return kind_ == Kind::answer && status_ / kStatusesPerClass == kInterimClass &&
+         status_ != kSwitchingProtocols;
+}
+
+void Message::skipInterimAnswer() {
+  char* const data = data_;
+  const std::size_t skipped = headEnd_;
+  clear();
+  data_ = data;
+  start_ = skipped;
+  headSeen_ = skipped;
+}
+
+// ---- Framing ----
+
+// Decides where the body ends. Any two fields that contradict each other make the message bad: another reader
+// on the way might believe the other one.
+bool Message::readFraming() {
+  FramingFields framing;
+  for (std::size_t index = 0; index < fields_.size(); ++index)
+    if (!readFramingField(field(index), framing)) return false;
+  if (version_ == Version::http10 && !listContains(framing.connection, "keep-alive")) keepsAlive_ = false;
+  return chooseFraming(framing) && startBody();
+}
+
+bool Message::readFramingField(const Field& field, FramingFields& framing) {
+  if (same(field.name, kContentLengthField)) return readContentLength(field.value, framing);
+  if (same(field.name, kTransferEncodingField)) {
+    if (framing.hasTransferCoding || !same(field.value, "chunked")) return fail(kBadRequest);
+    framing.hasTransferCoding = true;
+  } else if (same(field.name, kConnectionField)) {
+    if (listContains(field.value, "close")) keepsAlive_ = false;
+    framing.connection = field.value;
+  } else if (same(field.name, kExpectField) && same(field.value, "100-continue")) {
+    expectsContinue_ = true;
   }
-  if (oldVersion_ && !listContains(connection, "keep-alive")) keepAlive_ = false;
-  if (!coding.empty() && (hasLength || oldVersion_)) return bad(400);
-  framing_ = !coding.empty() ? Framing::chunked : hasLength ? Framing::length : Framing::none;
-  if (kind_ == Kind::answer && framing_ == Framing::none && status_ != 204 && status_ != 304)
-    framing_ = Framing::untilClose, keepAlive_ = false;
-  if (kind_ == Kind::answer && (status_ == 204 || status_ == 304)) framing_ = Framing::none;
-  decoded_ = raw_ = headEnd_;
-  stage_ = Stage::body;
-  if (wanted_ == Body::streamed) return stage_ = Stage::done;
-  if (framing_ == Framing::length && length_ > maxBodyBytes_) return bad(413);
-  return stage_;
+  return true;
+}
+
+bool Message::readContentLength(std::string_view value, FramingFields& framing) {
+  std::uint64_t length = 0;
+  if (!isDigits(value)) return fail(kBadRequest);
+  const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), length);
+  if (error != std::errc{}) return fail(kContentTooLarge);
+  if (framing.contentLength && length != *framing.contentLength) return fail(kBadRequest);
+  framing.contentLength = length;
+  return true;
+}
+
+bool Message::chooseFraming(const FramingFields& framing) {
+  if (framing.hasTransferCoding && (framing.contentLength || version_ == Version::http10))
+    return fail(kBadRequest);
+  contentLength_ = framing.contentLength.value_or(0);
+  framing_ = framingOf(framing);
+  if (framing_ == Framing::untilClose) keepsAlive_ = false;
+  return true;
+}
+
+Message::Framing Message::framingOf(const FramingFields& framing) const {
+  if (kind_ == Kind::answer && hasNoBody(status_)) return Framing::none;
+  if (framing.hasTransferCoding) return Framing::chunked;
+  if (framing.contentLength) return Framing::length;
+  return kind_ == Kind::answer ? Framing::untilClose : Framing::none;
+}
+
+// ---- Body ----
+
+bool Message::startBody() {
+  decodedEnd_ = headEnd_;
+  consumed_ = headEnd_;
+  stage_ = bodyMode_ == Body::streamed ? Stage::done : Stage::body;
+  if (stage_ == Stage::body && framing_ == Framing::length && contentLength_ > maxBodyBytes_)
+    return fail(kContentTooLarge);
+  return true;
 }
 
-Message::Stage Message::readBody(std::size_t size) {
-  if (framing_ == Framing::none) {
-    stage_ = Stage::done;
-  } else if (framing_ == Framing::chunked) {
-    const auto end = chunks_.take(data_, decoded_, raw_, size);
-    if (end == Chunks::End::bad) return bad(400);
-    // What frames the chunks is bounded too: guards against a long wrapping round a short body.
-    if (decoded_ - headEnd_ > maxBodyBytes_ || raw_ - headEnd_ > 2 * maxBodyBytes_) return bad(413);
-    if (end == Chunks::End::done) stage_ = Stage::done;
-  } else {
-    const std::size_t wanted = framing_ == Framing::length ? headEnd_ + length_ : size;
-    decoded_ = raw_ = std::min(size, wanted);
-    if (decoded_ - headEnd_ > maxBodyBytes_) return bad(413);
-    if (framing_ == Framing::length && raw_ == wanted) stage_ = Stage::done;
+bool Message::readBody(std::size_t size) {
+  switch (framing_) {
+    case Framing::none:
+      stage_ = Stage::done;
+      return true;
+    case Framing::chunked:
+      return readChunkedBody(size);
+    case Framing::length:
+    case Framing::untilClose:
+      break;
   }
-  return stage_;
+  return readPlainBody(size);
+}
+
+bool Message::readChunkedBody(std::size_t size) {
+  const auto end = chunks_.take(data_, decodedEnd_, consumed_, size);
+  if (end == Chunks::End::bad) return fail(kBadRequest);
+  const bool isTooLarge = decodedEnd_ - headEnd_ > maxBodyBytes_;
+  const bool isPadded = consumed_ - headEnd_ > kMaxEncodedBodyFactor * maxBodyBytes_;
+  if (isTooLarge || isPadded) return fail(kContentTooLarge);
+  if (end == Chunks::End::done) stage_ = Stage::done;
+  return true;
+}
+
+bool Message::readPlainBody(std::size_t size) {
+  const bool hasLength = framing_ == Framing::length;
+  const std::size_t bodyEnd = hasLength ? headEnd_ + contentLength_ : size;
+  decodedEnd_ = std::min(size, bodyEnd);
+  consumed_ = decodedEnd_;
+  if (decodedEnd_ - headEnd_ > maxBodyBytes_) return fail(kContentTooLarge);
+  if (hasLength && consumed_ == bodyEnd) stage_ = Stage::done;
+  return true;
 }
 
 }  // namespace merlinbridge::http
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -10,27 +10,34 @@
 
 namespace {
 
-const std::string kAsk =
+const std::string kPostRequest =
     "POST /book?x=1 HTTP/1.1\r\nHost: h\r\nReq-Id:  ab \r\nContent-Length: 5\r\n\r\nhello";
-const std::string kChunked =
+const std::string kChunkedAnswer =
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\nhel\r\n2\r\nlo\r\n0\r\nX: y\r\n\r\n";
-const std::string kInterim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
+const std::string kInterimAnswer =
+    "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 
-// What is read of a text that comes in pieces which end at the given places; the buffer moves each time.
-struct Read {
+// What is read of a text that arrives in parts which end at the given offsets; the buffer moves each time.
+struct ParseResult {
   Stage stage = Stage::head;
-  int blame = 0;
+  int errorStatus = 0;
   std::size_t size = 0;
-  std::string method, target, id, body;
+  std::string method;
+  std::string target;
+  std::string requestId;
+  std::string body;
 };
-Read read(Kind kind, const std::string& text, const std::vector<std::size_t>& ends) {
+ParseResult read(Kind kind, const std::string& text, const std::vector<std::size_t>& ends) {
   Message message(kind);
-  std::string bytes, moved;
+  std::string bytes;
+  std::string moved;
   for (const std::size_t end : ends) {
     bytes += text.substr(std::min(bytes.size(), text.size()), end - bytes.size());
     message.advance(bytes.data(), bytes.size());
     if (message.stage() == Stage::done || message.stage() == Stage::bad) break;
-    moved = bytes, bytes.swap(moved), moved.assign(moved.size(), '#');
+    moved = bytes;
+    bytes.swap(moved);
+    moved.assign(moved.size(), '#');
   }
   if (message.stage() != Stage::done) return {message.stage(), message.blame(), 0, {}, {}, {}, {}};
   return {Stage::done,
@@ -44,27 +51,28 @@
 
 }  // namespace
 
-TEST_CASE("a message is read the same wherever it is split") {
-  const auto [kind, text] = GENERATE(table<Kind, std::string>({{Kind::request, kAsk},
-                                                               {Kind::request, "\r\n" + kAsk},
-                                                               {Kind::answer, kChunked},
-                                                               {Kind::answer, kInterim}}));
-  const std::string more = text + "GET";  // what follows belongs to the next
-  for (std::size_t a = 0; a <= text.size(); ++a)
-    for (std::size_t b = a; b <= text.size(); ++b) {
-      const Read got = read(kind, more, {a, b, more.size()});
+TEST_CASE("a message is read the same wherever the buffer is split") {
+  const auto [kind, text] = GENERATE(table<Kind, std::string>({{Kind::request, kPostRequest},
+                                                               {Kind::request, "\r\n" + kPostRequest},
+                                                               {Kind::answer, kChunkedAnswer},
+                                                               {Kind::answer, kInterimAnswer}}));
+  const std::string withNext = text + "GET";  // bytes of the next message
+  for (std::size_t first = 0; first <= text.size(); ++first)
+    for (std::size_t second = first; second <= text.size(); ++second) {
+      const ParseResult got = read(kind, withNext, {first, second, withNext.size()});
       REQUIRE(got.stage == Stage::done);
       REQUIRE(got.size == text.size());
       REQUIRE(got.body == "hello");
-      if (kind == Kind::request) REQUIRE((got.method + got.target + got.id) == "POST/book?x=1ab");
+      if (kind == Kind::request) REQUIRE((got.method + got.target + got.requestId) == "POST/book?x=1ab");
     }
-  std::vector<std::size_t> each;
-  for (std::size_t n = 1; n <= more.size(); ++n) each.push_back(n);
-  CHECK(read(kind, more, each).body == "hello");
+  std::vector<std::size_t> everyByte;
+  for (std::size_t end = 1; end <= withNext.size(); ++end) everyByte.push_back(end);
+  CHECK(read(kind, withNext, everyByte).body == "hello");
 }
 
-TEST_CASE("bad framing is named with its status, wherever it is split") {
-  const std::string line = "GET / HTTP/1.1\r\n", chunked = line + "Transfer-Encoding: chunked\r\n\r\n";
+TEST_CASE("a malformed message is refused with its status code, wherever the buffer is split") {
+  const std::string line = "GET / HTTP/1.1\r\n";
+  const std::string chunked = line + "Transfer-Encoding: chunked\r\n\r\n";
   const auto [text, status] = GENERATE_COPY(table<std::string, int>({
       {line + "Content-Length: 5\r\nContent-Length: 6\r\n\r\n", 400},
       {line + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", 400},
@@ -98,37 +106,39 @@
   INFO(text.substr(0, 80));
   const std::size_t step = std::max<std::size_t>(1, text.size() / 200);
   for (std::size_t at = 0; at <= text.size(); at += step) {
-    const Read got = read(Kind::request, text, {at, text.size()});
+    const ParseResult got = read(Kind::request, text, {at, text.size()});
     REQUIRE(got.stage == (Stage::bad));
-    REQUIRE(got.blame == status);
+    REQUIRE(got.errorStatus == status);
   }
 }
 
-TEST_CASE("too many fields, and a long wrapping round a short body, are refused") {
-  std::string many = "GET / HTTP/1.1\r\n", wrapped = "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
-  for (int n = 0; n < 200; ++n) many += "a: b\r\n";
-  CHECK(read(Kind::request, many + "\r\n", {many.size() + 2}).blame == 431);
-  for (int n = 0; n < 20; ++n) wrapped += "1;" + std::string(10'000, 'e') + "\r\nx\r\n";
-  CHECK(read(Kind::request, wrapped, {wrapped.size()}).blame == 413);
+TEST_CASE("too many header fields and too much chunk framing round a short body are refused") {
+  std::string manyFields = "GET / HTTP/1.1\r\n";
+  std::string muchFraming = "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
+  for (int count = 0; count < 200; ++count) manyFields += "a: b\r\n";
+  CHECK(read(Kind::request, manyFields + "\r\n", {manyFields.size() + 2}).errorStatus == 431);
+  for (int count = 0; count < 20; ++count) muchFraming += "1;" + std::string(10'000, 'e') + "\r\nx\r\n";
+  CHECK(read(Kind::request, muchFraming, {muchFraming.size()}).errorStatus == 413);
 }
 
-TEST_CASE("no random bytes are more than bad") {
+TEST_CASE("a message with random bytes is read the same in one part and in two") {
   const auto seed = GENERATE(range(0u, 60u));
   std::ranlux24_base random(seed);
-  const std::string base = seed % 2 ? kAsk : kChunked;
+  const std::string base = seed % 2 ? kPostRequest : kChunkedAnswer;
   for (int round = 0; round < 200; ++round) {
     std::string text = base;
-    for (int n = 0; n < 3; ++n) text[random() % text.size()] = static_cast<char>(random());
+    for (int count = 0; count < 3; ++count) text[random() % text.size()] = static_cast<char>(random());
     const Kind kind = seed % 2 ? Kind::request : Kind::answer;
     const std::size_t at = random() % text.size();
-    const Read whole = read(kind, text, {text.size()}), split = read(kind, text, {at, text.size()});
+    const ParseResult whole = read(kind, text, {text.size()});
+    const ParseResult split = read(kind, text, {at, text.size()});
     REQUIRE(whole.stage == split.stage);
-    REQUIRE(whole.blame == split.blame);
+    REQUIRE(whole.errorStatus == split.errorStatus);
     REQUIRE(whole.body == split.body);
   }
 }
 
-TEST_CASE("an answer of no stated length ends with its connection") {
+TEST_CASE("a response without a stated length ends with its connection") {
   std::string text = "HTTP/1.1 200 OK\r\n\r\nhel";
   Message message(Kind::answer);
   CHECK(message.advance(text.data(), text.size()) == Stage::body);
@@ -141,8 +151,8 @@
   CHECK(other.ended() == Stage::body);
 }
 
-TEST_CASE("a connection is kept or closed as the message says") {
-  const auto [text, keeps] = GENERATE(table<std::string, bool>({
+TEST_CASE("a message keeps its connection alive or not by its version and Connection field") {
+  const auto [text, keepsAlive] = GENERATE(table<std::string, bool>({
       {"GET / HTTP/1.1\r\n\r\n", true},
       {"GET / HTTP/1.1\r\nConnection: x, Close\r\n\r\n", false},
       {"GET / HTTP/1.0\r\n\r\n", false},
@@ -151,21 +161,24 @@
   std::string bytes = text;
   Message message(Kind::request);
   CHECK(message.advance(bytes.data(), bytes.size()) == Stage::done);
-  CHECK(message.keepsAlive() == keeps);
+  CHECK(message.keepsAlive() == keepsAlive);
 }
 
-TEST_CASE("a buffer keeps its bytes while it grows, moves and is cut") {
+TEST_CASE("Buffer keeps its bytes while it grows, moves and is cut") {
   net::Buffer buffer;
   std::string model;
   std::ranlux24_base random(7);
   for (int step = 0; step < 5000; ++step) {
-    const std::string some(random() % 700, static_cast<char>('a' + step % 26));
-    buffer.add(some), model += some;
-    const std::size_t gone = random() % (model.size() + 1);
+    const std::string added(random() % 700, static_cast<char>('a' + step % 26));
+    buffer.add(added);
+    model += added;
+    const std::size_t removed = random() % (model.size() + 1);
     if (step % 3 == 0) {
-      buffer.cut(gone / 2, gone), model.erase(gone / 2, gone - gone / 2);
+      buffer.cut(removed / 2, removed);
+      model.erase(removed / 2, removed - removed / 2);
     } else {
-      buffer.drop(gone), model.erase(0, gone);
+      buffer.drop(removed);
+      model.erase(0, removed);
     }
     REQUIRE(buffer.view() == model);
   }
