--- a/src/net/client/client_connection.hpp
+++ b/src/net/client/client_connection.hpp
@@ -28,9 +28,9 @@
   virtual TimePoint lastAnswerBy() const = 0;
   /// Bytes in the buffers of all clients' connections.
   virtual std::size_t bufferedBytes() = 0;
-  /// The connection has no request any more and may be evicted. Must not close a connection at once.
+  /// The connection has no request in hand and may be evicted. Must not close a connection before returning.
   virtual void connectionIdle() = 0;
-  /// The connection is about to close.
+  /// The connection is about to close, and no longer counts.
   virtual void connectionClosed(SlotRef) = 0;
 };
 
--- a/src/net/client/client_response.hpp
+++ b/src/net/client/client_response.hpp
@@ -27,7 +27,7 @@
 
 /// The header line of a TextResponse.
 inline constexpr std::string_view kTextPlainField = "Content-Type: text/plain\r\n";
-/// Answers a request that expects to be told before it sends its body.
+/// The interim response that a client with `Expect: 100-continue` waits for before it sends the body.
 inline constexpr std::string_view kContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
 
 /// What happens to a client's connection after a response.
--- a/src/net/counter/counter_connection.hpp
+++ b/src/net/counter/counter_connection.hpp
@@ -5,6 +5,7 @@
 #include <deque>
 #include <string_view>
 
+#include "gateway_core/deadline_queue.hpp"
 #include "http/message.hpp"
 #include "net/connection.hpp"
 #include "net/counter/counter_outcome.hpp"
@@ -54,7 +55,7 @@
  private:
   enum class State {
     inUse,    ///< Takes calls, be it connected yet or not.
-    retired,  ///< Takes no calls; waits for the answers to those that it has.
+    retired,  ///< Takes no further calls; waits for the answers to those in flight.
     closed    ///< Closed; the object lives to the end of the turn.
   };
   struct Call {
--- a/src/net/discovery/discovery_response_owner.hpp
+++ b/src/net/discovery/discovery_response_owner.hpp
@@ -8,7 +8,7 @@
 
 namespace merlinbridge::net {
 
-/// No endpoint list is longer: it has room for some thousands of hosts, indented.
+/// Upper bound on an endpoint list, in bytes: enough for some thousands of hosts, indented.
 inline constexpr std::size_t kMaxEndpointListBytes = 2 * 1024 * 1024;
 
 /// What a connection to discovery reports to. All functions run on the event loop's strand. The
--- a/src/net/discovery/discovery_schedule.hpp
+++ b/src/net/discovery/discovery_schedule.hpp
@@ -1,5 +1,6 @@
 #pragma once
 
+#include <chrono>
 #include <cstdint>
 #include <random>
 
