--- /dev/null
+++ b/tests/net/readiness_watchdog_test.cpp
@@ -0,0 +1,46 @@
+#include "net/readiness_watchdog.hpp"
+
+#include <poll.h>
+
+#include <catch2/catch.hpp>
+
+using namespace merlinbridge;
+
+TEST_CASE("a wait that is still open after its descriptor was marked ready is missed, once") {
+  net::ReadinessWatchdog watchdog;
+  watchdog.waitBegins(POLLIN);
+  CHECK_FALSE(watchdog.takeMissedWait());
+  watchdog.markReady();
+  CHECK(watchdog.takeMissedWait());
+  CHECK_FALSE(watchdog.takeMissedWait());
+}
+
+TEST_CASE("any completion after the mark shows that the connection's events arrive") {
+  net::ReadinessWatchdog watchdog;
+  watchdog.waitBegins(POLLIN);
+  watchdog.waitBegins(POLLOUT);
+  watchdog.markReady();
+  const short ended = GENERATE(0, POLLOUT);
+  watchdog.completionRan(ended);
+  CHECK_FALSE(watchdog.takeMissedWait());
+}
+
+TEST_CASE("no wait, no missed readiness") {
+  net::ReadinessWatchdog watchdog;
+  watchdog.waitBegins(POLLIN);
+  watchdog.completionRan(POLLIN);
+  watchdog.markReady();
+  CHECK_FALSE(watchdog.takeMissedWait());
+}
+
+TEST_CASE("reading and writing are awaited and ended independently") {
+  net::ReadinessWatchdog watchdog;
+  CHECK(watchdog.awaitedEvents() == 0);
+  watchdog.waitBegins(POLLIN);
+  watchdog.waitBegins(POLLOUT);
+  CHECK(watchdog.awaitedEvents() == (POLLIN | POLLOUT));
+  watchdog.completionRan(POLLIN);
+  CHECK(watchdog.awaitedEvents() == POLLOUT);
+  watchdog.completionRan(POLLOUT);
+  CHECK(watchdog.awaitedEvents() == 0);
+}
