--- a/src/emulator/discovery_service.cpp
+++ b/src/emulator/discovery_service.cpp
@@ -58,7 +58,7 @@
   if (subscription.state != State::upToDate || subscription.generation == generation_) return;
   subscription.state = State::notifying;
   const double factor = (0.5 + random_.uniform01()) * faults_.factor(FaultKind::discoveryLate);
-  run_.events().after(scaled(run_.scenario().told, factor),
+  run_.events().after(scaled(run_.scenario().notificationDelay, factor),
                       [this, gateway, session = subscription.session] { sendUpdate(gateway, session); });
 }
 
--- /dev/null
+++ b/src/emulator/scenario_reader.cpp
@@ -0,0 +1,167 @@
+#include <toml++/toml.h>
+
+#include "config/toml_table.hpp"
+#include "emulator/scenario.hpp"
+#include "emulator/scenario_keys.hpp"
+#include "emulator/scenario_words.hpp"
+
+namespace merlinbridge::emulator {
+namespace {
+
+using config::TomlTable;
+using std::chrono::microseconds;
+using std::chrono::milliseconds;
+
+void readFleet(TomlTable fleet, Scenario& scenario) {
+  scenario.gateways = fleet.whole<std::uint32_t>("gateways", {}, 1, 4096);
+  scenario.zones = fleet.whole<std::uint32_t>("zones", 1, 1, 1024);
+  scenario.restart = fleet.duration("restart", milliseconds(300));
+  scenario.notice = fleet.duration("notice", milliseconds(1000));
+  fleet.done();
+}
+
+void readHosts(TomlTable hosts, Scenario& scenario) {
+  scenario.hosts = hosts.whole<std::uint32_t>("count", {}, 0, 16'384);
+  scenario.cores = hosts.whole<int>("cores", 4, 1, 4096);
+  scenario.room = hosts.whole<int>("queue_capacity", 64, 0, 1'000'000);
+  scenario.connections = hosts.whole<int>("connections", 1000, 1, 1'000'000);
+  scenario.idle = hosts.duration("idle", milliseconds(10'000));
+  scenario.cold = hosts.duration("slow_start_time", milliseconds(8000));
+  scenario.startCapacity = hosts.number("start_capacity", 0.25, 0.001, 1);
+  scenario.tip = hosts.duration("overload_window", milliseconds(1000));
+  scenario.overloadMultiple = hosts.number("overload_multiple", 2, 0.1, 1000);
+  scenario.stopsCancelled = hosts.flag("stops_cancelled", true);
+  scenario.reports = hosts.flag("reports", true);
+  hosts.done();
+}
+
+void readNetwork(TomlTable network, Scenario& scenario) {
+  scenario.delay = network.duration("delay", microseconds(400));
+  scenario.jitter = network.duration("jitter", microseconds(200));
+  scenario.loss = network.number("loss", 0, 0, 1);
+  scenario.connectTimeout = network.duration("connect_timeout", milliseconds(250));
+  network.done();
+}
+
+void readClients(TomlTable clients, Scenario& scenario) {
+  scenario.rate = clients.number("rate", {}, 0, 10'000'000);
+  scenario.customers = clients.whole<std::uint32_t>("customers", 100, 1, 10'000'000);
+  scenario.skew = clients.number("skew", 0.8, 0, 4);
+  scenario.units = clients.number("units", 1, 0, 1000);
+  scenario.spread = clients.whole<std::uint32_t>("spread", 3, 1, 4096);
+  scenario.tries = clients.whole<int>("max_attempts", 3, 1, 100);
+  scenario.wait = clients.duration("wait", milliseconds(100));
+  scenario.heedsAdvice = clients.number("honors_retry_after", 0.8, 0, 1);
+  scenario.leaves = clients.number("abandon_probability", 0, 0, 1);
+  clients.done();
+}
+
+ScenarioMethod readMethod(TomlTable& table) {
+  ScenarioMethod method{};
+  method.name = table.text("name");
+  method.repeat = table.oneOf<Repeat>("repeat", Repeat::idempotent, kRepeats);
+  method.group = table.oneOf<Group>("group", Group::all, kGroups);
+  method.window = table.duration("window", milliseconds(4000));
+  method.soft = table.duration("soft", milliseconds(500));
+  method.deadline = table.duration("deadline", milliseconds(2000));
+  method.work = table.duration("work", milliseconds(8));
+  method.share = table.number("share", 1, 0, 1e6);
+  method.utility = table.number("utility", 1, 0, 1e6);
+  if (method.deadline < method.soft) table.blame("deadline", "a time no shorter than the soft deadline");
+  table.done();
+  return method;
+}
+
+ScenarioPlan readPlan(TomlTable& table) {
+  ScenarioPlan plan{};
+  plan.name = table.text("name");
+  plan.plan.rate = table.number("rate", 0, 0, 1e9);
+  plan.plan.burst = table.number("burst", plan.plan.rate, 0, 1e9);
+  plan.plan.open = table.whole<int>("open", 0, 0, 1'000'000);
+  plan.plan.ceilingRate = table.number("ceiling_rate", 0, 0, 1e9);
+  plan.plan.ceilingBurst = table.number("ceiling_burst", plan.plan.ceilingRate, 0, 1e9);
+  plan.plan.ceilingSlack = table.number("ceiling_slack", 0, 0, 1e9);
+  plan.plan.price = table.number("price", 1, 0, 1e6);
+  plan.share = table.number("share", 1, 0, 1e6);
+  table.done();
+  return plan;
+}
+
+// All kinds of fault have the same keys; those that a kind does not use have no effect.
+Fault readFault(TomlTable& table, const Scenario& scenario) {
+  Fault fault{};
+  fault.kind = table.oneOf<FaultKind>("kind", {}, kFaultKinds);
+  fault.from = table.range("from", {});
+  fault.lasts = table.range("lasts", Range{});
+  fault.share = table.number("share", 1, 0, 1);
+  fault.factor = table.number("factor", 1, 0, 1000);
+  fault.steps = table.whole<int>("steps", 1, 1, 10'000);
+  if (fault.from.least > seconds(scenario.length))
+    table.blame("from", "a time within the length of the scenario");
+  table.done();
+  return fault;
+}
+
+void readCounter(TomlTable counter, Scenario& scenario) {
+  scenario.counter = counter.flag("present", true);
+  scenario.counterParts = counter.whole<int>("parts", 1, 1, 1024);
+  scenario.counterRoom = counter.whole<int>("queue_capacity", 500, 1, 1'000'000);
+  scenario.counterService = counter.duration("service", microseconds(200));
+  scenario.counterTimeout = counter.duration("timeout", milliseconds(100));
+  counter.done();
+}
+
+void readDiscovery(TomlTable discovery, Scenario& scenario) {
+  scenario.notificationDelay = discovery.duration("notification_delay", milliseconds(100));
+  scenario.indented = discovery.flag("indented", false);
+  discovery.done();
+}
+
+void readRules(TomlTable rules, Scenario& scenario) {
+  scenario.drainGrace = rules.duration("drain_grace", milliseconds(500));
+  scenario.answerSlack = rules.duration("answer_slack", milliseconds(50));
+  scenario.maxRetryAfter = rules.duration("max_retry_after", milliseconds(2000));
+  scenario.allowCancel = rules.flag("allow_cancel", true);
+  scenario.allowHedging = rules.flag("allow_hedging", false);
+  scenario.maxAttempts = rules.whole<std::uint32_t>("max_attempts", 3, 1, 100);
+  rules.done();
+}
+
+std::uint64_t hashOf(std::string_view text) {
+  std::uint64_t hash = 1469598103934665603u;  // FNV-1a
+  for (const char letter : text) hash = (hash ^ static_cast<unsigned char>(letter)) * 1099511628211u;
+  return hash;
+}
+
+}  // namespace
+
+Scenario readScenario(const std::string& text, const std::string& file,
+                      const std::vector<std::string>& changes) {
+  Scenario scenario;
+  toml::table root = config::parse(text, file);
+  renameKeys(root, file, scenario.warnings);
+  for (const std::string& change : changes) applyChange(root, change, scenario.warnings);
+
+  TomlTable table(root, "", file);
+  scenario.name = table.text("name");
+  scenario.length = table.duration("length", {});
+  readFleet(table.part("fleet"), scenario);
+  readHosts(table.part("hosts"), scenario);
+  readNetwork(table.part("network"), scenario);
+  readClients(table.part("clients"), scenario);
+  for (TomlTable& method : table.parts("method")) scenario.methods.push_back(readMethod(method));
+  if (scenario.methods.empty()) throw BadScenario(file + ":1:1: expected at least one [[method]]");
+  for (TomlTable& plan : table.parts("plan")) scenario.plans.push_back(readPlan(plan));
+  if (scenario.plans.empty()) scenario.plans.push_back({"free", {0, 0, 0, 0, 0, 0, 1}, 1});
+  readCounter(table.part("counter"), scenario);
+  readDiscovery(table.part("discovery"), scenario);
+  readRules(table.part("rules"), scenario);
+  for (TomlTable& fault : table.parts("fault")) scenario.faults.push_back(readFault(fault, scenario));
+  table.done();
+  // The hash is of what is played: the order of the keys, their old names, and a change that changes nothing
+  // keep it.
+  scenario.hash = hashOf(writeScenario(scenario));
+  return scenario;
+}
+
+}  // namespace merlinbridge::emulator
--- /dev/null
+++ b/src/emulator/scenario_words.hpp
@@ -0,0 +1,51 @@
+#pragma once
+
+#include <array>
+#include <string_view>
+#include <utility>
+
+#include "emulator/scenario.hpp"
+
+/// The names that scenarios use for the values of enums, for reading and writing.
+namespace merlinbridge::emulator {
+
+inline constexpr std::array kFaultKinds = std::to_array<std::pair<std::string_view, FaultKind>>({
+    {"gateway_kill", FaultKind::gatewayKill},
+    {"gateway_restart", FaultKind::gatewayRestart},
+    {"host_kill", FaultKind::hostKill},
+    {"host_hang", FaultKind::hostHang},
+    {"host_slow", FaultKind::hostSlow},
+    {"host_err", FaultKind::hostErr},
+    {"host_vanish", FaultKind::hostVanish},
+    {"host_replace", FaultKind::hostReplace},
+    {"zone_cut", FaultKind::zoneCut},
+    {"zone_loss", FaultKind::zoneLoss},
+    {"discovery_down", FaultKind::discoveryDown},
+    {"discovery_late", FaultKind::discoveryLate},
+    {"discovery_refuse", FaultKind::discoveryRefuse},
+    {"discovery_mangle", FaultKind::discoveryMangle},
+    {"counter_down", FaultKind::counterDown},
+    {"counter_slow", FaultKind::counterSlow},
+    {"counter_empty", FaultKind::counterEmpty},
+    {"counter_split", FaultKind::counterSplit},
+    {"counter_lose", FaultKind::counterLose},
+    {"net_loss", FaultKind::netLoss},
+    {"net_slow", FaultKind::netSlow},
+    {"load_burst", FaultKind::loadBurst},
+});
+inline constexpr std::array kRepeats =
+    std::to_array<std::pair<std::string_view, Repeat>>({{"idempotent", Repeat::idempotent},
+                                                        {"deduplicated", Repeat::deduplicated},
+                                                        {"non-idempotent", Repeat::nonIdempotent}});
+inline constexpr std::array kGroups = std::to_array<std::pair<std::string_view, Group>>(
+    {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}});
+
+/// The name of a value in one of these tables; empty if it has none.
+template <class Value, class Words>
+std::string_view wordIn(const Words& words, Value value) {
+  for (const auto& [word, each] : words)
+    if (each == value) return word;
+  return {};
+}
+
+}  // namespace merlinbridge::emulator
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -3,6 +3,7 @@
 #include "emulator/event_queue.hpp"
 #include "emulator/metrics.hpp"
 #include "emulator/random_stream.hpp"
+#include "emulator/scenario_keys.hpp"
 
 using namespace merlinbridge;
 using namespace merlinbridge::emulator;
@@ -213,6 +214,51 @@
         "");
 }
 
+TEST_CASE("a key under its old name is still read, with one warning that names both") {
+  const std::string text = writeScenario(readScenario(kPlain, "s.toml"));
+  CHECK(readScenario(text, "s.toml").warnings.empty());
+  REQUIRE(renamedKeys().size() == 16);
+  for (const RenamedKey& key : renamedKeys()) {
+    const std::string table(key.table);
+    const std::string oldName(key.oldName);
+    const std::string newName(key.newName);
+    INFO(table << "." << oldName);
+    const std::string warning = "key " + table + "." + oldName + " is now called " + table + "." + newName;
+    const std::size_t head = text.find("[" + table + "]\n");
+    REQUIRE(head != std::string::npos);
+    const std::size_t line = text.find("\n" + newName + " = ", head) + 1;
+    REQUIRE(line != std::string::npos + 1);
+
+    std::string old = text;
+    old.replace(line, newName.size(), oldName);
+    const Scenario read = readScenario(old, "s.toml");
+    CHECK(read.warnings == std::vector<std::string>{warning});
+    CHECK(writeScenario(read) == text);
+
+    // The value under the old name is used, be it in the text or in a change of it.
+    const std::size_t begin = line + newName.size() + 3;
+    const std::string value = text.substr(begin, text.find('\n', begin) - begin);
+    const std::string other = value == "true"    ? "false"
+                              : value == "false" ? "true"
+                              : value[0] == '"'  ? "\"7s\""
+                                                 : "1";
+    std::string changed = text;
+    changed.replace(begin, value.size(), other);
+    std::string oldChanged = old;
+    oldChanged.replace(line + oldName.size() + 3, value.size(), other);
+    CHECK(writeScenario(readScenario(oldChanged, "s.toml")) ==
+          writeScenario(readScenario(changed, "s.toml")));
+    const Scenario set = readScenario(text, "s.toml", {table + "." + oldName + "=" + other});
+    CHECK(writeScenario(set) == writeScenario(readScenario(changed, "s.toml")));
+    CHECK(set.warnings == std::vector<std::string>{warning});
+
+    std::string both = text;
+    both.insert(line, oldName + " = " + value + "\n");
+    CHECK(complaint(both).ends_with("'" + table + "." + oldName + "' stands beside '" + table + "." +
+                                    newName + "', which is its new name"));
+  }
+}
+
 TEST_CASE("one seed gives one run, another seed another, and every policy meets the same clients") {
   const Scenario s = readScenario(kPlain + fault("gateway_restart", "1s", "2s", "steps = 3") +
                                       fault("host_replace", "2s", "1s", "share = 0.5"),
@@ -332,7 +378,7 @@
   CHECK(played({"clients.rate=0"}).asked == 0);
   CHECK(played({}, fault("host_kill", "2s", "0s", "share = 1")).broken() == 0);  // over as it begins
   CHECK(played({}, fault("gateway_kill", "2s", "0s", "share = 1")).broken() == 0);
-  CHECK(played({"clients.leaves=0.5"}).abandoned > 0);
+  CHECK(played({"clients.abandon_probability=0.5"}).abandoned > 0);
 }
 
 TEST_CASE("what is remembered is bounded by what is in flight") {
