--- a/src/config/json_stream_splitter.hpp
+++ b/src/config/json_stream_splitter.hpp
@@ -6,39 +6,68 @@
 
 namespace merlinbridge::config {
 
-/// Finds where JSON objects end that come one after another, bit by bit, be each on a line of its own or
-/// indented over many. It looks at what holds the text together and leaves the rest to the reader of the
-/// whole: guards against a list cut short, whose open brackets would swallow all the lists after it.
+/// Finds where JSON objects end that come one after another in a stream, each on a line of its own or
+/// indented over many. Checks the structure (brackets, commas, colons, strings) and leaves the values to the
+/// parser of the complete object: an object that is cut short is bad as soon as the next one begins, instead
+/// of swallowing all that follow. Keeps no text; the reader owns the buffer.
 class JsonStreamSplitter {
  public:
-  enum class End { more, object, bad };
+  enum class End {
+    more,    ///< All of the text was looked at, and no object has ended.
+    object,  ///< One object ends right before at(); what follows it is looked at by the next call.
+    bad      ///< The byte at at() cannot stand there. The splitter is not to be used any further.
+  };
 
-  /// Reads on from where it stopped. `object`: one object ends right before `at()`, and what follows it is
-  /// not looked at until the next call.
+  /// Goes on at at(). `text` is all that the reader holds, from the first byte that was not dropped().
   End take(std::string_view text);
-  std::size_t at() const { return at_; }      // bytes of the text that have been looked at
-  std::size_t from() const { return from_; }  // where the piece begins
+  /// Bytes of the text that have been looked at.
+  std::size_t at() const { return position_; }
+  /// Where the object begins that has begun or ended last.
+  std::size_t from() const { return objectStart_; }
+  /// Whether an object has begun and not ended.
   bool begun() const { return depth_ > 0; }
-  /// The reader has taken so many bytes from the front.
-  void dropped(std::size_t n) {
-    at_ -= n;
-    from_ -= from_ < n ? from_ : n;
+  /// The reader has removed so many bytes from the front of its text; at most at().
+  void dropped(std::size_t bytes) {
+    position_ -= bytes;
+    objectStart_ -= objectStart_ < bytes ? objectStart_ : bytes;
   }
 
  private:
-  enum class Want { value, firstValue, key, firstKey, colon, comma };
-  static constexpr int kDeepest = 64;
+  /// What may stand next, spaces aside.
+  enum class Expected { value, firstValue, key, firstKey, colon, comma };
+  /// What the byte before was part of.
+  enum class Token {
+    none,
+    word,   ///< A number, true, false or null; which, the parser finds out.
+    text,   ///< A string.
+    escape  ///< A string, right after a backslash.
+  };
+  enum class Container { array, object };
 
-  bool look(char c);
-  bool open(bool object);
-  bool close(bool object);
-  bool inObject() const { return depth_ > 0 && (objects_ >> (depth_ - 1) & 1); }
+  /// Objects and arrays within one another; more are bad. One bit of objects_ for each.
+  static constexpr int kMaxDepth = 64;
 
-  std::size_t at_ = 0, from_ = 0;
+  /// These look at one byte of an object. False: it cannot stand there.
+  bool accept(char character);
+  bool acceptInText(char character);
+  bool acceptWord();
+  bool acceptStructure(char character);
+  bool acceptQuote();
+  bool open(Container container);
+  bool close(Container container);
+
+  bool expectsValue() const { return expected_ == Expected::value || expected_ == Expected::firstValue; }
+  Container innermost() const {
+    const bool object = depth_ > 0 && ((objects_ >> (depth_ - 1)) & 1) != 0;
+    return object ? Container::object : Container::array;
+  }
+
+  std::size_t position_ = 0;
+  std::size_t objectStart_ = 0;
   int depth_ = 0;
-  std::uint64_t objects_ = 0;  ///< one bit a depth: an object, or an array
-  Want want_ = Want::value;
-  bool inText_ = false, escaped_ = false, inWord_ = false;
+  std::uint64_t objects_ = 0;  ///< A bit for each depth: 1 is an object, 0 an array.
+  Expected expected_ = Expected::value;
+  Token token_ = Token::none;
 };
 
 }  // namespace merlinbridge::config
--- a/tests/json_stream_splitter_test.cpp
+++ b/tests/json_stream_splitter_test.cpp
@@ -13,54 +13,55 @@
     "{\r\n  \"generation\" : 44,\n\n  \"note\": \"a } \\\" { ] \\\\\",\n  \"instances\": [\n"
     "    { \"cell\": -1.5e+3, \"on\": true, \"off\": null, \"in\": [[], {}, [1, 2]] },\n    {}\n  ]\n}";
 
-// All pieces of a text that comes in parts, and what came of it.
+/// The objects of a text that comes in parts, and the state of the splitter after it.
 struct Read {
-  std::vector<std::string> splitter;
-  bool bad = false, begun = false;
+  std::vector<std::string> objects;
+  bool bad = false;
+  bool begun = false;
 
   explicit Read(const std::vector<std::string>& parts) {
-    JsonStreamSplitter p;
+    JsonStreamSplitter splitter;
     std::string held;
     for (const std::string& part : parts) {
       held += part;
       for (auto end = JsonStreamSplitter::End::object; end == JsonStreamSplitter::End::object && !bad;) {
-        end = p.take(held);
+        end = splitter.take(held);
         bad = end == JsonStreamSplitter::End::bad;
         if (end == JsonStreamSplitter::End::object)
-          splitter.push_back(held.substr(p.from(), p.at() - p.from()));
-        const std::size_t done = p.begun() ? p.from() : p.at();
+          objects.push_back(held.substr(splitter.from(), splitter.at() - splitter.from()));
+        const std::size_t done = splitter.begun() ? splitter.from() : splitter.at();
         held.erase(0, done);
-        p.dropped(done);
+        splitter.dropped(done);
       }
     }
-    begun = p.begun();
+    begun = splitter.begun();
   }
 };
 
 }  // namespace
 
-TEST_CASE("lists are found wherever the text is cut, on lines of their own or indented") {
+TEST_CASE("objects are found wherever the stream is cut, on lines of their own or indented") {
   const std::string text = std::string("\n\r\n") + kPlain + "\n\n" + kIndented + kPlain + "\n";
   const std::vector<std::string> wanted{kPlain, kIndented, kPlain};
   for (std::size_t cut = 0; cut <= text.size(); ++cut)
-    CHECK(Read({text.substr(0, cut), text.substr(cut)}).splitter == wanted);
+    CHECK(Read({text.substr(0, cut), text.substr(cut)}).objects == wanted);
   std::vector<std::string> bytes;
   for (const char c : text) bytes.emplace_back(1, c);
-  CHECK(Read(bytes).splitter == wanted);
+  CHECK(Read(bytes).objects == wanted);
 }
 
-TEST_CASE("a list that is cut short is bad as soon as the next begins, wherever it was cut") {
+TEST_CASE("an object that is cut short is bad as soon as the next one begins, wherever it was cut") {
   const std::string whole = kPlain;
   for (std::size_t cut = 1; cut < whole.size(); ++cut) {
     const Read read({whole.substr(0, cut) + "\n", whole + "\n", whole + "\n"});
     // In an array, the next list could be one more entry; what follows it could not.
     INFO(whole.substr(0, cut));
     CHECK(read.bad);
-    CHECK(read.splitter.empty());
+    CHECK(read.objects.empty());
   }
 }
 
-TEST_CASE("what holds no list together is bad at once") {
+TEST_CASE("a byte that cannot stand in an object is bad at once") {
   const std::string text =
       GENERATE(as<std::string>(), "x", "[", "1", "\"", "}", "{]", "{,", "{1", "{:", "{\"a\",", "{\"a\"}",
                "{\"a\"\"", "{\"a\":}", "{\"a\":,", "{\"a\":1 2", "{\"a\":1\"", "{\"a\":1:", "{\"a\":1,}",
@@ -70,7 +71,7 @@
   CHECK(deep.bad);
 }
 
-TEST_CASE("beats between lists are no part of one, and a list that has begun is known as such") {
+TEST_CASE("heartbeats between objects belong to none, and an object that has begun is reported as such") {
   CHECK_FALSE(Read({"\n", " \r\n"}).begun);
   CHECK(Read({"\n{\"a\""}).begun);
   CHECK_FALSE(Read({"\n{\"a\"", ":1}"}).begun);
