--- a/src/config/endpoint_list.cpp
+++ b/src/config/endpoint_list.cpp
@@ -1,28 +1,43 @@
 #include "config/endpoint_list.hpp"
 
 namespace merlinbridge::config {
+namespace {
 
-EndpointList readEndpointList(const Fields& f) {
-  EndpointList endpoints{f.need<std::uint64_t>("generation"), f.get("reset", false), {}};
-  simdjson::dom::array entries;
-  if (!f.has("instances")) return endpoints;
-  if (f.need<element>("instances").get(entries)) f.blame("instances", "is not an array");
-  for (const element entry : entries) {
-    const Fields line("instances", entry);
-    // Guards against a start that no clock can hold: it is no date, and so long ago.
-    auto started = line.get("startedAtMs", std::int64_t{0});
-    if (started < 0 ||
-        started > std::chrono::duration_cast<std::chrono::milliseconds>(Duration::max()).count())
-      started = 0;
-    const auto state = line.need<std::string_view>("lifecycle");
-    endpoints.entries.push_back({std::string(line.need<std::string_view>("instanceId")),
-                                 std::string(line.get<std::string_view>("hostPort", "")),
-                                 std::string(line.get<std::string_view>("zone", "")),
-                                 std::string(line.get<std::string_view>("machineType", "")),
-                                 line.get("cell", std::int64_t{-1}), state == "in_service",
-                                 state == "terminated", line.get("weight", 1.0),
-                                 std::chrono::milliseconds(started)});
-  }
+// Values of `lifecycle`; all others mean a host that starts or drains.
+constexpr std::string_view kInService = "in_service";
+constexpr std::string_view kTerminated = "terminated";
+
+// A start that no clock can hold is no date: it counts as long ago.
+Duration readStart(const Fields& endpoint) {
+  constexpr auto kLatest = std::chrono::duration_cast<std::chrono::milliseconds>(Duration::max()).count();
+  const auto started = endpoint.get("startedAtMs", std::int64_t{0});
+  if (started < 0 || started > kLatest) return Duration{0};
+  return std::chrono::milliseconds(started);
+}
+
+Endpoint readEndpoint(const Fields& fields) {
+  const Duration started = readStart(fields);
+  const auto state = fields.need<std::string_view>("lifecycle");
+  Endpoint endpoint;
+  endpoint.name = fields.need<std::string_view>("instanceId");
+  endpoint.address = fields.get<std::string_view>("hostPort", "");
+  endpoint.zone = fields.get<std::string_view>("zone", "");
+  endpoint.machine = fields.get<std::string_view>("machineType", "");
+  endpoint.cell = fields.get("cell", std::int64_t{-1});
+  endpoint.serving = state == kInService;
+  endpoint.gone = state == kTerminated;
+  endpoint.weight = fields.get("weight", 1.0);
+  endpoint.started = started;
+  return endpoint;
+}
+
+}  // namespace
+
+EndpointList readEndpointList(const Fields& message) {
+  EndpointList endpoints{message.need<std::uint64_t>("generation"), message.get("reset", false), {}};
+  if (!message.has("instances")) return endpoints;
+  for (const element entry : message.array("instances"))
+    endpoints.entries.push_back(readEndpoint(Fields("instances", entry)));
   return endpoints;
 }
 
--- a/src/config/json_fields.hpp
+++ b/src/config/json_fields.hpp
@@ -2,79 +2,114 @@
 
 #include <simdjson.h>
 
+#include <cstdint>
 #include <optional>
-#include <stdexcept>
 #include <string>
 #include <string_view>
+#include <type_traits>
 
+#include "config/config_error.hpp"
 #include "policy_api/time.hpp"
 
 namespace merlinbridge::config {
 
 using simdjson::dom::element;
 
-/// What came in cannot be understood; the text names the message and the field.
-struct ConfigError : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
-
-/// Reads the fields of one message, and can say which message and field was at fault.
+/// Reads the fields of one JSON object and names message and field in every error. Refers to the message's
+/// name and to the parsed document, which must outlive it. All functions that read throw ConfigError.
 class Fields {
  public:
+  /// `body` may be none: then every field is missing.
   Fields(std::string_view message, std::optional<element> body) : message_(message), body_(body) {}
 
-  [[noreturn]] void blame(std::string_view field, std::string_view what) const {
-    throw ConfigError(std::string(message_) + ": field '" + std::string(field) + "' " + std::string(what));
+  /// Throws the fault of this field, with the value that stands there.
+  [[noreturn]] void fail(std::string_view field, ConfigFault fault) const {
+    throw ConfigError({fault, pathOf(field), foundIn(field), {}});
+  }
+  /// The same in words: the text says `message: field 'x' WHAT`.
+  [[noreturn]] void fail(std::string_view field, std::string_view what) const {
+    throw ConfigError({ConfigFault::other, pathOf(field), foundIn(field), std::string(what)});
   }
+  /// Former name of fail(), still called from other folders.
+  [[noreturn]] void blame(std::string_view field, std::string_view what) const { fail(field, what); }
+
+  /// Whether the field is there and not null.
   bool has(std::string_view field) const {
     const auto found = find(field);
     return found && !found->is_null();
   }
-
-  template <class T>
-  T need(std::string_view field) const {
+  /// The field's value; it must be there and of that type.
+  template <class Value>
+  Value need(std::string_view field) const {
     const auto found = find(field);
-    if (!found) blame(field, "is missing");
-    return read<T>(field, *found);
+    if (!found) fail(field, ConfigFault::missingField);
+    return read<Value>(field, *found);
+  }
+  /// The field's value, or `defaultValue` where it is missing or null.
+  template <class Value>
+  Value get(std::string_view field, Value defaultValue) const {
+    return has(field) ? need<Value>(field) : defaultValue;
   }
-  template <class T>
-  T get(std::string_view field, T otherwise) const {
-    return has(field) ? need<T>(field) : otherwise;
+  /// The elements of the array that the field must be.
+  simdjson::dom::array array(std::string_view field) const {
+    simdjson::dom::array entries;
+    if (need<element>(field).get(entries)) fail(field, ConfigFault::notAnArray);
+    return entries;
   }
+  /// The object in the field, which must be there. Errors in it name the field as their message.
   Fields part(std::string_view field) const { return {field, need<element>(field)}; }
+  /// The object in the field; all its fields are missing where the field is.
   Fields partOrNone(std::string_view field) const { return {field, find(field)}; }
+  /// A time in microseconds.
   Duration duration(std::string_view field) const { return asDuration(field, need<double>(field)); }
-  Duration duration(std::string_view field, Duration otherwise) const {
-    return has(field) ? asDuration(field, need<double>(field)) : otherwise;
+  Duration duration(std::string_view field, Duration defaultValue) const {
+    return has(field) ? duration(field) : defaultValue;
   }
 
  private:
+  // Beyond these, a double does not fit a signed 64-bit number, or its microseconds a Duration.
+  static constexpr double kMaxWhole = 9e18;
+  static constexpr double kMaxMicroseconds = 9e15;
+
+  std::string pathOf(std::string_view field) const {
+    return std::string(message_) + '.' + std::string(field);
+  }
+  std::string foundIn(std::string_view field) const {
+    const auto found = find(field);
+    return found ? simdjson::minify(*found).substr(0, kMaxFoundBytes) : std::string();
+  }
   std::optional<element> find(std::string_view field) const {
     element found;
     if (!body_ || (*body_)[field].get(found)) return std::nullopt;
     return found;
   }
-  template <class T>
-  T read(std::string_view field, element found) const {
-    if constexpr (std::is_same_v<T, element>) {
+  template <class Value>
+  Value read(std::string_view field, element found) const {
+    if constexpr (std::is_same_v<Value, element>) {
       return found;
-    } else if constexpr (std::is_same_v<T, std::string_view> || std::is_same_v<T, bool>) {
-      T value{};
-      if (found.get(value)) blame(field, "has the wrong type");
+    } else if constexpr (std::is_same_v<Value, std::string_view> || std::is_same_v<Value, bool>) {
+      Value value{};
+      if (found.get(value)) fail(field, ConfigFault::wrongType);
       return value;
     } else {
-      double value = 0;
-      std::uint64_t whole = 0;
-      if (std::is_unsigned_v<T> && !found.get(whole)) return static_cast<T>(whole);
-      if (found.get(value)) blame(field, "is not a number");
-      if (std::is_unsigned_v<T> && value < 0) blame(field, "is below 0");
-      if (std::is_integral_v<T> && !(value > -9e18 && value < 9e18)) blame(field, "is out of range");
-      return static_cast<T>(value);
+      return readNumber<Value>(field, found);
     }
   }
-  Duration asDuration(std::string_view field, double micros) const {
-    if (!(micros > -9e15 && micros < 9e15)) blame(field, "is out of range");
-    return std::chrono::microseconds(static_cast<std::int64_t>(micros));
+  template <class Value>
+  Value readNumber(std::string_view field, element found) const {
+    std::uint64_t whole = 0;
+    if (std::is_unsigned_v<Value> && !found.get(whole)) return static_cast<Value>(whole);
+    double value = 0;
+    if (found.get(value)) fail(field, ConfigFault::notANumber);
+    if (std::is_unsigned_v<Value> && value < 0) fail(field, ConfigFault::negative);
+    if (std::is_integral_v<Value> && !(value > -kMaxWhole && value < kMaxWhole))
+      fail(field, ConfigFault::outOfRange);
+    return static_cast<Value>(value);
+  }
+  Duration asDuration(std::string_view field, double microseconds) const {
+    if (!(microseconds > -kMaxMicroseconds && microseconds < kMaxMicroseconds))
+      fail(field, ConfigFault::outOfRange);
+    return std::chrono::microseconds(static_cast<std::int64_t>(microseconds));
   }
 
   std::string_view message_;
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -7,25 +7,42 @@
 
 constexpr int kMaxReloadRetries = 12;
 
+/// Where the two times of the shutdown stand.
+struct ShutdownKeys {
+  const char* section;
+  const char* acceptFor;
+  const char* killedAfter;
+};
+constexpr ShutdownKeys kShutdownKeys{"shutdown", "accept_for", "killed_after"};
+constexpr ShutdownKeys kOldShutdownKeys{"end", "still_coming", "most_life"};
+
 void readLog(TomlTable log, OperatorConfig& config) {
   config.form = log.oneOf<LogForm>("form", config.form, kLogFormNames);
   config.level = log.oneOf<Level>("level", config.level, kLevelNames);
   log.done();
 }
 
-void readShutdown(TomlTable shutdown, const std::string& acceptKey, const std::string& killedKey,
-                  OperatorConfig& config) {
-  config.acceptFor = shutdown.duration(acceptKey, config.acceptFor);
-  config.killedAfter = shutdown.duration(killedKey, config.killedAfter);
-  if (config.killedAfter < config.acceptFor) shutdown.blame(killedKey, "a time no shorter than " + acceptKey);
+void readShutdown(TomlTable& root, OperatorConfig& config) {
+  const bool oldName = root.has(kOldShutdownKeys.section);
+  if (oldName && root.has(kShutdownKeys.section))
+    root.fail(kOldShutdownKeys.section, "no table beside [shutdown], which is its new name");
+  if (oldName)
+    config.renamed.push_back(
+        {"table end with still_coming and most_life", "shutdown with accept_for and killed_after"});
+  const ShutdownKeys& keys = oldName ? kOldShutdownKeys : kShutdownKeys;
+  TomlTable shutdown = root.part(keys.section);
+  config.acceptFor = shutdown.duration(keys.acceptFor, config.acceptFor);
+  config.killedAfter = shutdown.duration(keys.killedAfter, config.killedAfter);
+  if (config.killedAfter < config.acceptFor)
+    shutdown.fail(keys.killedAfter, std::string("a time no shorter than ") + keys.acceptFor);
   shutdown.done();
 }
 
 void readReload(TomlTable reload, OperatorConfig& config) {
   const bool oldName = reload.has("looks");
-  const std::string key = oldName ? "looks" : "retries";
-  if (oldName) config.warnings.emplace_back("key reload.looks is now called reload.retries");
-  config.reloadRetries = reload.whole<int>(key, config.reloadRetries, 0, kMaxReloadRetries);
+  if (oldName) config.renamed.push_back({"key reload.looks", "reload.retries"});
+  config.reloadRetries =
+      reload.whole<int>(oldName ? "looks" : "retries", config.reloadRetries, 0, kMaxReloadRetries);
   reload.done();
 }
 
@@ -36,14 +53,7 @@
   TomlTable table(root, "", file);
   OperatorConfig config;
   readLog(table.part("log"), config);
-  if (table.has("end")) {
-    if (table.has("shutdown")) table.blame("end", "no table beside [shutdown], which is its new name");
-    config.warnings.emplace_back(
-        "table end with still_coming and most_life is now called shutdown with accept_for and killed_after");
-    readShutdown(table.part("end"), "still_coming", "most_life", config);
-  } else {
-    readShutdown(table.part("shutdown"), "accept_for", "killed_after", config);
-  }
+  readShutdown(table, config);
   readReload(table.part("reload"), config);
   table.done();
   return config;
--- a/src/config/policy_settings_reader.cpp
+++ b/src/config/policy_settings_reader.cpp
@@ -3,53 +3,69 @@
 namespace merlinbridge::config {
 namespace {
 
-Method readMethod(const Fields& f) {
-  const auto effect = f.need<std::string_view>("effect");
-  const auto group = f.get<std::string_view>("group", "cell");
-  return {effect == "free" ? Repeat::idempotent
-                           : (effect == "guarded" ? Repeat::deduplicated : Repeat::nonIdempotent),
-          group == "all" ? Group::all : (group == "zone" ? Group::zone : Group::cell),
-          f.duration("window", Duration{0}), f.duration("promise"), f.get("importance", 1.0)};
+// Where the settings are silent. No wait may be without end, nor over at once.
+constexpr Duration kDefaultConnectTimeout = std::chrono::milliseconds(250);
+// The plan of all customers where the settings have none: no quota, no ceiling, and price 1.
+constexpr Plan kUnlimitedPlan{0, 0, 0, 0, 0, 0, 1};
+
+constexpr double kMillisecondsPerSecond = 1000;
+
+Repeat repeatNamed(std::string_view effect) {
+  if (effect == "free") return Repeat::idempotent;
+  return effect == "guarded" ? Repeat::deduplicated : Repeat::nonIdempotent;
+}
+
+Group groupNamed(std::string_view group) {
+  if (group == "all") return Group::all;
+  return group == "zone" ? Group::zone : Group::cell;
 }
 
-Plan readPlan(const Fields& f) {
-  return {f.get("unitsPerS", 0.0), f.get("storeSize", 0.0), f.get("open", 0),   f.get("neverOverRate", 0.0),
-          f.get("capDepth", 0.0),  f.get("hardSlack", 0.0), f.get("price", 1.0)};
+Method readMethod(const Fields& method) {
+  return {repeatNamed(method.need<std::string_view>("effect")),
+          groupNamed(method.get<std::string_view>("group", "cell")), method.duration("window", Duration{0}),
+          method.duration("promise"), method.get("importance", 1.0)};
 }
 
-// What the operators' page has where the settings are silent. No wait may be without end, nor over at once.
-constexpr Duration kConnectTimeout = std::chrono::milliseconds(250);
+Plan readPlan(const Fields& plan) {
+  return {plan.get("unitsPerS", 0.0),     plan.get("storeSize", 0.0), plan.get("open", 0),
+          plan.get("neverOverRate", 0.0), plan.get("capDepth", 0.0),  plan.get("hardSlack", 0.0),
+          plan.get("price", 1.0)};
+}
+
+/// A time above 0; where it is missing or not above 0, the default value.
+Duration positiveDuration(const Fields& section, std::string_view field, Duration defaultValue) {
+  const Duration duration = section.duration(field, defaultValue);
+  return duration > Duration{0} ? duration : defaultValue;
+}
 
-Duration positive(const Fields& f, std::string_view field, Duration otherwise) {
-  const Duration span = f.duration(field, otherwise);
-  return span > Duration{0} ? span : otherwise;
+template <class Value, class Read>
+std::vector<Value> readEach(const Fields& section, std::string_view field, Read read) {
+  std::vector<Value> values;
+  for (const element entry : section.array(field)) values.push_back(read(Fields(field, entry)));
+  return values;
 }
 
-template <class T, class Read>
-std::vector<T> readEach(const Fields& f, std::string_view field, Read read) {
-  std::vector<T> all;
-  simdjson::dom::array entries;
-  if (f.need<element>(field).get(entries)) f.blame(field, "is not an array");
-  for (const element entry : entries) all.push_back(read(Fields(field, entry)));
-  return all;
+std::vector<Plan> readPlans(const Fields& profile) {
+  std::vector<Plan> plans;
+  if (profile.has("tariffs")) plans = readEach<Plan>(profile, "tariffs", readPlan);
+  if (plans.empty()) plans.push_back(kUnlimitedPlan);
+  return plans;
 }
 
 }  // namespace
 
 PolicySettings readPolicySettings(const Fields& profile) {
-  const Fields family = profile.partOrNone("familyInfo"), limits = profile.partOrNone("limits"),
-               rules = profile.part("rules");
-  // Guards against settings without plans: all customers then have one without a quota.
-  std::vector<Plan> plans =
-      profile.has("tariffs") ? readEach<Plan>(profile, "tariffs", readPlan) : std::vector<Plan>{};
-  if (plans.empty()) plans.push_back({0, 0, 0, 0, 0, 0, 1});
-  const Duration connectTimeout = positive(limits, "connectTimeout", kConnectTimeout);
+  const Fields family = profile.partOrNone("familyInfo");
+  const Fields limits = profile.partOrNone("limits");
+  const Fields rules = profile.part("rules");
+  std::vector<Plan> plans = readPlans(profile);
+  const Duration connectTimeout = positiveDuration(limits, "connectTimeout", kDefaultConnectTimeout);
   return {
       .methods = readEach<Method>(profile, "requestClasses", readMethod),
       .plans = std::move(plans),
       .gateways = profile.get("siblings", 1u),
       .counter = family.get("hasCounter", false),
-      .counterTimeout = positive(family, "countLimit", connectTimeout),
+      .counterTimeout = positiveDuration(family, "countLimit", connectTimeout),
       .maxUnits = family.get("largest", 1.0),
       .allowCancel = limits.get("cancel", false),
       .allowHedging = limits.get("secondCopies", false),
@@ -67,12 +83,10 @@
 std::vector<std::string> loadFieldNames(const Fields& profile) {
   const Fields feedback = profile.partOrNone("feedback");
   std::vector<std::string> names;
-  simdjson::dom::array entries;
   if (!feedback.has("fields")) return names;
-  if (feedback.need<element>("fields").get(entries)) feedback.blame("fields", "is not an array");
-  for (const element entry : entries) {
+  for (const element entry : feedback.array("fields")) {
     std::string_view name;
-    if (entry.get(name)) feedback.blame("fields", "holds what is not a name");
+    if (entry.get(name)) feedback.fail("fields", ConfigFault::notAName);
     names.emplace_back(name);
   }
   return names;
@@ -81,7 +95,7 @@
 void readLoadFigure(LoadReport& load, std::string_view name, double value) {
   if (name == "outstanding" || name == "inflight") load.inFlight = value;
   if (name == "backlog" || name == "queue") load.queued = value;
-  if (name == "recent_ms" || name == "latency_ms") load.serviceSeconds = value / 1000;
+  if (name == "recent_ms" || name == "latency_ms") load.serviceSeconds = value / kMillisecondsPerSecond;
   if (name == "throughput" || name == "qps") load.answersPerSecond = value;
   if (name == "utilization" || name == "util") load.utilization = value;
 }
--- a/src/config/toml_table.hpp
+++ b/src/config/toml_table.hpp
@@ -8,70 +8,71 @@
 #include <optional>
 #include <set>
 #include <sstream>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 #include <utility>
 #include <vector>
 
+#include "config/toml_error.hpp"
 #include "policy_api/time.hpp"
 
 namespace merlinbridge::config {
 
-/// A TOML text that cannot be used; it says where, what was expected and what stands there.
-struct TomlError : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
-
 /// The least and the most of what is drawn by a seed.
 struct Range {
-  double least = 0, most = 0;
+  double least = 0;
+  double most = 0;
 };
 
-inline constexpr double kLongest = 86'400;  ///< seconds: a day
+inline constexpr double kLongest = 86'400;  ///< Seconds; a day. No time in a text may be longer.
 
-/// One table of the text; knows which of its keys were asked for.
+/// Reads one table of a TOML text, and knows which of its keys were read. Every reader takes the key's name
+/// and a default value (none: the key must be there), and throws TomlError for a value that is not allowed.
+/// Refers to the parsed table and to the file's name, which must outlive it.
 class TomlTable {
  public:
+  /// `path`: the table's own name, empty for the whole text.
   TomlTable(const toml::table& table, std::string path, const std::string& file)
       : table_(table), path_(std::move(path)), file_(file) {}
 
-  [[noreturn]] static void blame(const std::string& file, const toml::source_region& at,
-                                 const std::string& what) {
-    throw TomlError(fmt::format("{}:{}:{}: {}", file, at.begin.line, at.begin.column, what));
-  }
-  [[noreturn]] void blame(std::string_view key, const std::string& expected) const {
+  /// Throws what is wrong with a key: that it is missing, or that its value is not what was expected.
+  [[noreturn]] void fail(std::string_view key, const std::string& expected) const {
     const toml::node* const node = table_.get(key);
     std::ostringstream found;
     if (node) node->visit([&found](const auto& value) { found << value; });
-    blame(file_, node ? node->source() : table_.source(),
-          node ? fmt::format("'{}': expected {}, found {}", nameOf(key), expected, found.str())
-               : fmt::format("'{}' is missing: expected {}", nameOf(key), expected));
+    const toml::source_position& place = (node ? node->source() : table_.source()).begin;
+    throw TomlError({node ? TomlFault::unfitValue : TomlFault::missingKey, file_, place.line, place.column,
+                     nameOf(key), expected, found.str()});
   }
+  /// Former name of fail(), still called from other folders.
+  [[noreturn]] void blame(std::string_view key, const std::string& expected) const { fail(key, expected); }
 
-  std::string text(std::string_view key, std::optional<std::string> otherwise = {}) {
-    return read<std::string>(key, std::move(otherwise), "a text",
+  std::string text(std::string_view key, std::optional<std::string> defaultValue = {}) {
+    return read<std::string>(key, std::move(defaultValue), "a text",
                              [](const toml::node& node) { return node.value_exact<std::string>(); });
   }
-  bool flag(std::string_view key, bool otherwise) {
-    return read<bool>(key, otherwise, "true or false",
+  bool flag(std::string_view key, bool defaultValue) {
+    return read<bool>(key, defaultValue, "true or false",
                       [](const toml::node& node) { return node.value_exact<bool>(); });
   }
-  double number(std::string_view key, std::optional<double> otherwise, double least, double most) {
-    return read<double>(key, otherwise, fmt::format("a number from {} to {}", least, most),
+  /// A number from `least` to `most`.
+  double number(std::string_view key, std::optional<double> defaultValue, double least, double most) {
+    return read<double>(key, defaultValue, fmt::format("a number from {} to {}", least, most),
                         [=](const toml::node& node) { return within(node, least, most); });
   }
+  /// A whole number from `least` to `most`.
   template <class Whole>
-  Whole whole(std::string_view key, std::optional<Whole> otherwise, Whole least, Whole most) {
-    return read<Whole>(key, otherwise, fmt::format("a whole number from {} to {}", least, most),
+  Whole whole(std::string_view key, std::optional<Whole> defaultValue, Whole least, Whole most) {
+    return read<Whole>(key, defaultValue, fmt::format("a whole number from {} to {}", least, most),
                        [=](const toml::node& node) -> std::optional<Whole> {
                          const auto value = node.value_exact<std::int64_t>();
                          if (!value || *value < std::int64_t{least} || *value > std::int64_t{most}) return {};
                          return static_cast<Whole>(*value);
                        });
   }
-  Duration duration(std::string_view key, std::optional<Duration> otherwise) {
-    return read<Duration>(key, otherwise, "a time from 0 to a day, as \"250ms\"",
+  /// A time with its unit, as "250ms"; ns, us, ms, s, min or h.
+  Duration duration(std::string_view key, std::optional<Duration> defaultValue) {
+    return read<Duration>(key, defaultValue, "a time from 0 to a day, as \"250ms\"",
                           [](const toml::node& node) -> std::optional<Duration> {
                             const auto value = secondsOf(node);
                             if (!value) return {};
@@ -79,22 +80,24 @@
                           });
   }
   /// Seconds, either one time or the least and the most.
-  Range range(std::string_view key, std::optional<Range> otherwise) {
-    return read<Range>(key, otherwise, "a time, as \"2s\", or the least and the most, as [\"1s\", \"3s\"]",
+  Range range(std::string_view key, std::optional<Range> defaultValue) {
+    return read<Range>(key, defaultValue, "a time, as \"2s\", or the least and the most, as [\"1s\", \"3s\"]",
                        [](const toml::node& node) -> std::optional<Range> {
                          if (const auto one = secondsOf(node)) return Range{*one, *one};
                          const toml::array* const both = node.as_array();
                          if (!both || both->size() != 2) return {};
-                         const auto least = secondsOf(*both->get(0)), most = secondsOf(*both->get(1));
+                         const auto least = secondsOf(*both->get(0));
+                         const auto most = secondsOf(*both->get(1));
                          if (!least || !most || *least > *most) return {};
                          return Range{*least, *most};
                        });
   }
+  /// The value whose name stands there; `words` has pairs of name and value.
   template <class Value, class NameTables>
-  Value oneOf(std::string_view key, std::optional<Value> otherwise, const NameTables& words) {
+  Value oneOf(std::string_view key, std::optional<Value> defaultValue, const NameTables& words) {
     std::string all;
     for (const auto& [word, value] : words) all += (all.empty() ? "" : ", ") + std::string(word);
-    return read<Value>(key, otherwise, "one of " + all,
+    return read<Value>(key, defaultValue, "one of " + all,
                        [&words](const toml::node& node) -> std::optional<Value> {
                          const auto found = node.value_exact<std::string_view>();
                          for (const auto& [word, value] : words)
@@ -102,33 +105,41 @@
                          return {};
                        });
   }
-  /// Whether the key is there, under which it may then be read.
+  /// Whether the key is there. Does not count as reading it.
   bool has(std::string_view key) const { return table_.contains(key); }
+  /// The table under the key; an empty one where it is missing.
   TomlTable part(std::string_view key) {
     used_.emplace(key);
     static const toml::table kNone;
     const toml::node* const node = table_.get(key);
-    if (node && !node->is_table()) blame(key, "a table");
+    if (node && !node->is_table()) fail(key, "a table");
     return {node ? *node->as_table() : kNone, nameOf(key), file_};
   }
+  /// The tables of the array under the key; none where it is missing.
   std::vector<TomlTable> parts(std::string_view key) {
     used_.emplace(key);
     std::vector<TomlTable> all;
     const toml::node* const node = table_.get(key);
     if (!node) return all;
     const toml::array* const array = node->as_array();
-    if (!array) blame(key, "tables, each under [[" + nameOf(key) + "]]");
+    if (!array) fail(key, "tables, each under [[" + nameOf(key) + "]]");
     for (const toml::node& each : *array) {
-      if (!each.is_table()) blame(key, "tables, each under [[" + nameOf(key) + "]]");
+      if (!each.is_table()) fail(key, "tables, each under [[" + nameOf(key) + "]]");
       all.emplace_back(*each.as_table(), fmt::format("{}[{}]", nameOf(key), all.size()), file_);
     }
     return all;
   }
-  /// Guards against a word that is misspelt and so has no effect.
+  /// Throws if the table has a key that was not read: misspelt, it would have no effect. To be called last.
   void done() const {
     for (const auto& [key, node] : table_)
       if (!used_.contains(std::string(key.str())))
-        blame(file_, key.source(), fmt::format("'{}' is not known here", nameOf(key.str())));
+        throw TomlError({TomlFault::unknownKey,
+                         file_,
+                         key.source().begin.line,
+                         key.source().begin.column,
+                         nameOf(key.str()),
+                         {},
+                         {}});
   }
 
  private:
@@ -136,13 +147,14 @@
     return path_.empty() ? std::string(key) : path_ + "." + std::string(key);
   }
   template <class Value, class Read>
-  Value read(std::string_view key, std::optional<Value> otherwise, const std::string& expected, Read take) {
+  Value read(std::string_view key, std::optional<Value> defaultValue, const std::string& expected,
+             Read take) {
     used_.emplace(key);
     const toml::node* const node = table_.get(key);
-    if (!node && otherwise) return *otherwise;
-    if (!node) blame(key, expected);
+    if (!node && defaultValue) return *defaultValue;
+    if (!node) fail(key, expected);
     const std::optional<Value> value = take(*node);
-    if (!value) blame(key, expected);
+    if (!value) fail(key, expected);
     return *value;
   }
   static std::optional<double> within(const toml::node& node, double least, double most) {
@@ -174,7 +186,7 @@
   const toml::table& table_;
   std::string path_;
   const std::string& file_;
-  std::set<std::string> used_;
+  std::set<std::string> used_;  ///< The keys that were read.
 };
 
 /// The whole text as one table. Throws TomlError.
@@ -182,7 +194,9 @@
   try {
     return toml::parse(text, file);
   } catch (const toml::parse_error& e) {
-    TomlTable::blame(file, e.source(), std::string(e.description()));
+    const toml::source_position& place = e.source().begin;
+    throw TomlError(
+        {TomlFault::malformed, file, place.line, place.column, {}, std::string(e.description()), {}});
   }
 }
 
--- a/src/daemon/config_sources.cpp
+++ b/src/daemon/config_sources.cpp
@@ -15,10 +15,12 @@
 namespace merlinbridge::daemon {
 namespace {
 
-// What is missing or may not be read stays so; all else may be read when tried again.
+constexpr std::size_t kReadBytes = 65536;  // for one read of a file
+
+// A missing file, or one without rights, stays so; a transient error may be over at the next try.
 [[noreturn]] void throwUnreadable(const std::string& path) {
   const int error = errno;
-  if (!passesSoon(error)) throw config::ConfigError("cannot read " + path);
+  if (!isTransient(error)) throw config::ConfigError({config::ConfigFault::unreadableFile, path, {}, {}});
   throw std::system_error(error, std::generic_category(), "cannot read " + path);
 }
 
@@ -26,7 +28,7 @@
   const net::Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
   if (!file) throwUnreadable(path);
   std::string text;
-  std::array<char, 65536> bytes{};
+  std::array<char, kReadBytes> bytes{};
   while (true) {
     const ssize_t got = ::read(file.get(), bytes.data(), bytes.size());
     if (got == 0) return text;
@@ -49,15 +51,17 @@
 }
 
 config::GatewayConfig ConfigSources::readPlatform() const {
-  if (platformFile.empty()) throw config::ConfigError("GW_CONFIG is not set");
+  if (platformFile.empty())
+    throw config::ConfigError({config::ConfigFault::missingSetting, "GW_CONFIG", {}, {}});
   return config::readGatewayConfig(readFile(platformFile));
 }
 
 config::OperatorConfig ConfigSources::readOperator() const {
-  config::OperatorConfig read;
-  if (!operatorFile.empty()) read = config::readOperatorConfig(readFile(operatorFile), operatorFile);
-  read.level = levelNamed(environmentVariable("GW_LOG_LEVEL")).value_or(read.level);
-  return read;
+  config::OperatorConfig operatorConfig;
+  if (!operatorFile.empty())
+    operatorConfig = config::readOperatorConfig(readFile(operatorFile), operatorFile);
+  operatorConfig.level = levelNamed(environmentVariable("GW_LOG_LEVEL")).value_or(operatorConfig.level);
+  return operatorConfig;
 }
 
 }  // namespace merlinbridge::daemon
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -6,17 +6,24 @@
 namespace merlinbridge::daemon {
 namespace {
 
-// Of the time until the process may be killed: what is left for writing the last answers.
+// Part of OperatorConfig::killedAfter: what is left at its end for writing the last answers.
 constexpr Duration kWriteReserve = std::chrono::milliseconds(150);
-// A client has this part of it to read its last answer and close, and is looked at so many times in it.
-constexpr int kCloseParts = 3, kChecksPerReserve = 20;
-// So long, in reserves, nothing may come before the process ends with connections open.
-constexpr int kQuietReserves = 2;
+// Part of kWriteReserve: for so long a client may read its last answer and close before it is closed as idle.
+constexpr Duration kClientCloseTime = kWriteReserve / 3;
+// Between two looks at whether the shutdown is complete.
+constexpr Duration kShutdownCheckInterval = kWriteReserve / 20;
+// After so long without traffic the process stops with client connections open.
+constexpr Duration kNoTrafficTime = 2 * kWriteReserve;
 // A file that cannot be read may be half written: it is read again after so long, each wait twice the one
 // before. All retries are over well before the change counts as notified.
 constexpr Duration kFirstReloadRetry = std::chrono::milliseconds(50);
+// The least time between two lines config_rejected; rejections between them are config_retry_failed.
 constexpr Duration kReloadWarningInterval = std::chrono::seconds(10);
 
+constexpr Duration reloadRetryDelay(int retry) {
+  return kFirstReloadRetry * (1 << retry);
+}
+
 }  // namespace
 
 Daemon::Daemon(const ConfigSources& sources, const config::OperatorConfig& operatorConfig,
@@ -57,8 +64,8 @@
   reload(0);
 }
 
-// Only the addresses of discovery and the counter service change while it serves; all else holds from the
-// next start on.
+// Only the addresses of discovery and the counter service change while the gateway serves; all other settings
+// hold from the next start on.
 void Daemon::reload(int retry) {
   reloadTimer_ = {};
   try {
@@ -66,9 +73,9 @@
     server_.moveTo(config.discovery, config.counter);
     log_(LogEvent::configReloaded, LogField{"discovery", config.discovery},
          LogField{"counter", std::string_view(config.counter.empty() ? "none" : config.counter)});
-  } catch (const std::runtime_error& e) {
+  } catch (const std::runtime_error& e) {  // config::ConfigError and std::system_error
     rejectReload(retry, e.what());
-  } catch (const std::invalid_argument& e) {
+  } catch (const std::invalid_argument& e) {  // an address that is none
     rejectReload(retry, e.what());
   }
 }
@@ -81,8 +88,8 @@
   log_(warn ? LogEvent::configRejected : LogEvent::configRetryFailed, LogField{"error", reason},
        LogField{"retry", retry});
   if (retry >= operatorConfig_.reloadRetries) return;
-  reloadTimer_ = loop_.deadlines.add(now + kFirstReloadRetry * (1 << retry),
-                                     [this, retry](TimePoint) { reload(retry + 1); });
+  reloadTimer_ =
+      loop_.deadlines.add(now + reloadRetryDelay(retry), [this, retry](TimePoint) { reload(retry + 1); });
 }
 
 void Daemon::enter(Phase phase) {
@@ -98,10 +105,10 @@
     case Phase::draining:
       beginDraining();
       break;
-    case Phase::finishing:
+    case Phase::closingIdle:
       server_.closeIdle();
       log_(LogEvent::closingIdleConnections, LogField{"unanswered_requests", server_.unanswered()});
-      checkFinished();
+      checkShutdown();
       break;
     case Phase::stopped:
       server_.discard();
@@ -116,24 +123,28 @@
   const Duration acceptFor = operatorConfig_.acceptFor;
   const Duration answerFor =
       std::min(acceptFor + longestDeadline_, operatorConfig_.killedAfter) - kWriteReserve;
-  answerBy_ = loop_.now() + std::max(acceptFor, answerFor);
-  server_.leave(answerBy_);
+  answerDeadline_ = loop_.now() + std::max(acceptFor, answerFor);
+  server_.leave(answerDeadline_);
   log_(LogEvent::draining);
-  loop_.deadlines.add(loop_.now() + acceptFor, [this](TimePoint) { enter(Phase::finishing); });
+  loop_.deadlines.add(loop_.now() + acceptFor, [this](TimePoint) { enter(Phase::closingIdle); });
 }
 
-// Bounded for a client that never reads, stays idle for ever or stops in the middle of a request: the process
-// may be killed soon. Who has its last answer gets a moment to read it and close, and who comes meanwhile is
-// taken.
-void Daemon::checkFinished() {
-  const Duration closeTime = kWriteReserve / kCloseParts;
+// Ends at answerDeadline_ at the latest, since the process may be killed soon after: clients that never read,
+// stay idle for ever or stop in the middle of a request cannot delay it. Clients that connect meanwhile are
+// still accepted.
+void Daemon::checkShutdown() {
   const TimePoint now = loop_.now();
-  if (now >= answerBy_ + closeTime) return enter(Phase::stopped);
-  server_.closeIdle(closeTime);
-  quietSince_ = server_.quiet() ? std::min(quietSince_, now) : TimePoint::max();
-  const bool longQuiet = now - quietSince_ >= kQuietReserves * kWriteReserve;
-  if (server_.quiet() && (server_.allClosed() || longQuiet) && server_.shut()) return enter(Phase::stopped);
-  loop_.deadlines.add(now + kWriteReserve / kChecksPerReserve, [this](TimePoint) { checkFinished(); });
+  if (now >= answerDeadline_ + kClientCloseTime) return enter(Phase::stopped);
+  server_.closeIdle(kClientCloseTime);
+  if (shutdownComplete(now)) return enter(Phase::stopped);
+  loop_.deadlines.add(now + kShutdownCheckInterval, [this](TimePoint) { checkShutdown(); });
+}
+
+bool Daemon::shutdownComplete(TimePoint now) {
+  noTrafficSince_ = server_.quiet() ? std::min(noTrafficSince_, now) : TimePoint::max();
+  if (!server_.quiet()) return false;
+  const bool clientsDone = server_.allClosed() || now - noTrafficSince_ >= kNoTrafficTime;
+  return clientsDone && server_.shut();
 }
 
 }  // namespace merlinbridge::daemon
--- a/src/daemon/log_stream.cpp
+++ b/src/daemon/log_stream.cpp
@@ -6,15 +6,18 @@
 #include <unistd.h>
 
 #include <cerrno>
+#include <string_view>
 
 #include "util/log.hpp"
 
 namespace merlinbridge::daemon {
 namespace {
 
-// A pipe that is ready takes so many bytes at once without a wait; longer lines are cut.
+// With the line feed. A pipe that is ready accepts so many bytes at once without a wait; longer lines are
+// cut.
 constexpr std::size_t kMaxLineBytes = 4096;
-constexpr int kMaxInterruptions = 16;
+// So often a call for one line is made while signals interrupt it.
+constexpr int kMaxTriesPerLine = 16;
 
 bool isSocket(int descriptor) {
   struct stat status {};
@@ -38,7 +41,7 @@
 }
 
 std::streamsize LogBuffer::xsputn(const char* text, std::streamsize size) {
-  for (std::streamsize n = 0; n < size; ++n) add(text[n]);
+  for (const char character : std::string_view(text, static_cast<std::size_t>(size))) add(character);
   return size;
 }
 
@@ -54,9 +57,9 @@
   line_.clear();
 }
 
-// False: it was not taken whole. What is left of a line that was taken in part is given up.
+// The rest of a line that was accepted in part is given up.
 bool LogBuffer::writeNow(const std::string& text) const {
-  for (int n = 0; n < kMaxInterruptions; ++n) {
+  for (int tries = 0; tries < kMaxTriesPerLine; ++tries) {
     pollfd state{descriptor_, POLLOUT, 0};
     const int ready = ::poll(&state, 1, 0);
     if (ready < 0 && errno == EINTR) continue;
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -9,29 +9,28 @@
 
 namespace {
 
+using merlinbridge::config::RenamedSetting;
 using merlinbridge::daemon::ConfigSources;
+using merlinbridge::daemon::ExitCode;
 
-/// An option that names a file, under its present name and the one before, which is still read.
+/// An option that names a file, under its present name and its old one, which is still read. `file` and
+/// `renamed` must outlive the parsing.
 void addFileOption(CLI::App& command, const std::string& name, const std::string& oldName,
-                   const std::string& help, std::string& file, std::vector<std::string>& warnings) {
+                   const std::string& help, std::string& file, std::vector<RenamedSetting>& renamed) {
   command.add_option(name, file, help);
   command
       .add_option_function<std::string>(oldName,
-                                        [&file, &warnings, name, oldName](const std::string& given) {
+                                        [&file, &renamed, name, oldName](const std::string& given) {
                                           file = given;
-                                          warnings.push_back("option " + oldName + " is now called " + name);
+                                          renamed.push_back({"option " + oldName, name});
                                         })
       ->group("");  // not in the help
 }
 
-}  // namespace
-
-int main(int argc, char** argv) {
-  using namespace merlinbridge::daemon;
-  std::signal(SIGHUP, SIG_IGN);   // until it is waited for: the file is still to be read
-  std::signal(SIGPIPE, SIG_IGN);  // a log that nobody reads any more is no reason to end
+/// Reads the command line and runs its command.
+ExitCode runCommand(int argc, char** argv) {
   ConfigSources sources = ConfigSources::fromEnvironment();
-  std::vector<std::string> warnings;
+  std::vector<RenamedSetting> renamed;
   CLI::App app{"merlinbridge: an API gateway that meters many customers' use of one shared service"};
   app.footer(
       "Exit codes: 0 ended as told, or all files are fit; 1 it could not start or go on; 2 bad words on the "
@@ -45,18 +44,27 @@
   CLI::App* const version = app.add_subcommand("version", "prints the version");
   for (CLI::App* const command : {serving, checking}) {
     addFileOption(*command, "--config", "--orders", "the platform's configuration (JSON), else GW_CONFIG",
-                  sources.platformFile, warnings);
+                  sources.platformFile, renamed);
     addFileOption(*command, "--operator-config", "--own", "the operators' configuration (TOML), else GW_OWN",
-                  sources.operatorFile, warnings);
+                  sources.operatorFile, renamed);
   }
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? kDone : kBadInput;
+    return app.exit(e) == 0 ? ExitCode::success : ExitCode::badInput;
   }
   if (*version) {
     std::cout << "merlinbridge " << MERLINBRIDGE_VERSION << '\n';
-    return kDone;
+    return ExitCode::success;
   }
-  return *checking ? check(sources, warnings) : serve(sources, warnings);
+  return *checking ? merlinbridge::daemon::check(sources, renamed)
+                   : merlinbridge::daemon::serve(sources, renamed);
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  std::signal(SIGHUP, SIG_IGN);   // until SignalWatch catches it: the file is read at the start anyway
+  std::signal(SIGPIPE, SIG_IGN);  // a closed standard error must not end the process
+  return static_cast<int>(runCommand(argc, argv));
 }
--- a/src/daemon/signal_watch.cpp
+++ b/src/daemon/signal_watch.cpp
@@ -12,23 +12,24 @@
 namespace merlinbridge::daemon {
 namespace {
 
-// What the signal handlers may touch.
+// What the signal handler may touch: a flag for each Signal, and the write end of the pipe.
 volatile std::sig_atomic_t terminateCame = 0;    // NOLINT(readability-identifier-naming): not a constant
 volatile std::sig_atomic_t hangUpCame = 0;       // NOLINT(readability-identifier-naming): not a constant
 volatile std::sig_atomic_t wakeDescriptor = -1;  // NOLINT(readability-identifier-naming): not a constant
 
-constexpr std::array kCaught{SIGTERM, SIGINT, SIGHUP};
+constexpr std::array kCaughtSignals{SIGTERM, SIGINT, SIGHUP};
+constexpr std::size_t kWakeBytesPerRead = 64;
 
 void onSignal(int number) {
-  const int saved = errno;
+  const int savedErrno = errno;
   (number == SIGHUP ? hangUpCame : terminateCame) = 1;
   const char byte = 0;
   [[maybe_unused]] const ssize_t written = ::write(wakeDescriptor, &byte, 1);
-  errno = saved;
+  errno = savedErrno;
 }
 
-// A signal that comes after the flag was cleared sets it again.
-bool cameSinceLastLook(volatile std::sig_atomic_t& flag) {
+// Whether the flag was set. A signal that comes after it was cleared sets it again.
+bool takeFlag(volatile std::sig_atomic_t& flag) {
   if (flag == 0) return false;
   flag = 0;
   return true;
@@ -43,31 +44,31 @@
   readEnd_ = net::Descriptor(ends[0]);
   writeEnd_ = net::Descriptor(ends[1]);
   wakeDescriptor = writeEnd_.get();
-  for (const int number : kCaught) std::signal(number, onSignal);
+  for (const int number : kCaughtSignals) std::signal(number, onSignal);
 }
 
 SignalWatch::~SignalWatch() {
-  for (const int number : kCaught) std::signal(number, SIG_DFL);
+  for (const int number : kCaughtSignals) std::signal(number, SIG_DFL);
   wakeDescriptor = -1;
 }
 
 void SignalWatch::deliverTo(net::EventLoop& loop, Handler handler) {
   loop_ = &loop;
   handler_ = std::move(handler);
-  wakes_ = std::make_unique<net::asio::posix::basic_stream_descriptor<net::Strand>>(loop.strand);
+  wakeStream_ = std::make_unique<net::asio::posix::basic_stream_descriptor<net::Strand>>(loop.strand);
   check();
 }
 
 void SignalWatch::stopDelivery() {
-  if (wakes_ && wakes_->is_open()) wakes_->release();
-  wakes_.reset();
+  if (wakeStream_ && wakeStream_->is_open()) wakeStream_->release();
+  wakeStream_.reset();
   waiting_ = false;
 }
 
 void SignalWatch::check() {
-  if (!wakes_) return;
-  if (cameSinceLastLook(hangUpCame)) handler_(Signal::hangUp);
-  if (cameSinceLastLook(terminateCame)) handler_(Signal::terminate);
+  if (!wakeStream_) return;
+  if (takeFlag(hangUpCame)) handler_(Signal::hangUp);
+  if (takeFlag(terminateCame)) handler_(Signal::terminate);
   waitForWake();
 }
 
@@ -75,10 +76,11 @@
 void SignalWatch::waitForWake() {
   if (waiting_) return;
   net::Error error;
-  if (!wakes_->is_open()) wakes_->assign(readEnd_.get(), error);
+  if (!wakeStream_->is_open()) wakeStream_->assign(readEnd_.get(), error);
   if (error) return;
   waiting_ = true;
-  wakes_->async_wait(net::asio::posix::descriptor_base::wait_read, [this](const net::Error& waitError) {
+  // On the loop's strand; stopDelivery() aborts the wait before `this` goes.
+  wakeStream_->async_wait(net::asio::posix::descriptor_base::wait_read, [this](const net::Error& waitError) {
     if (waitError == net::asio::error::operation_aborted) return;
     waiting_ = false;
     emptyPipe();
@@ -88,7 +90,7 @@
 }
 
 void SignalWatch::emptyPipe() {
-  std::array<char, 64> bytes{};
+  std::array<char, kWakeBytesPerRead> bytes{};
   while (::read(readEnd_.get(), bytes.data(), bytes.size()) > 0) {
   }
 }
--- a/src/daemon/signal_watch.hpp
+++ b/src/daemon/signal_watch.hpp
@@ -9,14 +9,18 @@
 
 namespace merlinbridge::daemon {
 
-/// The signals that the daemon heeds.
-enum class Signal { terminate, hangUp };
+/// What a signal asks of the daemon.
+enum class Signal {
+  terminate,  ///< SIGTERM and SIGINT: graceful shutdown.
+  hangUp      ///< SIGHUP: reload of the platform's configuration.
+};
 
 /// Catches SIGTERM, SIGINT and SIGHUP from its construction on, and hands each to the event loop. The signal
 /// itself is kept in a flag; the pipe only wakes the loop, so a failed write or read delays a signal to the
-/// next check() and loses none. One at a time in a process.
+/// next check() and loses none. One at a time in a process, since signal handlers are the process's own.
 class SignalWatch {
  public:
+  /// Runs on the event loop's strand.
   using Handler = std::function<void(Signal)>;
 
   /// Throws std::system_error where the system gives no pipe.
@@ -27,20 +31,23 @@
   ~SignalWatch();
 
   /// From here on `handler` is called for each signal, those that have come already included. Several of a
-  /// kind that come together count as one.
+  /// kind that come together count as one. The loop, and what the handler refers to, must live until
+  /// stopDelivery().
   void deliverTo(net::EventLoop& loop, Handler handler);
-  /// Before the loop goes: signals that come are kept.
+  /// Ends delivery; signals that come later are kept. To be called before the loop is destroyed.
   void stopDelivery();
-  /// Delivers what has come.
+  /// Delivers what has come. Called by the pipe's handler, and at intervals in case a wake was lost.
   void check();
 
  private:
   void waitForWake();
   void emptyPipe();
 
-  net::Descriptor readEnd_, writeEnd_;
-  std::unique_ptr<net::asio::posix::basic_stream_descriptor<net::Strand>> wakes_;
-  bool waiting_ = false;
+  net::Descriptor readEnd_;
+  net::Descriptor writeEnd_;
+  /// The read end as the loop waits for it; none: nothing is delivered.
+  std::unique_ptr<net::asio::posix::basic_stream_descriptor<net::Strand>> wakeStream_;
+  bool waiting_ = false;  ///< A wait for the read end is pending in the loop.
   net::EventLoop* loop_ = nullptr;
   Handler handler_;
 };
--- a/src/daemon/start_retry.hpp
+++ b/src/daemon/start_retry.hpp
@@ -9,25 +9,27 @@
 
 namespace merlinbridge::daemon {
 
-/// While the program starts, a system call that failed for want of something is made again for so long: well
-/// under the time in which a gateway has to be ready.
+/// For so long a start-up step is repeated that failed for want of something: well under the time in which a
+/// gateway has to be ready.
 inline constexpr auto kStartRetryTime = std::chrono::seconds(4);
+/// Between two calls of a start-up step.
 inline constexpr auto kStartRetryPause = std::chrono::milliseconds(20);
 
 /// Whether a call that failed with this errno may succeed soon.
-inline bool passesSoon(int error) {
-  for (const int passing : {EINTR, EAGAIN, EIO, ENFILE, EMFILE, ENOBUFS, ENOMEM, ENOSPC, EADDRNOTAVAIL})
-    if (error == passing) return true;
+inline bool isTransient(int error) {
+  for (const int transient : {EINTR, EAGAIN, EIO, ENFILE, EMFILE, ENOBUFS, ENOMEM, ENOSPC, EADDRNOTAVAIL})
+    if (error == transient) return true;
   return false;
 }
 
-/// Calls `step` until it throws no error that passes soon, or the time is over; then what it throws is passed
-/// on. `onRetry` is called with the error's text before each further call.
+/// Calls `step` until it throws no transient system error, or until kStartRetryTime is over; then what it
+/// throws is passed on. `onRetry` is called with the error's text before each further call. Blocks the
+/// thread: only for use before the event loop runs.
 template <class Step, class OnRetry>
 auto retryWhileStarting(const Step& step, const OnRetry& onRetry) {
   const auto end = std::chrono::steady_clock::now() + kStartRetryTime;
   const auto mayRetry = [end](int error) {
-    return passesSoon(error) && std::chrono::steady_clock::now() < end;
+    return isTransient(error) && std::chrono::steady_clock::now() < end;
   };
   while (true) {
     try {
--- /dev/null
+++ b/tests/config/config_error_test.cpp
@@ -0,0 +1,99 @@
+// Errors of the platform's configuration: the fault, the field, what was found, and the text for operators.
+#include "config/config_error.hpp"
+
+#include <catch2/catch.hpp>
+#include <functional>
+#include <string>
+
+#include "config/gateway_config.hpp"
+#include "config/json_fields.hpp"
+
+using namespace merlinbridge;
+using namespace merlinbridge::config;
+
+namespace {
+
+/// The problem that a call throws.
+ConfigProblem problemOf(const std::function<void()>& call) {
+  try {
+    call();
+  } catch (const ConfigError& e) {
+    CHECK(e.what() == textOf(e.problem()));
+    return e.problem();
+  }
+  FAIL("nothing was thrown");
+  return {};
+}
+
+/// A parsed message with one field of each kind.
+struct Message {
+  simdjson::dom::parser parser;
+  element root = parser.parse(std::string(R"({"text":"x","flag":true,"below":-1,"huge":1e30,"list":[1],)"
+                                          R"("none":null,"long":")") +
+                              std::string(100, 'a') + R"("})");
+  Fields fields{"message", root};
+};
+
+}  // namespace
+
+TEST_CASE("a field that cannot be used is named with its fault and the value found") {
+  struct Case {
+    std::string name;
+    std::function<void(const Fields&)> read;
+    ConfigFault fault;
+    std::string path;
+    std::string found;
+    std::string text;
+  };
+  const Case given = GENERATE(values<Case>({
+      {"missing", [](const Fields& fields) { fields.need<double>("gone"); }, ConfigFault::missingField,
+       "message.gone", "", "message: field 'gone' is missing"},
+      {"wrong type", [](const Fields& fields) { fields.need<bool>("text"); }, ConfigFault::wrongType,
+       "message.text", "\"x\"", "message: field 'text' has the wrong type"},
+      {"not a number", [](const Fields& fields) { fields.get("text", 1.0); }, ConfigFault::notANumber,
+       "message.text", "\"x\"", "message: field 'text' is not a number"},
+      {"negative", [](const Fields& fields) { fields.get("below", 1u); }, ConfigFault::negative,
+       "message.below", "-1", "message: field 'below' is below 0"},
+      {"out of range", [](const Fields& fields) { fields.get("huge", 1); }, ConfigFault::outOfRange,
+       "message.huge", "1e+30", "message: field 'huge' is out of range"},
+      {"no duration", [](const Fields& fields) { fields.duration("huge"); }, ConfigFault::outOfRange,
+       "message.huge", "1e+30", "message: field 'huge' is out of range"},
+      {"not an array", [](const Fields& fields) { fields.array("flag"); }, ConfigFault::notAnArray,
+       "message.flag", "true", "message: field 'flag' is not an array"},
+      {"in words", [](const Fields& fields) { fields.fail("text", "is not known"); }, ConfigFault::other,
+       "message.text", "\"x\"", "message: field 'text' is not known"},
+  }));
+  INFO(given.name);
+  const Message message;
+  const ConfigProblem problem = problemOf([&] { given.read(message.fields); });
+  CHECK(problem.fault == given.fault);
+  CHECK(problem.path == given.path);
+  CHECK(problem.found == given.found);
+  CHECK(textOf(problem) == given.text);
+}
+
+TEST_CASE("the value found is cut") {
+  const Message message;
+  const ConfigProblem problem = problemOf([&] { message.fields.need<double>("long"); });
+  CHECK(problem.found == "\"" + std::string(kMaxFoundBytes - 1, 'a'));
+}
+
+TEST_CASE("fields that are missing or null have their default value") {
+  const Message message;
+  CHECK(message.fields.get("gone", 7) == 7);
+  CHECK(message.fields.get("none", 7) == 7);
+  CHECK_FALSE(message.fields.has("none"));
+  CHECK(message.fields.partOrNone("gone").get("any", true));
+  CHECK(message.fields.duration("gone", Duration{5}) == Duration{5});
+}
+
+TEST_CASE("problems without a field have a fault and a text of their own") {
+  CHECK(problemOf([] { readGatewayConfig("{"); }).fault == ConfigFault::notAnObject);
+  CHECK(problemOf([] { readGatewayConfig("[]"); }).fault == ConfigFault::notAnObject);
+  CHECK(textOf({ConfigFault::notAnObject, "", "", ""}) == "the file is not a JSON object");
+  CHECK(textOf({ConfigFault::unreadableFile, "/a.json", "", ""}) == "cannot read /a.json");
+  CHECK(textOf({ConfigFault::missingSetting, "GW_CONFIG", "", ""}) == "GW_CONFIG is not set");
+  const ConfigError error("of no kind");
+  CHECK(error.problem().fault == ConfigFault::other);
+  CHECK(textOf(error.problem()) == "of no kind");
+}
--- a/tests/process_log_test.cpp
+++ b/tests/process_log_test.cpp
@@ -50,7 +50,8 @@
   const std::string config = program.file("orders.json", program.config());
   auto [text, status] = program.response({"serve", "--config", config});
   CHECK(status == 1);
-  CHECK_THAT(text, Catch::Contains("error: fatal_error: merlinbridge cannot start or continue error="));
+  CHECK_THAT(text, Catch::Contains(
+                       "error: fatal_error: merlinbridge cannot start or continue step=open_gateway error="));
   CHECK_THAT(text, Catch::Contains("Address already in use"));
   std::tie(text, status) = program.response({"serve", "--orders", "/nowhere.json"});
   CHECK(status == 2);
