--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -18,15 +18,15 @@
   return hasLimit && !hasQuota;
 }
 
-double ConcurrencyLimit::freeSlots(double share, double othersRate) const {
-  if (share < 1) return std::max(kMinDividedSlots, plan_.open / gateways_) - inFlight_;
+double ConcurrencyLimit::freeSlots(double limitFraction, double othersRate) const {
+  if (limitFraction < 1) return std::max(kMinDividedSlots, plan_.open / gateways_) - inFlight_;
   const double othersInFlight = publishesUsage(plan_) ? othersRate : 0;
   return plan_.open - inFlight_ - othersInFlight;
 }
 
-bool ConcurrencyLimit::admits(double share, double othersRate, util::RandomSource& random) const {
+bool ConcurrencyLimit::admits(double limitFraction, double othersRate, util::RandomSource& random) const {
   if (plan_.open <= 0) return true;
-  return random.bernoulli(freeSlots(share, othersRate));
+  return random.bernoulli(freeSlots(limitFraction, othersRate));
 }
 
 void ConcurrencyLimit::attemptStarted() {
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -18,11 +18,11 @@
   /// Whether seconds in flight are published as the plan's usage.
   static bool publishesUsage(const Plan& plan);
 
-  /// Whether an attempt may start. `share`: 1 where the usage of all gateways is known, else this gateway's
-  /// part of the limit. `othersRate`: attempts that the other gateways have in flight on average. A fraction
-  /// of a free slot admits with that probability. Draws at random once for a plan with a limit, and not at
-  /// all for one without.
-  bool admits(double share, double othersRate, util::RandomSource& random) const;
+  /// Whether an attempt may start. `limitFraction`: 1 where the usage of all gateways is known, else this
+  /// gateway's part of the limit. `othersRate`: attempts that the other gateways have in flight on average. A
+  /// fraction of a free slot admits with that probability. Draws at random once for a plan with a limit, and
+  /// not at all for one without.
+  bool admits(double limitFraction, double othersRate, util::RandomSource& random) const;
 
   void attemptStarted();
   void attemptEnded();
@@ -32,7 +32,7 @@
 
  private:
   /// Attempts that may start now; below 0 where too many are in flight.
-  double freeSlots(double share, double othersRate) const;
+  double freeSlots(double limitFraction, double othersRate) const;
 
   const Plan& plan_;
   const double gateways_;
--- a/src/policy/counter_health.hpp
+++ b/src/policy/counter_health.hpp
@@ -6,7 +6,7 @@
 namespace merlinbridge::policy {
 
 /// Decides whether the counter service is unreachable, from the outcomes of all customers' calls, and reports
-/// when that begins and ends. Told the end of each call.
+/// when that begins and ends. Notified of the end of each call.
 class CounterHealth {
  public:
   /// The context must outlive this object.
--- a/src/policy/customer_state.hpp
+++ b/src/policy/customer_state.hpp
@@ -24,7 +24,7 @@
   TimePoint startedAt{};            ///< Start of the round: of its call.
 };
 
-/// All that one gateway keeps about one customer: its limits, and its place in the exchange with the counter
+/// The state of one customer at this gateway: its limits, and its place in the exchange with the counter
 /// service. The limits are classes of their own; this is what holds them together.
 struct CustomerState {
   /// `gateways`: how many the customer's requests come through, at least 1. The plan must outlive this
--- a/src/policy/customer_table.hpp
+++ b/src/policy/customer_table.hpp
@@ -7,8 +7,8 @@
 
 namespace merlinbridge::policy {
 
-/// Decides how long a customer's state is kept: until the customer has sent nothing for the retention of a
-/// count, has no attempt in flight and nothing that waits for the counter service. Looked up for each
+/// Decides how long a customer's state is retained: until the customer has sent nothing for the retention of
+/// a count, has no attempt in flight and nothing that waits for the counter service. Looked up for each
 /// request; swept with the attempts in flight.
 ///
 /// The states' addresses are stable until they are forgotten.
--- a/src/policy/decision_engine.cpp
+++ b/src/policy/decision_engine.cpp
@@ -64,7 +64,7 @@
                                                           const CustomerState& customer) {
   const QuotaBucket& bucket = customer.bucket;
   if (!bucket.admits(context_.now, request.units, context_.random)) return bucket.secondsUntil(request.units);
-  if (!customer.concurrency.admits(bucket.share(), bucket.othersRate(), context_.random))
+  if (!customer.concurrency.admits(bucket.quotaFraction(), bucket.othersRate(), context_.random))
     return statistics_.meanLatency();
   if (!customer.ceiling.admits(request.units)) return customer.ceiling.secondsUntil(request.units);
   return std::nullopt;
@@ -142,7 +142,7 @@
 
 void DecisionEngine::Impl::account(const AttemptResult& result, const RequestInFlight& request) {
   CustomerState& customer = *request.customer;
-  if (ConcurrencyLimit::publishesUsage(customer.plan)) customer.bucket.recordUse(seconds(result.took));
+  if (ConcurrencyLimit::publishesUsage(customer.plan)) customer.bucket.recordUse(seconds(result.duration));
   const bool statesTrueUnits = result.outcome == Outcome::ok && result.trueUnits > 0;
   if (statesTrueUnits) customer.bucket.correct(result.trueUnits - request.request.units);
 }
--- a/src/policy/engine_context.hpp
+++ b/src/policy/engine_context.hpp
@@ -6,8 +6,8 @@
 
 namespace merlinbridge::policy {
 
-/// What all parts of one engine share: settings, time, random draws, timers and the sink. The engine sets
-/// `now` before it hands an input on; the parts only read it.
+/// What all parts of one engine share: settings, time, random draws, timers and the sink. The engine sets the
+/// time of an input before it hands the input on; the parts only read the time.
 struct EngineContext {
   /// `seed` determines all random draws. `startTime`: start of this gateway process. The sink must outlive
   /// the context.
--- a/src/policy/engine_impl.hpp
+++ b/src/policy/engine_impl.hpp
@@ -23,8 +23,13 @@
 
   void updateHosts(const std::vector<HostUpdate>& updates);
   void updateAllHosts(const std::vector<HostUpdate>& updates);
+  /// Admits the request and starts its first attempt, or rejects it. The checks in order: the customer's
+  /// limits, the hosts' utilization, a host that may be sent the request. Spends the request's units only
+  /// where an attempt starts.
   void admit(const Request& request);
+  /// Ignores the result of an attempt that is unknown or has ended.
   void endAttempt(const AttemptResult& result);
+  /// Marks the request as answered, so that nothing further is started for it. Ignores an unknown request.
   void endClient(RequestId id);
   void endCounterCall(const CounterKey& key, CounterCallOutcome outcome, double total, Duration duration);
   void fire(TimerId timer);
--- a/src/policy/host_selection.cpp
+++ b/src/policy/host_selection.cpp
@@ -59,7 +59,7 @@
 std::optional<HostId> HostSelection::select(const Request& request, const HostFilter& allowed) {
   candidates_.clear();
   totalWeight_ = 0;
-  slowStart_.countWarmHosts();
+  slowStart_.countRampedUpHosts();
   forEachHost(hosts_, [&](HostId host) {
     if (hosts_.serving(host) && allowed(host) && available(host, request)) addCandidate(host);
   });
--- a/src/policy/host_statistics.cpp
+++ b/src/policy/host_statistics.cpp
@@ -39,7 +39,7 @@
 /// Mean latencies without a sign of a host that owes an answer, after which the host is unresponsive.
 constexpr double kUnresponsiveAfter = 5.0;
 
-/// The time after which what a silent host owes is overdue, as a multiple of the time until it is
+/// The silence of a host after which what it owes may be overdue, as a multiple of that until it is
 /// unresponsive.
 constexpr double kOverdueLimits = 2.0;
 
@@ -87,7 +87,7 @@
   const bool hostWasHeard = outcome != Outcome::noAnswer && outcome != Outcome::noConnection;
   if (hostWasHeard) heardAt_[host.value] = context_.now;
   if (!ok) return;
-  recordLatency(host, seconds(result.took), heardBefore);
+  recordLatency(host, seconds(result.duration), heardBefore);
   answers_[host.value].add(context_.now, kAnswerSeconds, 1);
   allAnswers_.add(context_.now, kAnswerSeconds, 1);
 }
--- a/src/policy/host_statistics.hpp
+++ b/src/policy/host_statistics.hpp
@@ -9,7 +9,7 @@
 
 /// Decides from what this gateway has seen of the hosts (latency, rates, attempts in flight) how many
 /// attempts a host may have in flight, how fast and how reliable it is, and whether it has stopped answering.
-/// Told every attempt's start and end; read at each selection of a host and by load shedding.
+/// Notified of every attempt's start and end; read at each selection of a host and by load shedding.
 ///
 /// Figures are parallel arrays by HostId. add() comes before any other use of a host.
 class HostStatistics {
--- a/src/policy/load_shedding.hpp
+++ b/src/policy/load_shedding.hpp
@@ -21,7 +21,7 @@
   LoadShedding(EngineContext& context, const util::HostTable& hosts, const HostStatistics& statistics,
                const OutlierDetection& outliers);
 
-  /// Whether the hosts' utilization leaves room for a request of this method and plan.
+  /// Whether the hosts' utilization leaves capacity for a request of this method and plan.
   bool admits(const Request& request) const;
 
   /// A request was rejected for lack of capacity. Reports the start of load shedding.
@@ -55,8 +55,7 @@
   const util::HostTable& hosts_;
   const HostStatistics& statistics_;
   const OutlierDetection& outliers_;
-  std::vector<double>
-      capacity_;  ///< By MethodId: attempts at all hosts, as of the last sweep; empty before it.
+  std::vector<double> capacity_;        ///< By MethodId: attempts at all hosts. Empty before the first sweep.
   util::DecayingCounter reports_;       ///< Load reports.
   util::DecayingCounter reportedLoad_;  ///< Sum of the utilization in them, 1 for a full host.
   TimePoint lastShedAt_{};
--- a/src/policy/outlier_detection.hpp
+++ b/src/policy/outlier_detection.hpp
@@ -8,8 +8,8 @@
 namespace merlinbridge::policy {
 
 /// Decides which hosts are ejected (sent nothing) for a while: those that cannot be reached, with exponential
-/// backoff, and those that report a queue that they cannot answer in time. Told the end of each attempt;
-/// asked at each selection of a host and at each sweep of load shedding.
+/// backoff, and those that report a queue that they cannot work off in time. Notified of the end of each
+/// attempt; asked at each selection of a host and at each sweep of load shedding.
 ///
 /// Figures are parallel arrays by HostId. add() comes before any other use of a host.
 class OutlierDetection {
--- a/src/policy/quota_bucket.cpp
+++ b/src/policy/quota_bucket.cpp
@@ -14,7 +14,7 @@
 constexpr double kUseWeight = 0.3;
 
 /// The fraction of what the other gateways used per second that is taken off the copy before the next total.
-constexpr double kAnticipatedShare = 0.5;
+constexpr double kAnticipatedFraction = 0.5;
 
 /// Units by which a total may be below what this gateway added itself before the count is taken to be lost.
 /// Covers rounding of sums.
@@ -34,7 +34,7 @@
       refilledAt_(now),
       roundAt_(now) {}
 
-double QuotaBucket::share() const {
+double QuotaBucket::quotaFraction() const {
   return copy_ == Copy::shared ? 1 : 1 / gateways_;
 }
 
@@ -42,11 +42,11 @@
   const double elapsed = seconds(now - refilledAt_);
   const double slicePart = sliceFraction(now);
   const double sliceRate = plan_.rate * slicePart;
-  const double anticipatedRate = std::min(plan_.rate * (1 - slicePart), kAnticipatedShare * othersRate_);
-  const double anticipatedUse = share() < 1 ? 0 : anticipatedRate * elapsed;
+  const double anticipatedRate = std::min(plan_.rate * (1 - slicePart), kAnticipatedFraction * othersRate_);
+  const double anticipatedUse = quotaFraction() < 1 ? 0 : anticipatedRate * elapsed;
   // A part of the bucket holds the largest request, though it fills no faster for it.
-  const double capacity = std::max(plan_.burst * share(), std::min(plan_.burst, maxUnits_));
-  level_ = std::min(capacity, level_ + plan_.rate * share() * elapsed - anticipatedUse);
+  const double capacity = std::max(plan_.burst * quotaFraction(), std::min(plan_.burst, maxUnits_));
+  level_ = std::min(capacity, level_ + plan_.rate * quotaFraction() * elapsed - anticipatedUse);
   slice_ = std::min(plan_.burst * slicePart, slice_ + sliceRate * elapsed);
   anticipated_ += anticipatedUse;
   refilledAt_ = now;
@@ -55,8 +55,8 @@
 double QuotaBucket::sliceFraction(TimePoint now) const {
   const double ownRate = (ownRate_ * lookBack_ + ownUse_) / (lookBack_ + seconds(now - roundAt_));
   const double totalRate = ownRate + othersRate_;
-  const double evenShare = 1 / gateways_;
-  return totalRate > 0 ? kUseWeight * ownRate / totalRate + (1 - kUseWeight) * evenShare : evenShare;
+  const double evenFraction = 1 / gateways_;
+  return totalRate > 0 ? kUseWeight * ownRate / totalRate + (1 - kUseWeight) * evenFraction : evenFraction;
 }
 
 bool QuotaBucket::admits(TimePoint now, double units, util::RandomSource& random) const {
@@ -64,11 +64,11 @@
   // A new customer's first request passes, also while the counter service is unreachable: its burst, divided
   // by many gateways, may not hold one request.
   if (copy_ != Copy::shared && !admittedInRound_) return units <= plan_.burst;
-  if (level_ >= units) return !admittedInRound_ || share() < 1 || units <= slice_;
+  if (level_ >= units) return !admittedInRound_ || quotaFraction() < 1 || units <= slice_;
   // Where parts are smaller than a request and many gateways see a customer seldom: once the others may have
   // used more than this request since the last total, it passes by the fraction of it that is left.
   const double othersMayHaveUsed = seconds(now - roundAt_) * std::min(othersRate_, plan_.rate);
-  const bool levelIsUncertain = share() < 1 || othersMayHaveUsed >= units;
+  const bool levelIsUncertain = quotaFraction() < 1 || othersMayHaveUsed >= units;
   return levelIsUncertain && random.bernoulli(level_ / units);
 }
 
--- a/src/policy/quota_bucket.hpp
+++ b/src/policy/quota_bucket.hpp
@@ -6,13 +6,14 @@
 namespace merlinbridge::policy {
 
 /// Decides whether a request is within the customer's quota, from this gateway's copy of the customer's token
-/// bucket and from what the counter service told of the use at the other gateways. Asked for each request,
+/// bucket and from what the counter service states of the use at the other gateways. Asked for each request,
 /// before the other checks. CounterExchange publishes its use and hands it the totals, a round at a time.
 ///
 /// Units are what requests cost; for a plan with only a concurrency limit, seconds in flight.
 ///
 /// The *level* is what the copy holds. The *slice* is the part of it that this gateway may admit before the
-/// next round: more than one request of a round must fit both.
+/// next round. A shared copy admits the first request of a round by the level alone, and the later ones by
+/// both.
 class QuotaBucket {
  public:
   /// `gateways`: how many the customer's requests come through, at least 1. `maxUnits`: the largest cost of a
@@ -41,7 +42,7 @@
   double secondsUntil(double units) const;
 
   /// The part of the quota that this copy stands for: 1 while shared, else 1 / gateways.
-  double share() const;
+  double quotaFraction() const;
 
   /// Units per second used at the other gateways, over the look-back.
   double othersRate() const { return othersRate_; }
@@ -96,12 +97,11 @@
   double slice_ = 0;              ///< Units that this gateway may still admit in this round.
   bool admittedInRound_ = false;  ///< Whether a request was admitted since the last round.
 
-  double ownRate_ = 0;     ///< Units per second used here, over the look-back.
-  double ownUse_ = 0;      ///< Units used here since the last round.
-  double othersRate_ = 0;  ///< Units per second used at the other gateways, over the look-back.
-  double othersUse_ = 0;   ///< Units that came to light in this round as used there.
-  double anticipated_ =
-      0;  ///< Units that refill() has taken off the level for use there since the last round.
+  double ownRate_ = 0;      ///< Units per second used here, over the look-back.
+  double ownUse_ = 0;       ///< Units used here since the last round.
+  double othersRate_ = 0;   ///< Units per second used at the other gateways, over the look-back.
+  double othersUse_ = 0;    ///< Units that came to light in this round as used there.
+  double anticipated_ = 0;  ///< Units that refill() took off the level for use there in this round.
 
   SlotId slot_{-1};          ///< The slot of the last total.
   double ownInSlot_ = 0;     ///< Units of that total that this gateway added.
--- a/src/policy/reported_load.hpp
+++ b/src/policy/reported_load.hpp
@@ -13,8 +13,8 @@
   double answersPerSecond;  ///< Above 0.
 };
 
-/// The usable part of a load report. Empty where the report lacks the requests in flight or the answers per
-/// second.
+/// The usable part of a load report; empty where the requests in flight or the answers per second are
+/// missing.
 std::optional<ReportedLoad> usableLoad(const LoadReport& report);
 
 }  // namespace merlinbridge::policy
--- a/src/policy/request_table.hpp
+++ b/src/policy/request_table.hpp
@@ -9,8 +9,8 @@
 namespace merlinbridge::policy {
 
 /// Owns the requests in flight, and the order in which their attempts started, so that attempts can be
-/// checked for being overdue oldest first. Decides nothing: the engine adds, finds and removes requests, and
-/// says at a sweep what becomes of each attempt.
+/// checked for being overdue, the oldest first. Decides nothing: the engine adds, finds and removes requests,
+/// and says at a sweep what becomes of each attempt.
 ///
 /// A request's address is stable until it is removed. Nothing depends on the order of the hash table.
 class RequestTable {
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -8,8 +8,9 @@
 
 /// Decides whether a request may be attempted again, at which hosts, and until when, so that no request takes
 /// effect twice; and whether a request that has failed here may be repeated by its client. Decides from the
-/// method's repeat rule, the request's earlier attempts, and a budget of retries and hedged requests. Told
-/// each attempt's start; asked at each selection of a host, at the end of each attempt, and for overdue ones.
+/// method's repeat rule, the request's earlier attempts, and a budget of retries and hedged requests.
+/// Notified of each attempt's start; asked at each selection of a host, at the end of each attempt, and for
+/// overdue ones.
 class RetryPolicy {
  public:
   /// Whether an attempt is a request's first.
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -15,10 +15,10 @@
 /// Requests of mean cost that all gateways together may send a host in an overload window, whatever was seen.
 constexpr double kMinBudgetRequests = 1.5;
 
-/// Time constant, in seconds, of what warm hosts are seen to answer.
+/// Time constant, in seconds, of what hosts that have ramped up are seen to answer.
 constexpr double kCarriedSeconds = 20;
 
-/// Seconds that this gateway is taken to have observed warm hosts for at least.
+/// Seconds that this gateway is taken to have observed those hosts for at least.
 constexpr double kMinObservedSeconds = 4.5;
 
 /// Weight of one request in the mean cost of a request, 0 to 1.
@@ -38,10 +38,10 @@
   return settings.startCapacity + (1 - settings.startCapacity) * std::clamp(age, 0.0, 1.0);
 }
 
-void SlowStart::countWarmHosts() {
-  warmHosts_ = 0;
+void SlowStart::countRampedUpHosts() {
+  rampedUpHosts_ = 0;
   forEachHost(hosts_, [this](HostId host) {
-    if (hosts_.serving(host) && !warmingUp(host)) ++warmHosts_;
+    if (hosts_.serving(host) && !warmingUp(host)) ++rampedUpHosts_;
   });
 }
 
@@ -68,7 +68,7 @@
   const double observed = std::max(seconds(context_.now - context_.startedAt), kMinObservedSeconds);
   // What a decaying counter sums up of a steady rate of 1 per second since the start of this process.
   const double countedSeconds = kCarriedSeconds * (1 - std::exp(-observed / kCarriedSeconds));
-  const double carried = warmHostUnits_.read(context_.now, kCarriedSeconds);
+  const double carried = rampedUpHostUnits_.read(context_.now, kCarriedSeconds);
   const double rate = settings.overloadMultiple * rampFactor(host) * carried / countedSeconds;
   const double least = kMinBudgetRequests * meanUnits_ / settings.gateways;
   return std::max(least, kBudgetSafety * rate * seconds(settings.overloadWindow)) / kBudgetParts;
@@ -81,7 +81,7 @@
 void SlowStart::recordAnswer(HostId host, double units) {
   meanUnits_ += kMeanUnitsGain * (units - meanUnits_);
   if (warmingUp(host)) return;
-  warmHostUnits_.add(context_.now, kCarriedSeconds, units / std::max(1, warmHosts_));
+  rampedUpHostUnits_.add(context_.now, kCarriedSeconds, units / std::max(1, rampedUpHosts_));
 }
 
 }  // namespace merlinbridge::policy
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -8,9 +8,9 @@
 
 namespace merlinbridge::policy {
 
-/// Decides how much a host that warms up may be sent, from its age and from what warm hosts are seen to
-/// answer, so that all gateways together do not overload it. Asked at each selection of a host; told each
-/// attempt's start and answer.
+/// Decides how much a host that warms up may be sent, from its age and from what hosts that have ramped up
+/// are seen to answer, so that all gateways together do not overload it. Asked at each selection of a host;
+/// notified of each attempt's start and answer.
 ///
 /// A host's ramp factor rises from the settings' start capacity to 1 with its age. Its budget is granted for
 /// a part of the settings' overload window at a time.
@@ -28,11 +28,11 @@
   /// Whether the host has not reached its full capacity yet.
   bool warmingUp(HostId host) const { return rampFactor(host) < 1; }
 
-  /// Whether the host may be sent a request of so many units now; always true where it is warm. May draw at
-  /// random. Each gateway keeps to its part of what warm hosts are seen to answer, retries and hedges
-  /// included, under uneven traffic and bursts. What it does not use lapses. A part below one request is
-  /// drawn for, once; nothing is granted ahead. Before anything was seen, all gateways together may send a
-  /// little, which overloads no host.
+  /// Whether the host may be sent a request of so many units now; always true for a host that has ramped up.
+  /// May draw at random. Each gateway keeps to its part of what hosts that have ramped up are seen to answer,
+  /// retries and hedges included, under uneven traffic and bursts. What it does not use lapses. A part below
+  /// one request is drawn for, once; nothing is granted ahead. Before anything was seen, all gateways
+  /// together may send a little, which overloads no host.
   bool admits(HostId host, double units);
 
   /// A request of so many units is sent to the host, as a first attempt, a retry or a hedge.
@@ -41,8 +41,8 @@
   /// The host has answered a request of so many units.
   void recordAnswer(HostId host, double units);
 
-  /// Counts the hosts that are warm. Called once for each selection.
-  void countWarmHosts();
+  /// Counts the hosts that serve and have ramped up. Called once for each selection.
+  void countRampedUpHosts();
 
  private:
   /// What this gateway may still send a host in the present part of the overload window.
@@ -58,10 +58,10 @@
 
   EngineContext& context_;
   const util::HostTable& hosts_;
-  std::vector<Budget> budgets_;          ///< By HostId.
-  util::DecayingCounter warmHostUnits_;  ///< Units answered by one warm host, on average.
-  int warmHosts_ = 0;                    ///< As of the last selection.
-  double meanUnits_ = 1;                 ///< Of a request that was answered, smoothed.
+  std::vector<Budget> budgets_;              ///< By HostId.
+  util::DecayingCounter rampedUpHostUnits_;  ///< Units answered by one host that has ramped up, on average.
+  int rampedUpHosts_ = 0;                    ///< As of the last selection.
+  double meanUnits_ = 1;                     ///< Of a request that was answered, smoothed.
 };
 
 }  // namespace merlinbridge::policy
--- a/src/policy/state_notice.hpp
+++ b/src/policy/state_notice.hpp
@@ -5,8 +5,8 @@
 namespace merlinbridge::policy {
 
 /// Decides when a condition is reported as begun or ended: at each change, but not more often than once in an
-/// interval, so that a condition that comes and goes does not fill the log. Told the condition whenever it is
-/// known.
+/// interval, so that a condition that comes and goes does not fill the log. Notified whenever the condition
+/// is known.
 class StateNotice {
  public:
   /// `began`, `ended`: what is reported at a change. The condition starts as not active.
--- a/src/policy_api/decision_engine.hpp
+++ b/src/policy_api/decision_engine.hpp
@@ -7,7 +7,7 @@
 
 #include "policy_api/policy_settings.hpp"
 
-/// The public interface of the decision engine: what it is told, and what it asks for in turn. The gateway
+/// The public interface of the decision engine: its inputs, and what it requests in turn. The gateway
 /// process (gateway_core), the emulator and the simulator adapter are its callers.
 namespace merlinbridge {
 
@@ -30,7 +30,7 @@
   loadSheddingStopped   ///< No request was rejected for lack of capacity for one slot of time.
 };
 
-/// What the engine asks of its caller. Implemented outside the engine; every function is called on the
+/// What the engine requests of its caller. Implemented outside the engine; every function is called on the
 /// caller's thread while the engine handles an input, and must not call the engine in turn: what follows from
 /// the request is reported as an input of its own, later.
 class DecisionSink {
@@ -126,7 +126,7 @@
   bool requestAnswered = false;
 
   /// Time from the attempt's start to its end.
-  Duration took{};
+  Duration duration{};
 
   /// True cost of the request in units; 0: the host did not state one. Read where `outcome` is ok.
   double trueUnits = 0;
@@ -142,15 +142,15 @@
   CellId cell;
   MachineId machine;
 
-  /// Whether the host takes requests. False: it drains or is gone.
+  /// Whether the host takes requests. False: it is draining or gone.
   bool serving = false;
 
   /// Relative weight that the operator gave the host. The engine does not read it.
   double weight = 1;
 
-  /// When the host's process started. Empty: long ago, the host does not warm up. A change tells that the
+  /// When the host's process started. Empty: long ago, the host does not warm up. A change means that the
   /// host has restarted.
-  std::optional<TimePoint> started;
+  std::optional<TimePoint> startedAt;
 };
 
 /// How a call to the counter service ended.
@@ -195,9 +195,9 @@
   void clientLeft(TimePoint now, RequestId);
 
   /// A call that addToCounter asked for has ended. `total`: of the count after the call, in units, read where
-  /// `end` is ok. `took`: the call's duration.
-  void counterCallEnded(TimePoint now, const CounterKey&, CounterCallOutcome end, double total,
-                        Duration took);
+  /// `outcome` is ok. `duration`: the call's duration.
+  void counterCallEnded(TimePoint now, const CounterKey&, CounterCallOutcome outcome, double total,
+                        Duration duration);
 
   /// A timer that wakeAt asked for is due. A timer that has fired already is ignored.
   void timerFired(TimePoint now, TimerId);
--- a/src/policy_api/policy_settings.hpp
+++ b/src/policy_api/policy_settings.hpp
@@ -25,8 +25,7 @@
   cell   ///< Hosts of one cell.
 };
 
-/// One method of the service: how its requests may be repeated, how fast they are wanted, what they are
-/// worth.
+/// One method of the service: how its requests may be repeated, their latency objective and their priority.
 struct Method {
   Repeat repeat = Repeat::nonIdempotent;
 
@@ -68,7 +67,7 @@
   double price = 1;
 };
 
-/// What the engine is told when it is created.
+/// The settings that the engine is created with.
 struct PolicySettings {
   /// By MethodId.
   std::vector<Method> methods;
--- a/src/policy_binding/decision_engine.cpp
+++ b/src/policy_binding/decision_engine.cpp
@@ -39,9 +39,9 @@
 }
 
 void DecisionEngine::counterCallEnded(TimePoint now, const CounterKey& key, CounterCallOutcome outcome,
-                                      double total, Duration took) {
+                                      double total, Duration duration) {
   impl_->advanceTo(now);
-  impl_->endCounterCall(key, outcome, total, took);
+  impl_->endCounterCall(key, outcome, total, duration);
 }
 
 void DecisionEngine::timerFired(TimePoint now, TimerId timer) {
--- a/src/util/host_table.cpp
+++ b/src/util/host_table.cpp
@@ -15,13 +15,13 @@
 bool HostTable::update(const HostUpdate& update) {
   const std::size_t host = update.host.value;
   extendTo(host + 1);
-  const bool restarted = update.started != startedAt_[host];
+  const bool restarted = update.startedAt != startedAt_[host];
   const bool isFresh = restarted || !serving_[host];
   servingCount_ += int{update.serving} - serving_[host];
   serving_[host] = update.serving;
   zone_[host] = update.zone;
   cell_[host] = update.cell;
-  startedAt_[host] = update.started;
+  startedAt_[host] = update.startedAt;
   return isFresh;
 }
 
--- a/tests/policy/customer_limits_test.cpp
+++ b/tests/policy/customer_limits_test.cpp
@@ -44,7 +44,7 @@
 
 TEST_CASE("quota bucket: before the first total the copy holds this gateway's part of the burst") {
   BucketFixture fixture(3);
-  CHECK(fixture.bucket.share() == Approx(1.0 / 3));
+  CHECK(fixture.bucket.quotaFraction() == Approx(1.0 / 3));
   CHECK(fixture.admitted(12) == 4);
 }
 
@@ -58,7 +58,7 @@
   BucketFixture fixture(3);
   fixture.admitted(2);
   fixture.endRound(8);  // 6 of them by others
-  CHECK(fixture.bucket.share() == 1);
+  CHECK(fixture.bucket.quotaFraction() == 1);
   CHECK(fixture.bucket.othersRate() > 0);
   // 12 less 8 are left, and of these this gateway's slice: between an even third and its share of use.
   const int admitted = fixture.admitted(12);
@@ -72,7 +72,7 @@
   fixture.admitted(4);
   fixture.bucket.divide();
   CHECK(fixture.bucket.isDivided());
-  CHECK(fixture.bucket.share() == Approx(1.0 / 3));
+  CHECK(fixture.bucket.quotaFraction() == Approx(1.0 / 3));
   fixture.now += 60s;
   fixture.bucket.refill(fixture.now);
   CHECK(fixture.bucket.takeUnpublished() == 0);  // its part is full again
--- a/tests/policy/hosts_test.cpp
+++ b/tests/policy/hosts_test.cpp
@@ -43,12 +43,12 @@
     selection.reset(update.host);
   }
   /// The host answers so many requests, one every interval.
-  void answerRequests(std::uint32_t host, int count, Duration interval, Duration took = 20ms) {
+  void answerRequests(std::uint32_t host, int count, Duration interval, Duration duration = 20ms) {
     for (int i = 0; i < count; ++i) {
       pass(interval);
       statistics.attemptStarted({host});
       statistics.attemptEnded({host});
-      statistics.recordOutcome(someRequest(), someResult(host, Outcome::ok, took));
+      statistics.recordOutcome(someRequest(), someResult(host, Outcome::ok, duration));
       slowStart.recordAnswer({host}, 1);
     }
   }
@@ -173,8 +173,8 @@
 
 TEST_CASE("slow start: a host that warms up is sent no more than its budget, and unused budget lapses") {
   HostsFixture fixture(1);
-  fixture.answerRequests(0, 500, 20ms);  // a warm host carries 50 a second
-  fixture.slowStart.countWarmHosts();
+  fixture.answerRequests(0, 500, 20ms);  // a host that has ramped up answers 50 a second
+  fixture.slowStart.countRampedUpHosts();
   fixture.announce(servingHost(1, fixture.context.now));
   const auto sent = [&fixture] {
     int count = 0;
@@ -209,7 +209,7 @@
   HostsFixture fixture(2);
   HostUpdate draining = servingHost(0);
   draining.serving = false;
-  SECTION("drains") {
+  SECTION("draining") {
     fixture.announce(draining);
   }
   SECTION("ejected") {
--- a/tests/policy/policy_fixture.hpp
+++ b/tests/policy/policy_fixture.hpp
@@ -87,13 +87,13 @@
   EngineContext context;
 };
 
-inline HostUpdate servingHost(std::uint32_t host, std::optional<TimePoint> started = {},
+inline HostUpdate servingHost(std::uint32_t host, std::optional<TimePoint> startedAt = {},
                               std::uint32_t zone = 0) {
   HostUpdate update;
   update.host = {host};
   update.zone = {zone};
   update.serving = true;
-  update.started = started;
+  update.startedAt = startedAt;
   return update;
 }
 
@@ -108,12 +108,12 @@
   return request;
 }
 
-inline AttemptResult someResult(std::uint32_t host, Outcome outcome, Duration took = 20ms) {
+inline AttemptResult someResult(std::uint32_t host, Outcome outcome, Duration duration = 20ms) {
   AttemptResult result;
   result.requestId = {1};
   result.host = {host};
   result.outcome = outcome;
-  result.took = took;
+  result.duration = duration;
   return result;
 }
 
--- a/tests/policy/requests_test.cpp
+++ b/tests/policy/requests_test.cpp
@@ -100,7 +100,8 @@
   CHECK(fixture.sweep(RequestTable::Check::done) == Ids{1});
 }
 
-TEST_CASE("customer table: a customer is kept while in use, and forgotten after the retention of a count") {
+TEST_CASE(
+    "customer table: a customer is retained while in use and forgotten after the retention of a count") {
   Fixture fixture;
   CustomerTable customers(fixture.context);
   CustomerState& customer = customers.customerOf(someRequest());
