--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -21,9 +21,13 @@
 namespace merlinbridge::net {
 
 namespace asio = boost::asio;
+/// The result of an Asio call or wait; false if it succeeded.
 using Error = boost::system::error_code;
+/// Handlers bound to it never run concurrently; the gateway has one, EventLoop::strand.
 using Strand = asio::strand<asio::io_context::executor_type>;
+/// A TCP socket whose completions run on the strand.
 using Socket = asio::basic_stream_socket<asio::ip::tcp, Strand>;
+/// An IP address with a port.
 using SocketAddress = asio::ip::tcp::endpoint;
 using core::SlotRef;
 
