--- a/src/config/config_error.cpp
+++ b/src/config/config_error.cpp
@@ -35,7 +35,7 @@
   if (problem.fault == ConfigFault::unreadableFile) return "cannot read " + problem.path;
   if (problem.fault == ConfigFault::missingSetting) return problem.path + " is not set";
   if (problem.fault == ConfigFault::notAnObject) return "the file is not a JSON object";
-  const std::string reason(reasonOf(problem));
+  std::string reason(reasonOf(problem));
   const std::size_t dot = problem.path.rfind('.');
   if (dot == std::string::npos) return reason;
   return problem.path.substr(0, dot) + ": field '" + problem.path.substr(dot + 1) + "' " + reason;
--- a/tests/process_log_test.cpp
+++ b/tests/process_log_test.cpp
@@ -162,7 +162,7 @@
   REQUIRE(drained.logHolds("info: ready"));
   const std::string request = LoopbackGateway::request("look");
   std::string many;
-  for (int n = 0; n < 1000; ++n) many += request;
+  for (int copies = 0; copies < 1000; ++copies) many += request;
   Peer deaf = drained.client();
   std::size_t sent = 0;
   auto lastAccepted = std::chrono::steady_clock::now();
