--- a/src/emulator/invariant_checker.hpp
+++ b/src/emulator/invariant_checker.hpp
@@ -12,90 +12,122 @@
 
 namespace merlinbridge::emulator {
 
-using ClientAttemptId = Id<struct ClientAttemptKind>;  ///< one try of a client; each has a name of its own
+/// One attempt of a client; each has an id of its own.
+using ClientAttemptId = Id<struct ClientAttemptKind>;
 using HostNumber = Id<struct HostNumberKind, std::uint32_t>;
 using GatewayNumber = Id<struct GatewayNumberKind, std::uint32_t>;
 
-enum class Invariant { lost, duplicate, drain, cold, ceiling };
+/// The rules that every gateway has to keep.
+enum class Invariant {
+  lost,       ///< Every request has one whole answer in time, and only after a host has made it.
+  duplicate,  ///< No effect comes twice.
+  drain,      ///< No request goes to a host after the grace time of its drain.
+  cold,       ///< Gateways that know of a host's start do not overload it while it warms up.
+  ceiling     ///< No customer gets beyond its hard ceiling and its slack.
+};
 inline constexpr std::size_t kInvariants = 5;
+/// The name of a rule in tables and on the command line.
 std::string_view wordOf(Invariant);
 
+/// How a gateway answers a client attempt.
 enum class Answer { ok, rejected, failed };
 
+/// One breach of a rule.
 struct Violation {
   TimePoint at;
   Invariant rule;
-  ClientAttemptId attemptId;  ///< 0 where it is no single request's
+  ClientAttemptId attemptId;  ///< 0 if the breach is not of a single request.
   std::string what;
 };
 
-/// What really happened, and whether the five rules were kept. It is told by the machines and the network,
-/// never by a gateway's decisions, and knows nothing of them. What it remembers is bounded by what is in
-/// flight.
+/// Judges whether the five rules are kept, from what really happened: it is notified by the emulated hosts,
+/// clients and network, never by a gateway's decisions. What it remembers is bounded by what is in flight.
+/// The scenario must outlive it.
 class InvariantChecker {
  public:
   explicit InvariantChecker(const Scenario&);
 
+  /// A request as a gateway gets it.
   struct Asked {
     GatewayNumber gateway;
-    std::uint32_t method = 0, plan = 0;
+    std::uint32_t method = 0;
+    std::uint32_t plan = 0;
     std::uint64_t customer = 0;
     double units = 0;
     TimePoint deadline;
   };
+  /// A gateway has the whole of a request.
   void taken(TimePoint, ClientAttemptId, const Asked&);
+  /// The client's connection has ended before the answer.
   void clientLeft(TimePoint, ClientAttemptId);
+  /// The gateway has written a final answer.
   void answered(TimePoint, ClientAttemptId, Answer);
+  /// The gateway's process has ended: its requests are forgotten, none of them counts as lost.
   void gatewayDied(TimePoint, GatewayNumber);
 
-  void sent(TimePoint, ClientAttemptId, std::uint32_t no, HostNumber, std::uint32_t zone, std::int64_t cell);
-  /// The whole of it is at the host. True: its units were inside the customer's quota. Empty: not its first.
-  std::optional<bool> reached(TimePoint, ClientAttemptId, std::uint32_t no);
-  void ran(TimePoint, ClientAttemptId, std::uint32_t no, HostNumber, std::uint32_t zone, std::int64_t cell);
-  void served(TimePoint, ClientAttemptId, std::uint32_t no);  ///< the host has written its answer
-  /// The gateway has it that this attempt is over; proven: by the protocol's table it has never run.
-  void over(TimePoint, ClientAttemptId, std::uint32_t no, bool proven);
-
-  /// Work has come to a host that started then. True: it is cold and falls over under it.
+  /// The gateway has started an attempt.
+  void sent(TimePoint, ClientAttemptId, std::uint32_t attemptNumber, HostNumber, std::uint32_t zone,
+            std::int64_t cell);
+  /// The whole request is at a host. Returns whether its units were inside the customer's quota; empty if
+  /// this is not the first attempt of the request to get there.
+  std::optional<bool> reached(TimePoint, ClientAttemptId, std::uint32_t attemptNumber);
+  /// The host has begun to work on it.
+  void ran(TimePoint, ClientAttemptId, std::uint32_t attemptNumber, HostNumber, std::uint32_t zone,
+           std::int64_t cell);
+  void served(TimePoint, ClientAttemptId, std::uint32_t attemptNumber);  ///< The host has written its answer.
+  /// The attempt is over for the gateway. `proven`: by the protocol's table it has never run.
+  void over(TimePoint, ClientAttemptId, std::uint32_t attemptNumber, bool proven);
+
+  /// A request has come to a host that started at that time. Returns whether the host fails under it, which
+  /// can be only during its slow start. `told`: discovery had told the gateway of the start.
   bool hostAsked(TimePoint, HostNumber, TimePoint started, Duration work, bool told);
+  /// Discovery has told a gateway whether a host serves.
   void told(TimePoint, GatewayNumber, HostNumber, bool serving);
-  void hostForgotten(HostNumber);  ///< gone for so long that nobody speaks of it any more
+  void hostForgotten(HostNumber);  ///< The host has long been gone.
 
+  /// The run is over: what is still without an answer after its time counts as lost.
   void finish(TimePoint);
 
-  const std::vector<Violation>& first() const { return first_; }  // of each rule, the first few
+  const std::vector<Violation>& first() const { return first_; }  ///< The first few of each rule.
   std::uint64_t count(Invariant rule) const { return counts_[static_cast<std::size_t>(rule)]; }
   std::uint64_t all() const;
+  /// Requests in flight.
   std::size_t held() const { return open_.size(); }
 
-  /// Units sent on, of the plan with a ceiling that came nearest to its bound or went furthest over it, in
-  /// any ten seconds: over what its rate and burst give.
+  /// The most units that a customer with a ceiling got in any ten seconds, over what rate and burst of the
+  /// ceiling give in that time.
   double worstWindow() const { return worstWindow_; }
-  /// What the cold host that came nearest to its budget, or went furthest over it, was sent: a share of that.
+  /// The most that a host in slow start was sent, over its budget.
   double nearestCold() const { return nearestCold_; }
   double unitsSent() const { return unitsSent_; }
   double unitsBeyond() const { return unitsBeyond_; }
   std::uint64_t runsTwice() const { return runsTwice_; }
-  /// Would these units be inside the customer's quota, and its ceiling, right now?
+  /// Whether these units would be inside the customer's quota and ceiling now.
   bool wouldFit(TimePoint, std::uint64_t customer, std::uint32_t plan, double units) const;
-  /// What a cold host may be sent in the time that the terms name, by the page's budget.
+  /// Requests of mean work that a host in slow start may be sent in Scenario::tip.
   double coldBudget(TimePoint now, TimePoint started) const;
 
  private:
-  struct Out {
-    HostNumber machine;
+  struct Attempt {
+    HostNumber host;
     std::uint32_t zone = 0;
     std::int64_t cell = 0;
     TimePoint sentAt;
-    bool out = true, proven = false, served = false, ran = false;
+    bool out = true;
+    bool proven = false;
+    bool served = false;
+    bool ran = false;
   };
-  struct Open {
+  struct OpenRequest {
     Asked asked;
-    std::vector<Out> outs;
-    bool answered = false, left = false, drawn = false;
+    std::vector<Attempt> attempts;
+    bool answered = false;
+    bool left = false;
+    bool drawn = false;
   };
   struct CustomerState {
-    double level, ceiling;
+    double level = 0;
+    double ceiling = 0;
     TimePoint at;
     std::deque<std::pair<TimePoint, double>>
         window;  ///< units sent in the last ten seconds, where there is a ceiling
@@ -109,19 +141,21 @@
       bool told = false;    ///< the gateway had been told of the start
     };
     std::deque<Part> parts;
-    double sum = 0, sumTold = 0;
+    double sum = 0;
+    double sumTold = 0;
   };
 
-  Open* find(ClientAttemptId);
+  OpenRequest* find(ClientAttemptId);
   void close(ClientAttemptId);
   void violation(TimePoint, Invariant, ClientAttemptId, std::string what);
-  bool mayRepeat(TimePoint, const Open&, std::uint32_t zone, std::int64_t cell) const;
-  bool mayHaveRun(const Open&) const;
-  std::optional<bool> draw(TimePoint, ClientAttemptId, Open&);
-
-  const Scenario& s_;
-  double capacity_ = 1, meanWork_ = 1;  ///< requests a second that a warm host carries; seconds of one
-  std::unordered_map<std::uint64_t, Open> open_;
+  bool mayRepeat(TimePoint, const OpenRequest&, std::uint32_t zone, std::int64_t cell) const;
+  bool mayHaveRun(const OpenRequest&) const;
+  std::optional<bool> draw(TimePoint, ClientAttemptId, OpenRequest&);
+
+  const Scenario& scenario_;
+  double capacity_ = 1;  ///< Requests of mean work a second that a host serves after its slow start.
+  double meanWork_ = 1;  ///< Seconds.
+  std::unordered_map<std::uint64_t, OpenRequest> open_;
   std::unordered_map<std::uint64_t, CustomerState> customers_;
   std::size_t sweepAt_ = 1024;
   std::map<std::uint32_t, Cold> cold_;
@@ -129,7 +163,10 @@
       notServing_;  ///< gateway and machine: told when
   std::vector<Violation> first_;
   std::uint64_t counts_[kInvariants] = {};
-  double worstWindow_ = 0, nearestCold_ = 0, unitsSent_ = 0, unitsBeyond_ = 0;
+  double worstWindow_ = 0;
+  double nearestCold_ = 0;
+  double unitsSent_ = 0;
+  double unitsBeyond_ = 0;
   std::uint64_t runsTwice_ = 0;
 };
 
