--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -1,7 +1,9 @@
 #include <catch2/catch.hpp>
 
 #include "emulator/event_queue.hpp"
+#include "emulator/front_load_balancer.hpp"
 #include "emulator/metrics.hpp"
+#include "emulator/network.hpp"
 #include "emulator/random_stream.hpp"
 #include "emulator/scenario_keys.hpp"
 
@@ -169,6 +171,60 @@
   CHECK(sum / 10'000 == Approx(3).epsilon(0.05));
 }
 
+TEST_CASE("active faults: factors multiply, and each ends by its number") {
+  Fault slow{FaultKind::hostSlow, {0, 0}, {1, 1}, 1, 3, 1};
+  Fault slower{FaultKind::hostSlow, {0, 0}, {1, 1}, 1, 2, 1};
+  Fault loss{FaultKind::netLoss, {0, 0}, {1, 1}, 1, 0.25, 1};
+  ActiveFaults faults;
+  CHECK_FALSE(faults.any(FaultKind::hostSlow));
+  CHECK(faults.factor(FaultKind::hostSlow) == 1);
+  faults.add(0, {&slow, {1, 0}, 0});
+  faults.add(1, {&slower, {1, 1}, 0});
+  faults.add(2, {&loss, {}, 0});
+  CHECK(faults.factor(FaultKind::hostSlow) == 6);
+  CHECK(faults.scaledFor(FaultKind::hostSlow, 0, 10) == 60);
+  CHECK(faults.scaledFor(FaultKind::hostSlow, 1, 10) == 20);
+  CHECK(faults.scaledFor(FaultKind::hostSlow, 2, 10) == 10);  // a host that came after the faults began
+  CHECK(faults.survival(FaultKind::netLoss, 0.5) == 0.375);
+  CHECK(faults.affects(FaultKind::hostSlow, 1));
+  CHECK(faults.remove(1).fault == &slower);
+  CHECK_FALSE(faults.affects(FaultKind::hostSlow, 1));
+  CHECK(faults.affects(FaultKind::hostSlow, 0));
+}
+
+TEST_CASE("network: a cut zone reaches no other, and a delay stays within its bounds") {
+  const Scenario scenario = readScenario(kPlain, "s.toml", {"network.delay=2ms", "network.jitter=1ms"});
+  Fault cut{FaultKind::zoneCut, {0, 0}, {1, 1}, 1, 1, 1};
+  ActiveFaults faults;
+  Network network(scenario, 1, faults);
+  CHECK_FALSE(network.isPartitioned(0, 1));
+  CHECK_FALSE(network.losesCounterAnswer());
+  for (int i = 0; i < 100; ++i) {
+    const Duration delay = network.delay();
+    CHECK(delay >= 2ms);
+    CHECK(delay < 3ms);
+  }
+  faults.add(0, {&cut, {}, 1});
+  CHECK(network.isPartitioned(0, 1));
+  CHECK(network.isPartitioned(1, 2));
+  CHECK_FALSE(network.isPartitioned(0, 2));
+  CHECK_FALSE(network.isPartitioned(1, 1));
+}
+
+TEST_CASE(
+    "front load balancer: a customer keeps to its set of gateways, and to those of it that are listed") {
+  FrontLoadBalancer front(readScenario(kPlain, "s.toml"));  // 3 gateways, 2 for each customer
+  const std::uint32_t first = front.choose(7, 0);
+  const std::uint32_t second = front.choose(7, 0.99);
+  CHECK(second == (first + 1) % 3);
+  front.setListed(first, false);
+  CHECK(front.choose(7, 0) == second);
+  front.setListed(second, false);
+  CHECK(front.choose(7, 0) == first);  // none is listed: it is used all the same
+  front.setListed(first, true);
+  CHECK(front.choose(7, 0.99) == first);
+}
+
 TEST_CASE("a scenario is read whole, and what is written reads as the same") {
   const Scenario s = readScenario(kPlain + fault("host_slow", "1s", "2s", "factor = 5"), "s.toml");
   CHECK(s.gateways == 3);
