--- a/src/emulator/invariant_checker.cpp
+++ b/src/emulator/invariant_checker.cpp
@@ -231,23 +231,22 @@
     worstWindow_ =
         std::max(worstWindow_, state.inWindow / (plan.ceilingRate * seconds(kWindow) + plan.ceilingBurst));
   }
-  // A state that is full again is the same as a new one.
-  if (customers_.size() >= sweepAt_) {
-    std::erase_if(customers_, [this, now](const auto& entry) {
-      double longest = seconds(kWindow);
-      for (const ScenarioPlan& each : scenario_.plans) {
-        if (each.plan.rate > 0) longest = std::max(longest, each.plan.burst / each.plan.rate);
-        if (each.plan.ceilingRate > 0)
-          longest =
-              std::max(longest, (each.plan.ceilingBurst + each.plan.ceilingSlack) / each.plan.ceilingRate);
-      }
-      return seconds(now - entry.second.seen) > longest;
-    });
-    sweepAt_ = std::max<std::size_t>(1024, 2 * customers_.size());
-  }
+  if (customers_.size() >= sweepAt_) forgetIdleCustomers(now);
   return inside;
 }
 
+// A customer whose quota and ceiling are full again is the same as a new one.
+void InvariantChecker::forgetIdleCustomers(TimePoint now) {
+  double longest = seconds(kWindow);
+  for (const ScenarioPlan& each : scenario_.plans) {
+    if (each.plan.rate > 0) longest = std::max(longest, each.plan.burst / each.plan.rate);
+    if (each.plan.ceilingRate > 0)
+      longest = std::max(longest, (each.plan.ceilingBurst + each.plan.ceilingSlack) / each.plan.ceilingRate);
+  }
+  std::erase_if(customers_, [&](const auto& entry) { return seconds(now - entry.second.seen) > longest; });
+  sweepAt_ = std::max<std::size_t>(1024, 2 * customers_.size());
+}
+
 bool InvariantChecker::wouldFit(TimePoint now, std::uint64_t customer, std::uint32_t planNumber,
                                 double units) const {
   const Plan& plan = scenario_.plans[planNumber].plan;
--- a/src/emulator/invariant_checker.hpp
+++ b/src/emulator/invariant_checker.hpp
@@ -151,6 +151,7 @@
   bool mayRepeat(TimePoint, const OpenRequest&, std::uint32_t zone, std::int64_t cell) const;
   bool mayHaveRun(const OpenRequest&) const;
   std::optional<bool> draw(TimePoint, ClientAttemptId, OpenRequest&);
+  void forgetIdleCustomers(TimePoint);
 
   const Scenario& scenario_;
   double capacity_ = 1;  ///< Requests of mean work a second that a host serves after its slow start.
