--- a/scripts/check_layout.sh
+++ b/scripts/check_layout.sh
@@ -27,7 +27,8 @@
 # readability-isolate-declaration of clang-tidy 14 looks at local variables only.
 while IFS= read -r line; do
   fail "several members in one declaration: $line"
-done < <(grep -HnE '^ +(mutable |static |const )*[A-Za-z_:][A-Za-z0-9_:]*(<[^()]*>)? \w+( = [^,;()]+|\{[^}]*\})?, \w+[^()]*;' "${headers[@]}" || true)
+done < <(grep -vHnE '^ +using ' "${headers[@]}" |
+  grep -E ':[0-9]+: +(mutable |static |const )*[A-Za-z_:][A-Za-z0-9_:]*(<[^()]*>)? \w+( = [^,;()]+|\{[^}]*\})?, \w+[^()]*;' || true)
 
 while IFS= read -r line; do
   fail "no doc comment: $line"
--- a/scripts/compare_results.sh
+++ b/scripts/compare_results.sh
@@ -67,7 +67,7 @@
     FILENAME == ARGV[1] { new_title[$1] = $2; next }
     { for (i = 1; i <= NF; ++i) if ($i in new_title) $i = new_title[$i] }
     $2 == "hash" || $2 == "version" { next }
-    $2 ~ /^\(/ { next }  # The head of the summary: "NAME (HASH), seed ..."
+    /\([0-9a-f]+\), seed [0-9]+, / { next }  # The head of the summary: "NAME (HASH), seed ..."
     { $1 = $1; print }   # Joins the words by single spaces.
   ' "$titles" "$1" | sort
 }
--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -44,7 +44,7 @@
 }  // namespace
 
 GatewayConfig readSettings(const Fields& profile) {
-  const Fields limits = profile.partOrNone("limits");
+  const Fields limits = profile.optionalSection("limits");
   GatewayConfig config{};
   config.settings = readPolicySettings(profile);
   config.methods = namesOf(profile, "requestClasses");
@@ -53,8 +53,8 @@
   config.machines = namesOf(profile, "machineTypes");
   config.idle = limits.duration("connIdle", kDefaultIdleTime);
   config.step = profile.duration("step", Duration{0});
-  config.answerSlack = profile.part("rules").duration("answerSlack", Duration{0});
-  config.drainGrace = profile.part("rules").duration("drainGrace", config.settings.connectTimeout);
+  config.answerSlack = profile.section("rules").duration("answerSlack", Duration{0});
+  config.drainGrace = profile.section("rules").duration("drainGrace", config.settings.connectTimeout);
   config.longestDeadline = longestDeadlineOf(profile);
   return config;
 }
@@ -66,15 +66,15 @@
   if (parser.parse(text).get(root) || !root.is_object())
     throw ConfigError({ConfigFault::notAnObject, {}, {}, {}});
   const Fields file("config", root);
-  GatewayConfig config = readSettings(file.part("settings"));
+  GatewayConfig config = readSettings(file.section("settings"));
   config.name = file.get<std::string_view>("name", "");
   config.listen = file.need<std::string_view>("listen");
   config.discovery = file.need<std::string_view>("discovery");
   config.counter = file.get<std::string_view>("counter", "");
   config.seed = readSeed(file);
-  config.sockets = file.partOrNone("limits").get("sockets", kDefaultSockets);
-  config.known = file.has("known") ? readEndpointList(file.part("known")) : EndpointList{0, true, {}};
-  if (config.counter.empty()) config.settings.counter = false;
+  config.sockets = file.optionalSection("limits").get("sockets", kDefaultSockets);
+  config.known = file.has("known") ? readEndpointList(file.section("known")) : EndpointList{0, true, {}};
+  if (config.counter.empty()) config.settings.hasCounter = false;
   return config;
 }
 
--- a/src/config/json_fields.hpp
+++ b/src/config/json_fields.hpp
@@ -30,8 +30,6 @@
   [[noreturn]] void fail(std::string_view field, std::string_view what) const {
     throw ConfigError({ConfigFault::other, pathOf(field), foundIn(field), std::string(what)});
   }
-  /// Former name of fail(), still called from other folders.
-  [[noreturn]] void blame(std::string_view field, std::string_view what) const { fail(field, what); }
 
   /// Whether the field is there and not null.
   bool has(std::string_view field) const {
@@ -57,9 +55,9 @@
     return entries;
   }
   /// The object in the field, which must be there. Errors in it name the field as their message.
-  Fields part(std::string_view field) const { return {field, need<element>(field)}; }
+  Fields section(std::string_view field) const { return {field, need<element>(field)}; }
   /// The object in the field; all its fields are missing where the field is.
-  Fields partOrNone(std::string_view field) const { return {field, find(field)}; }
+  Fields optionalSection(std::string_view field) const { return {field, find(field)}; }
   /// A time in microseconds.
   Duration duration(std::string_view field) const { return asDuration(field, need<double>(field)); }
   Duration duration(std::string_view field, Duration defaultValue) const {
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -30,7 +30,7 @@
     config.renamed.push_back(
         {"table end with still_coming and most_life", "shutdown with accept_for and killed_after"});
   const ShutdownKeys& keys = oldName ? kOldShutdownKeys : kShutdownKeys;
-  TomlTable shutdown = root.part(keys.section);
+  TomlTable shutdown = root.section(keys.section);
   config.acceptFor = shutdown.duration(keys.acceptFor, config.acceptFor);
   config.killedAfter = shutdown.duration(keys.killedAfter, config.killedAfter);
   if (config.killedAfter < config.acceptFor)
@@ -52,9 +52,9 @@
   const toml::table root = parse(text, file);
   TomlTable table(root, "", file);
   OperatorConfig config;
-  readLog(table.part("log"), config);
+  readLog(table.section("log"), config);
   readShutdown(table, config);
-  readReload(table.part("reload"), config);
+  readReload(table.section("reload"), config);
   table.done();
   return config;
 }
--- a/src/config/policy_settings_reader.cpp
+++ b/src/config/policy_settings_reader.cpp
@@ -55,16 +55,16 @@
 }  // namespace
 
 PolicySettings readPolicySettings(const Fields& profile) {
-  const Fields family = profile.partOrNone("familyInfo");
-  const Fields limits = profile.partOrNone("limits");
-  const Fields rules = profile.part("rules");
+  const Fields family = profile.optionalSection("familyInfo");
+  const Fields limits = profile.optionalSection("limits");
+  const Fields rules = profile.section("rules");
   std::vector<Plan> plans = readPlans(profile);
   const Duration connectTimeout = positiveDuration(limits, "connectTimeout", kDefaultConnectTimeout);
   return {
       .methods = readEach<Method>(profile, "requestClasses", readMethod),
       .plans = std::move(plans),
       .gateways = profile.get("siblings", 1u),
-      .counter = family.get("hasCounter", false),
+      .hasCounter = family.get("hasCounter", false),
       .counterTimeout = positiveDuration(family, "countLimit", connectTimeout),
       .maxUnits = family.get("largest", 1.0),
       .allowCancel = limits.get("cancel", false),
@@ -81,7 +81,7 @@
 }
 
 std::vector<std::string> loadFieldNames(const Fields& profile) {
-  const Fields feedback = profile.partOrNone("feedback");
+  const Fields feedback = profile.optionalSection("feedback");
   std::vector<std::string> names;
   if (!feedback.has("fields")) return names;
   for (const element entry : feedback.array("fields")) {
--- a/src/config/toml_error.hpp
+++ b/src/config/toml_error.hpp
@@ -11,11 +11,12 @@
 
 /// What is wrong with a TOML text.
 enum class TomlFault {
-  malformed,   ///< Not TOML; `expected` holds the parser's description.
-  missingKey,  ///< The key must be there.
-  unfitValue,  ///< The key's value is of the wrong type or out of its range.
-  unknownKey,  ///< No such key is read: misspelt, it would have no effect.
-  other        ///< `expected` holds the whole text.
+  malformed,           ///< Not TOML; `expected` holds the parser's description.
+  missingKey,          ///< The key must be there.
+  unfitValue,          ///< The key's value is of the wrong type or out of its range.
+  unknownKey,          ///< No such key is read: misspelt, it would have no effect.
+  formerKeyBesideNew,  ///< A key is given under its former name and, in `expected`, under its present one.
+  other                ///< `expected` holds the whole text.
 };
 
 /// One fault with its place.
@@ -44,6 +45,9 @@
           fmt::format("'{}': expected {}, found {}", problem.key, problem.expected, problem.found));
     case TomlFault::unknownKey:
       return withPlace(fmt::format("'{}' is not known here", problem.key));
+    case TomlFault::formerKeyBesideNew:
+      return withPlace(
+          fmt::format("'{}' stands beside '{}', which is its new name", problem.key, problem.expected));
     case TomlFault::other:
       break;
   }
--- a/src/config/toml_table.hpp
+++ b/src/config/toml_table.hpp
@@ -44,8 +44,6 @@
     throw TomlError({node ? TomlFault::unfitValue : TomlFault::missingKey, file_, place.line, place.column,
                      nameOf(key), expected, found.str()});
   }
-  /// Former name of fail(), still called from other folders.
-  [[noreturn]] void blame(std::string_view key, const std::string& expected) const { fail(key, expected); }
 
   std::string text(std::string_view key, std::optional<std::string> defaultValue = {}) {
     return read<std::string>(key, std::move(defaultValue), "a text",
@@ -108,7 +106,7 @@
   /// Whether the key is there. Does not count as reading it.
   bool has(std::string_view key) const { return table_.contains(key); }
   /// The table under the key; an empty one where it is missing.
-  TomlTable part(std::string_view key) {
+  TomlTable section(std::string_view key) {
     used_.emplace(key);
     static const toml::table kNone;
     const toml::node* const node = table_.get(key);
@@ -116,7 +114,7 @@
     return {node ? *node->as_table() : kNone, nameOf(key), file_};
   }
   /// The tables of the array under the key; none where it is missing.
-  std::vector<TomlTable> parts(std::string_view key) {
+  std::vector<TomlTable> sections(std::string_view key) {
     used_.emplace(key);
     std::vector<TomlTable> all;
     const toml::node* const node = table_.get(key);
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -51,7 +51,7 @@
 
 config::GatewayConfig Daemon::readAtStart() {
   config::GatewayConfig config = sources_.readPlatform();
-  loop_.coalesceTimersWithin(config.step);
+  loop_.setTimerCoalescing(config.step);
   longestDeadline_ = config.longestDeadline;
   log_(LogEvent::starting, LogField{"gateway", config.name}, LogField{"listen", config.listen},
        LogField{"known_hosts", config.known.entries.size()});
@@ -70,7 +70,7 @@
   reloadTimer_ = {};
   try {
     const config::GatewayConfig config = sources_.readPlatform();
-    server_.moveTo(config.discovery, config.counter);
+    server_.setAddresses(config.discovery, config.counter);
     log_(LogEvent::configReloaded, LogField{"discovery", config.discovery},
          LogField{"counter", std::string_view(config.counter.empty() ? "none" : config.counter)});
   } catch (const std::runtime_error& e) {  // config::ConfigError and std::system_error
@@ -111,7 +111,7 @@
       checkShutdown();
       break;
     case Phase::stopped:
-      server_.discard();
+      server_.discardUnread();
       loop_.faults.logTotals();
       log_(LogEvent::stopped);
       loop_.io.stop();
@@ -124,7 +124,7 @@
   const Duration answerFor =
       std::min(acceptFor + longestDeadline_, operatorConfig_.killedAfter) - kWriteReserve;
   answerDeadline_ = loop_.now() + std::max(acceptFor, answerFor);
-  server_.leave(answerDeadline_);
+  server_.startDraining(answerDeadline_);
   log_(LogEvent::draining);
   loop_.deadlines.add(loop_.now() + acceptFor, [this](TimePoint) { enter(Phase::closingIdle); });
 }
@@ -141,10 +141,10 @@
 }
 
 bool Daemon::shutdownComplete(TimePoint now) {
-  noTrafficSince_ = server_.quiet() ? std::min(noTrafficSince_, now) : TimePoint::max();
-  if (!server_.quiet()) return false;
+  noTrafficSince_ = server_.allAnswered() ? std::min(noTrafficSince_, now) : TimePoint::max();
+  if (!server_.allAnswered()) return false;
   const bool clientsDone = server_.allClosed() || now - noTrafficSince_ >= kNoTrafficTime;
-  return clientsDone && server_.shut();
+  return clientsDone && server_.stopAccepting();
 }
 
 }  // namespace merlinbridge::daemon
--- a/src/emulator/client_population.cpp
+++ b/src/emulator/client_population.cpp
@@ -92,7 +92,7 @@
   ++run_.metrics().asked;
   ++run_.currentSecond().asked;
   run_.metrics().utilityOffered += utilityOf(request);
-  const bool early = arrivals_.bernoulli(scenario.leaves);
+  const bool early = arrivals_.bernoulli(scenario.abandonProbability);
   const TimePoint until =
       early ? request.startedAt + scaled(timeout, arrivals_.uniform01())
             : request.deadline + 2 * scenario.answerSlack + 2 * (scenario.delay + scenario.jitter);
@@ -155,7 +155,8 @@
   const Scenario& scenario = run_.scenario();
   const int doublings = std::min(kMaxBackoffDoublings, request->attemptsMade - 1);
   Duration wait = scaled(scenario.wait, (0.5 + choices_.uniform01()) * double(1 << doublings));
-  if (retryAfter > Duration{0} && choices_.bernoulli(scenario.heedsAdvice)) wait = std::max(wait, retryAfter);
+  if (retryAfter > Duration{0} && choices_.bernoulli(scenario.honorsRetryAfter))
+    wait = std::max(wait, retryAfter);
   if (run_.now() + wait >= request->deadline || request->attemptsLeft <= 0) return failRequest(requestRef);
   run_.events().after(wait, [this, requestRef] {
     if (requests_.find(requestRef)) startAttempt(requestRef);
@@ -253,7 +254,7 @@
 
 void ClientPopulation::gatewayDied(const ProcessRef& gateway) {
   std::vector<SlotRef> connected;
-  attempts_.each([&](SlotRef ref, const ClientAttempt& attempt) {
+  attempts_.forEach([&](SlotRef ref, const ClientAttempt& attempt) {
     if (attempt.gateway == gateway) connected.push_back(ref);
   });
   for (const SlotRef ref : connected)
--- a/src/emulator/emulated_gateway.cpp
+++ b/src/emulator/emulated_gateway.cpp
@@ -21,9 +21,9 @@
 
   void requestArrived(TimePoint now, SlotRef client, const Request& request) override {
     const RequestId requestId = core_.requestArrived(now, client, request);
-    if (core_.holds(requestId)) requests_[client.packed()] = requestId;
+    if (core_.contains(requestId)) requests_[client.packed()] = requestId;
     if (requests_.size() > sweepAt_) {
-      std::erase_if(requests_, [this](const auto& at) { return !core_.holds(at.second); });
+      std::erase_if(requests_, [this](const auto& at) { return !core_.contains(at.second); });
       sweepAt_ = std::max<std::size_t>(64, 2 * requests_.size());
     }
   }
@@ -94,7 +94,8 @@
     if (at == requests_.end()) return;
     const PendingRequest pending = at->second;
     drop(requestId);
-    if (outcome == Outcome::ok) return transport_.answerOk(pending.client, response.body, response.type);
+    if (outcome == Outcome::ok)
+      return transport_.answerOk(pending.client, response.body, response.contentType);
     if (pending.idempotent || outcome == Outcome::rejected || outcome == Outcome::noConnection)
       return transport_.answerRejected(pending.client, Duration{0});
     transport_.answerFailed(pending.client);
--- a/src/emulator/gateway_process.cpp
+++ b/src/emulator/gateway_process.cpp
@@ -48,7 +48,7 @@
   run.trace(TraceEvent::gatewayDied, number_);
   surroundings_.discovery.unsubscribe(number_);
   surroundings_.clients.gatewayDied(dead);
-  attempts_.each([&](SlotRef, const UpstreamAttempt& attempt) { closeAtHost(attempt); });
+  attempts_.forEach([&](SlotRef, const UpstreamAttempt& attempt) { closeAtHost(attempt); });
   attempts_ = {};
   for (const auto& [host, idle] : idleConnections_) surroundings_.hosts.connectionsClosed(host, idle.size());
   idleConnections_.clear();
@@ -137,8 +137,8 @@
 
 void GatewayProcess::addToCounter(const CounterKey& key, double units, Duration keepFor) {
   RunContext& run = surroundings_.run;
-  ++run.metrics().countCalls;
-  ++run.currentSecond().countCalls;
+  ++run.metrics().counterCalls;
+  ++run.currentSecond().counterCalls;
   const SlotRef ref = counterCalls_.add(CounterCall{key, run.now()});
   const CounterService::Call call{{this->ref(), ref}, key, units, keepFor};
   run.events().after(surroundings_.network.delay(),
--- a/src/emulator/host_fleet.cpp
+++ b/src/emulator/host_fleet.cpp
@@ -74,7 +74,8 @@
   host.cell = static_cast<std::int64_t>(number % kCells);
   host.name = fmt::format("h{}", number);
   host.startedDuringRun = start == Start::now;
-  host.startedAt = host.startedDuringRun ? run_.now() : kRunStart - run_.scenario().cold - kLongRunning;
+  host.startedAt =
+      host.startedDuringRun ? run_.now() : kRunStart - run_.scenario().slowStartTime - kLongRunning;
   hosts_.push_back(std::move(host));
   return number;
 }
@@ -88,7 +89,7 @@
   at.connections = 0;
   at.queue.clear();
   std::vector<SlotRef> ended;
-  jobs_.each([&](SlotRef ref, const Job& job) {
+  jobs_.forEach([&](SlotRef ref, const Job& job) {
     if (job.host == host) ended.push_back(ref);
   });
   for (const SlotRef ref : ended) {
@@ -116,7 +117,7 @@
 void HostFleet::resume(std::uint32_t host) {
   if (isHanging(host)) return;
   std::vector<SlotRef> running;
-  jobs_.each([&](SlotRef ref, const Job& job) {
+  jobs_.forEach([&](SlotRef ref, const Job& job) {
     if (job.host == host && job.running) running.push_back(ref);
   });
   for (const SlotRef ref : running) run_.events().after(jobs_.find(ref)->work, [this, ref] { finish(ref); });
@@ -144,7 +145,7 @@
     return Outcome::lost;
   }
   EmulatedHost& at = hosts_[arrival.host];
-  if (at.running >= scenario.cores && at.queue.size() >= static_cast<std::size_t>(scenario.room))
+  if (at.running >= scenario.cores && at.queue.size() >= static_cast<std::size_t>(scenario.queueCapacity))
     return Outcome::rejected;
   const SlotRef job = jobs_.add(
       Job{arrival.host, arrival.attempt, arrival.clientAttemptId, arrival.attemptNumber, work, false});
@@ -173,8 +174,9 @@
 
 double HostFleet::rampFactor(const EmulatedHost& host) const {
   const Scenario& scenario = run_.scenario();
-  if (scenario.cold <= Duration{0}) return 1;
-  const double ramp = std::clamp(seconds(run_.now() - host.startedAt) / seconds(scenario.cold), 0.0, 1.0);
+  if (scenario.slowStartTime <= Duration{0}) return 1;
+  const double ramp =
+      std::clamp(seconds(run_.now() - host.startedAt) / seconds(scenario.slowStartTime), 0.0, 1.0);
   return scenario.startCapacity + (1 - scenario.startCapacity) * ramp;
 }
 
--- a/src/emulator/invariant_checker.cpp
+++ b/src/emulator/invariant_checker.cpp
@@ -275,16 +275,17 @@
 }
 
 double InvariantChecker::coldBudget(TimePoint now, TimePoint started) const {
-  const double ramp =
-      scenario_.cold.count() > 0 ? std::clamp(seconds(now - started) / seconds(scenario_.cold), 0.0, 1.0) : 1;
+  const double ramp = scenario_.slowStartTime.count() > 0
+                          ? std::clamp(seconds(now - started) / seconds(scenario_.slowStartTime), 0.0, 1.0)
+                          : 1;
   const double share = scenario_.startCapacity + (1 - scenario_.startCapacity) * ramp;
-  const double requests = scenario_.overloadMultiple * share * capacity_ * seconds(scenario_.tip);
+  const double requests = scenario_.overloadMultiple * share * capacity_ * seconds(scenario_.overloadWindow);
   return requests + 2 * std::sqrt(requests) + 2;
 }
 
 bool InvariantChecker::hostAsked(TimePoint now, HostNumber host, TimePoint started, Duration work,
                                  bool told) {
-  if (now >= started + scenario_.cold) {
+  if (now >= started + scenario_.slowStartTime) {
     cold_.erase(host.value);
     return false;
   }
@@ -293,7 +294,7 @@
     cold.sum += sign * part.requests;
     if (part.told) cold.sumTold += sign * part.requests;
   };
-  while (!cold.parts.empty() && cold.parts.front().at + scenario_.tip < now) {
+  while (!cold.parts.empty() && cold.parts.front().at + scenario_.overloadWindow < now) {
     take(cold.parts.front(), -1);
     cold.parts.pop_front();
   }
@@ -304,11 +305,11 @@
   if (cold.sum <= budget) return false;
   if (3 * cold.sumTold > 2 * cold.sum)
     violation(
-        now, Invariant::cold, {},
+        now, Invariant::slowStart, {},
         fmt::format(
             "host {} fell: {:.1f} requests of mean work in {:.1f} s while cold, {:.1f} of them from gateways "
             "told of its start",
-            host.value, cold.sum, seconds(scenario_.tip), cold.sumTold));
+            host.value, cold.sum, seconds(scenario_.overloadWindow), cold.sumTold));
   cold_.erase(host.value);
   return true;
 }
--- a/src/emulator/invariant_checker.hpp
+++ b/src/emulator/invariant_checker.hpp
@@ -22,7 +22,7 @@
   lost,       ///< Every request has one whole answer in time, and only after a host has made it.
   duplicate,  ///< No effect comes twice.
   drain,      ///< No request goes to a host after the grace time of its drain.
-  cold,       ///< Gateways that know of a host's start do not overload it while it warms up.
+  slowStart,  ///< Gateways that know of a host's start do not overload it while it warms up.
   ceiling     ///< No customer gets beyond its hard ceiling and its slack.
 };
 inline constexpr std::size_t kInvariants = 5;
@@ -98,7 +98,7 @@
   /// ceiling give in that time.
   double worstWindow() const { return worstWindow_; }
   /// The most that a host in slow start was sent, over its budget.
-  double nearestCold() const { return nearestCold_; }
+  double peakSlowStartLoad() const { return nearestCold_; }
   double unitsSent() const { return unitsSent_; }
   double unitsBeyond() const { return unitsBeyond_; }
   std::uint64_t runsTwice() const { return runsTwice_; }
--- a/src/emulator/metrics.cpp
+++ b/src/emulator/metrics.cpp
@@ -28,7 +28,7 @@
       {"attempts", ratio(double(metrics.attempts), double(metrics.tries))},
       {"retries", ratio(double(metrics.retries), double(metrics.attempts))},
       {"connections", ratio(double(metrics.connects), double(metrics.attempts))},
-      {"counter_calls", ratio(double(metrics.countCalls), double(metrics.tries))},
+      {"counter_calls", ratio(double(metrics.counterCalls), double(metrics.tries))},
       {"endpoint_updates", double(metrics.endpointUpdates)},
       {"over_quota", ratio(metrics.unitsBeyond, metrics.unitsSent)},
       {"worst_window", metrics.worstWindow},
--- a/src/emulator/metrics.hpp
+++ b/src/emulator/metrics.hpp
@@ -57,21 +57,21 @@
   std::uint64_t attempts = 0;  ///< To hosts.
   std::uint64_t retries = 0;   ///< Of them, those after the first of their request.
   std::uint64_t connects = 0;  ///< Of the attempts, those on a new connection.
-  std::uint64_t countCalls = 0;
+  std::uint64_t counterCalls = 0;
   std::uint64_t endpointUpdates = 0;  ///< Hosts listed in all updates from discovery.
   std::uint64_t hostsOverloaded = 0;  ///< Hosts that failed under too many requests while warming up.
 
-  double utilityOffered = 0;  ///< Utility times price times units, of all client requests.
-  double utilityServed = 0;   ///< The same of those answered inside their quota; half of it if late.
-  double unitsSent = 0;       ///< Units that reached hosts.
-  double unitsBeyond = 0;     ///< Of them, those over the customer's quota.
-  double worstWindow = 0;     ///< See InvariantChecker::worstWindow.
-  double nearestCold = 0;     ///< See InvariantChecker::nearestCold.
+  double utilityOffered = 0;     ///< Utility times price times units, of all client requests.
+  double utilityServed = 0;      ///< The same of those answered inside their quota; half of it if late.
+  double unitsSent = 0;          ///< Units that reached hosts.
+  double unitsBeyond = 0;        ///< Of them, those over the customer's quota.
+  double worstWindow = 0;        ///< See InvariantChecker::worstWindow.
+  double peakSlowStartLoad = 0;  ///< See InvariantChecker::peakSlowStartLoad.
   std::array<std::uint64_t, kInvariants> violations{};  ///< By Invariant.
   Latencies latency;                                    ///< Of client requests with a result.
   std::size_t maxInFlight = 0;
   std::uint64_t events = 0;
-  std::uint64_t print = 0;  ///< Fingerprint of all events in order: equal runs have equal ones.
+  std::uint64_t fingerprint = 0;  ///< Fingerprint of all events in order: equal runs have equal ones.
 
   /// The figures of one second of the run.
   struct Second {
@@ -81,7 +81,7 @@
     std::uint32_t failed = 0;
     std::uint32_t rejected = 0;
     std::uint32_t attempts = 0;
-    std::uint32_t countCalls = 0;
+    std::uint32_t counterCalls = 0;
     std::uint32_t connects = 0;
     double unitsSent = 0;
     double unitsBeyond = 0;
--- a/src/emulator/play.cpp
+++ b/src/emulator/play.cpp
@@ -46,7 +46,7 @@
     metrics.unitsSent = checker.unitsSent();
     metrics.unitsBeyond = checker.unitsBeyond();
     metrics.worstWindow = checker.worstWindow();
-    metrics.nearestCold = checker.nearestCold();
+    metrics.peakSlowStartLoad = checker.peakSlowStartLoad();
     for (std::size_t rule = 0; rule < kInvariants; ++rule)
       metrics.violations[rule] = checker.count(static_cast<Invariant>(rule));
     metrics.first = checker.first();
--- a/src/emulator/run_context.hpp
+++ b/src/emulator/run_context.hpp
@@ -52,7 +52,8 @@
   void trace(TraceEvent event, std::uint64_t number = 0) {
     constexpr std::uint64_t kFnvPrime = 1099511628211u;
     const auto time = static_cast<std::uint64_t>(now().time_since_epoch().count());
-    metrics_.print = (metrics_.print ^ (static_cast<std::uint64_t>(event) + number) ^ time) * kFnvPrime;
+    metrics_.fingerprint =
+        (metrics_.fingerprint ^ (static_cast<std::uint64_t>(event) + number) ^ time) * kFnvPrime;
   }
 
  private:
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -42,7 +42,7 @@
   for (std::uint32_t zone = 0; zone < zones; ++zone) config.zones.push_back(fmt::format("z{}", zone));
   config.machines = {"m"};
   settings.gateways = gateways;
-  settings.counter = counter;
+  settings.hasCounter = counter;
   settings.counterTimeout = counterTimeout;
   settings.maxUnits = std::max(1.0, 4 * units);
   settings.allowCancel = allowCancel;
@@ -53,8 +53,8 @@
   settings.connectTimeout = connectTimeout;
   settings.startCapacity = startCapacity;
   settings.overloadMultiple = overloadMultiple;
-  settings.slowStartTime = cold;
-  settings.overloadWindow = tip;
+  settings.slowStartTime = slowStartTime;
+  settings.overloadWindow = overloadWindow;
   config.idle = idle;
   config.answerSlack = answerSlack;
   config.longestDeadline = longestDeadline();
--- a/src/emulator/scenario.hpp
+++ b/src/emulator/scenario.hpp
@@ -88,10 +88,10 @@
   // Hosts
   std::uint32_t hosts = 0;
   int cores = 1;
-  int room = 0;                 ///< Requests that queue at a host behind those in service.
+  int queueCapacity = 0;        ///< Requests that queue at a host behind those in service.
   int connections = 0;          ///< Most open connections to one host.
-  Duration cold{};              ///< Time of the slow start.
-  Duration tip{};               ///< Window over which the overload of a host in slow start is measured.
+  Duration slowStartTime{};     ///< Time of the slow start.
+  Duration overloadWindow{};    ///< Window over which the overload of a host in slow start is measured.
   Duration idle{};              ///< A host closes a connection that was idle for so long.
   double startCapacity = 1;     ///< Share of its capacity that a host starts with.
   double overloadMultiple = 1;  ///< Times its capacity in that window, and a host in slow start fails.
@@ -105,11 +105,11 @@
   double loss = 0;  ///< Share of the messages that is retransmitted.
 
   // Clients
-  double rate = 0;         ///< Requests a second of all clients.
-  double skew = 0;         ///< Exponent of a Zipf distribution over customers.
-  double heedsAdvice = 1;  ///< Probability that a client honours Retry-After.
-  double leaves = 0;       ///< Probability that a client leaves before its deadline.
-  double units = 1;        ///< Mean of a request.
+  double rate = 0;                ///< Requests a second of all clients.
+  double skew = 0;                ///< Exponent of a Zipf distribution over customers.
+  double honorsRetryAfter = 1;    ///< Probability that a client honours Retry-After.
+  double abandonProbability = 0;  ///< Probability that a client leaves before its deadline.
+  double units = 1;               ///< Mean of a request.
   std::uint32_t customers = 1;
   std::uint32_t spread = 1;  ///< Gateways that a customer's requests come through.
   int tries = 1;             ///< Client attempts for one request, at most.
--- a/src/emulator/scenario_keys.cpp
+++ b/src/emulator/scenario_keys.cpp
@@ -89,15 +89,19 @@
   return kKeys;
 }
 
+[[noreturn]] void failWithBothNames(const RenamedKey& key, const std::string& file,
+                                    const toml::source_position& place) {
+  throw config::TomlError({config::TomlFault::formerKeyBesideNew, file, place.line, place.column,
+                           fmt::format("{}.{}", key.table, key.oldName),
+                           fmt::format("{}.{}", key.table, key.newName), ""});
+}
+
 void renameKeys(toml::table& root, const std::string& file, std::vector<std::string>& warnings) {
   for (const RenamedKey& key : renamedKeys()) {
     toml::table* const table = root[key.table].as_table();
     toml::node* const node = table ? table->get(key.oldName) : nullptr;
     if (!node) continue;
-    if (table->contains(key.newName))
-      config::TomlTable::blame(file, node->source(),
-                               fmt::format("'{0}.{1}' stands beside '{0}.{2}', which is its new name",
-                                           key.table, key.oldName, key.newName));
+    if (table->contains(key.newName)) failWithBothNames(key, file, node->source().begin);
     warn(key, warnings);
     table->insert(key.newName, std::move(*node));
     table->erase(key.oldName);
--- a/src/emulator/scenario_reader.cpp
+++ b/src/emulator/scenario_reader.cpp
@@ -23,12 +23,12 @@
 void readHosts(TomlTable hosts, Scenario& scenario) {
   scenario.hosts = hosts.whole<std::uint32_t>("count", {}, 0, 16'384);
   scenario.cores = hosts.whole<int>("cores", 4, 1, 4096);
-  scenario.room = hosts.whole<int>("queue_capacity", 64, 0, 1'000'000);
+  scenario.queueCapacity = hosts.whole<int>("queue_capacity", 64, 0, 1'000'000);
   scenario.connections = hosts.whole<int>("connections", 1000, 1, 1'000'000);
   scenario.idle = hosts.duration("idle", milliseconds(10'000));
-  scenario.cold = hosts.duration("slow_start_time", milliseconds(8000));
+  scenario.slowStartTime = hosts.duration("slow_start_time", milliseconds(8000));
   scenario.startCapacity = hosts.number("start_capacity", 0.25, 0.001, 1);
-  scenario.tip = hosts.duration("overload_window", milliseconds(1000));
+  scenario.overloadWindow = hosts.duration("overload_window", milliseconds(1000));
   scenario.overloadMultiple = hosts.number("overload_multiple", 2, 0.1, 1000);
   scenario.stopsCancelled = hosts.flag("stops_cancelled", true);
   scenario.reports = hosts.flag("reports", true);
@@ -51,8 +51,8 @@
   scenario.spread = clients.whole<std::uint32_t>("spread", 3, 1, 4096);
   scenario.tries = clients.whole<int>("max_attempts", 3, 1, 100);
   scenario.wait = clients.duration("wait", milliseconds(100));
-  scenario.heedsAdvice = clients.number("honors_retry_after", 0.8, 0, 1);
-  scenario.leaves = clients.number("abandon_probability", 0, 0, 1);
+  scenario.honorsRetryAfter = clients.number("honors_retry_after", 0.8, 0, 1);
+  scenario.abandonProbability = clients.number("abandon_probability", 0, 0, 1);
   clients.done();
 }
 
@@ -67,7 +67,7 @@
   method.work = table.duration("work", milliseconds(8));
   method.share = table.number("share", 1, 0, 1e6);
   method.utility = table.number("utility", 1, 0, 1e6);
-  if (method.deadline < method.soft) table.blame("deadline", "a time no shorter than the soft deadline");
+  if (method.deadline < method.soft) table.fail("deadline", "a time no shorter than the soft deadline");
   table.done();
   return method;
 }
@@ -77,7 +77,7 @@
   plan.name = table.text("name");
   plan.plan.rate = table.number("rate", 0, 0, 1e9);
   plan.plan.burst = table.number("burst", plan.plan.rate, 0, 1e9);
-  plan.plan.open = table.whole<int>("open", 0, 0, 1'000'000);
+  plan.plan.maxInFlight = table.whole<int>("open", 0, 0, 1'000'000);
   plan.plan.ceilingRate = table.number("ceiling_rate", 0, 0, 1e9);
   plan.plan.ceilingBurst = table.number("ceiling_burst", plan.plan.ceilingRate, 0, 1e9);
   plan.plan.ceilingSlack = table.number("ceiling_slack", 0, 0, 1e9);
@@ -97,7 +97,7 @@
   fault.factor = table.number("factor", 1, 0, 1000);
   fault.steps = table.whole<int>("steps", 1, 1, 10'000);
   if (fault.from.least > seconds(scenario.length))
-    table.blame("from", "a time within the length of the scenario");
+    table.fail("from", "a time within the length of the scenario");
   table.done();
   return fault;
 }
@@ -145,18 +145,18 @@
   TomlTable table(root, "", file);
   scenario.name = table.text("name");
   scenario.length = table.duration("length", {});
-  readFleet(table.part("fleet"), scenario);
-  readHosts(table.part("hosts"), scenario);
-  readNetwork(table.part("network"), scenario);
-  readClients(table.part("clients"), scenario);
-  for (TomlTable& method : table.parts("method")) scenario.methods.push_back(readMethod(method));
+  readFleet(table.section("fleet"), scenario);
+  readHosts(table.section("hosts"), scenario);
+  readNetwork(table.section("network"), scenario);
+  readClients(table.section("clients"), scenario);
+  for (TomlTable& method : table.sections("method")) scenario.methods.push_back(readMethod(method));
   if (scenario.methods.empty()) throw BadScenario(file + ":1:1: expected at least one [[method]]");
-  for (TomlTable& plan : table.parts("plan")) scenario.plans.push_back(readPlan(plan));
+  for (TomlTable& plan : table.sections("plan")) scenario.plans.push_back(readPlan(plan));
   if (scenario.plans.empty()) scenario.plans.push_back({"free", {0, 0, 0, 0, 0, 0, 1}, 1});
-  readCounter(table.part("counter"), scenario);
-  readDiscovery(table.part("discovery"), scenario);
-  readRules(table.part("rules"), scenario);
-  for (TomlTable& fault : table.parts("fault")) scenario.faults.push_back(readFault(fault, scenario));
+  readCounter(table.section("counter"), scenario);
+  readDiscovery(table.section("discovery"), scenario);
+  readRules(table.section("rules"), scenario);
+  for (TomlTable& fault : table.sections("fault")) scenario.faults.push_back(readFault(fault, scenario));
   table.done();
   // The hash is of what is played: the order of the keys, their old names, and a change that changes nothing
   // keep it.
--- a/src/emulator/scenario_writer.cpp
+++ b/src/emulator/scenario_writer.cpp
@@ -64,12 +64,12 @@
   out.table("[hosts]");
   out.value("count", scenario.hosts);
   out.value("cores", scenario.cores);
-  out.value("queue_capacity", scenario.room);
+  out.value("queue_capacity", scenario.queueCapacity);
   out.value("connections", scenario.connections);
   out.duration("idle", scenario.idle);
-  out.duration("slow_start_time", scenario.cold);
+  out.duration("slow_start_time", scenario.slowStartTime);
   out.value("start_capacity", scenario.startCapacity);
-  out.duration("overload_window", scenario.tip);
+  out.duration("overload_window", scenario.overloadWindow);
   out.value("overload_multiple", scenario.overloadMultiple);
   out.value("stops_cancelled", scenario.stopsCancelled);
   out.value("reports", scenario.reports);
@@ -92,8 +92,8 @@
   out.value("spread", scenario.spread);
   out.value("max_attempts", scenario.tries);
   out.duration("wait", scenario.wait);
-  out.value("honors_retry_after", scenario.heedsAdvice);
-  out.value("abandon_probability", scenario.leaves);
+  out.value("honors_retry_after", scenario.honorsRetryAfter);
+  out.value("abandon_probability", scenario.abandonProbability);
 }
 
 void writeMethod(TomlWriter& out, const ScenarioMethod& method) {
@@ -114,7 +114,7 @@
   out.text("name", plan.name);
   out.value("rate", plan.plan.rate);
   out.value("burst", plan.plan.burst);
-  out.value("open", plan.plan.open);
+  out.value("open", plan.plan.maxInFlight);
   out.value("ceiling_rate", plan.plan.ceilingRate);
   out.value("ceiling_burst", plan.plan.ceilingBurst);
   out.value("ceiling_slack", plan.plan.ceilingSlack);
--- a/src/gateway_core/gateway_core.cpp
+++ b/src/gateway_core/gateway_core.cpp
@@ -5,10 +5,10 @@
 namespace merlinbridge::core {
 
 GatewayCore::GatewayCore(const config::GatewayConfig& config, TimePoint now, DeadlineQueue& deadlines,
-                         Transport& transport, Timekeeper timekeeper)
+                         Transport& transport, DeadlineEnforcer timekeeper)
     : settings_(config.settings),
       answerSlack_(config.answerSlack),
-      enforcesDeadlines_(timekeeper == Timekeeper::core),
+      enforcesDeadlines_(timekeeper == DeadlineEnforcer::core),
       now_(now),
       names_{NameTable<MethodId>(config.methods), NameTable<PlanId>(config.plans),
              NameTable<ZoneId>(config.zones), NameTable<MachineId>(config.machines)},
@@ -57,14 +57,14 @@
   const bool hasAnswer = outcome == Outcome::ok || response.answeredByAdapter;
   const bool isFirstAnswer = hasAnswer && requests_.markAnswered(requestId) != nullptr;
   if (isFirstAnswer && !response.answeredByAdapter)
-    transport_.answerOk(request->client, response.body, response.type);
+    transport_.answerOk(request->client, response.body, response.contentType);
   const AttemptResult result{
       .requestId = requestId,
       .attemptNumber = attemptNumber,
       .host = attempt->host,
       .outcome = outcome,
       .requestAnswered = request->state == PendingRequest::State::answered,
-      .took = response.took.value_or(now - attempt->startedAt),
+      .duration = response.took.value_or(now - attempt->startedAt),
       .trueUnits = outcome == Outcome::ok ? response.trueUnits : 0,
       .load = response.load,
   };
@@ -208,7 +208,7 @@
     update.machine = names_.machines.findOrAdd(endpoint.machine);
     update.serving = endpoint.serving;
     update.weight = endpoint.weight;
-    if (endpoint.started.count() != 0) update.started = TimePoint(endpoint.started);
+    if (endpoint.started.count() != 0) update.startedAt = TimePoint(endpoint.started);
   }
   return updates;
 }
--- a/src/gateway_core/gateway_core.hpp
+++ b/src/gateway_core/gateway_core.hpp
@@ -19,7 +19,7 @@
 /// Who ends attempts and requests at their deadlines: the core, or the adapter, which then reports the end of
 /// each attempt in time. With an adapter the core still fails a request that is unanswered after its
 /// deadline.
-enum class Timekeeper { core, adapter };
+enum class DeadlineEnforcer { core, adapter };
 
 /// The core of the gateway, without I/O. It keeps the pending requests with their attempts (RequestTable),
 /// the hosts (HostDirectory) and all deadlines, carries the decisions of the decision engine to the
@@ -36,7 +36,7 @@
  public:
   /// Starts with the hosts that the configuration names. Calls the transport.
   GatewayCore(const config::GatewayConfig&, TimePoint now, DeadlineQueue&, Transport&,
-              Timekeeper = Timekeeper::core);
+              DeadlineEnforcer = DeadlineEnforcer::core);
 
   /// The names that request parsing needs; valid as long as the core.
   const NameTables& names() const { return names_; }
@@ -48,7 +48,7 @@
   /// Discovery's name of the host. Valid until the next endpointsUpdated.
   const std::string& nameOf(HostId host) const { return hosts_.nameOf(host); }
   /// Returns whether the request is still in the table: it is unanswered or has attempts in flight.
-  bool holds(RequestId requestId) { return requests_.find(requestId) != nullptr; }
+  bool contains(RequestId requestId) { return requests_.find(requestId) != nullptr; }
   /// The number of requests without a final answer.
   std::size_t unanswered() const { return requests_.unanswered(); }
   /// Returns whether the request has no final answer yet and its client is still connected.
--- a/src/gateway_core/request_parser.cpp
+++ b/src/gateway_core/request_parser.cpp
@@ -43,10 +43,10 @@
 
 FieldValues findFieldValues(const http::Message& message) {
   FieldValues values;
-  for (std::size_t index = 0; index < message.fields(); ++index) {
+  for (std::size_t index = 0; index < message.fieldCount(); ++index) {
     const auto [name, value] = message.field(index);
     for (const FieldBinding& binding : kFieldBindings)
-      if (http::same(name, binding.name)) values.*binding.value = value;
+      if (http::equalsIgnoringCase(name, binding.name)) values.*binding.value = value;
   }
   return values;
 }
@@ -124,7 +124,6 @@
   parsed.error = parseIdentity(values, names, request);
   if (!parsed.error) parsed.error = parseDeadline(values, arrivedAt, request);
   if (!parsed.error) parsed.error = parseQuotaInfo(values, settings, request);
-  if (parsed.error) parsed.fault = textOf(*parsed.error);
   return parsed;
 }
 
--- a/src/gateway_core/request_parser.hpp
+++ b/src/gateway_core/request_parser.hpp
@@ -54,7 +54,6 @@
 /// What a client's message says of its request.
 struct ParsedRequest {
   std::optional<RequestError> error;  ///< Set: `request` must not be used.
-  std::string_view fault;             ///< The text of `error`; empty if there is none.
   Request request;                    ///< Without its id; `deadline` is counted from the arrival.
 };
 
--- a/src/gateway_core/request_table.hpp
+++ b/src/gateway_core/request_table.hpp
@@ -55,7 +55,8 @@
   /// Calls `visitor(RequestId, PendingRequest&)` for each request. The visitor must not add or drop requests.
   template <class Visitor>
   void forEach(Visitor visitor) {
-    requests_.each([&](SlotRef ref, PendingRequest& request) { visitor(RequestId{ref.packed()}, request); });
+    requests_.forEach(
+        [&](SlotRef ref, PendingRequest& request) { visitor(RequestId{ref.packed()}, request); });
   }
 
  private:
--- a/src/gateway_core/slot_table.hpp
+++ b/src/gateway_core/slot_table.hpp
@@ -64,7 +64,7 @@
   /// Calls `visitor(SlotRef, T&)` for each element, in the order of the slots. The visitor must not add or
   /// drop elements.
   template <class Visitor>
-  void each(Visitor visitor) {
+  void forEach(Visitor visitor) {
     for (std::uint32_t slot = 0; slot < rows_.size(); ++slot) {
       Row& row = rows_[slot];
       if (row.element) visitor(SlotRef{slot, row.generation}, *row.element);
--- a/src/gateway_core/transport.hpp
+++ b/src/gateway_core/transport.hpp
@@ -51,7 +51,7 @@
 /// and are read during that call only.
 struct UpstreamResponse {
   std::string_view body;
-  std::string_view type;              ///< Content-Type; empty: none was sent.
+  std::string_view contentType;       ///< Content-Type; empty: none was sent.
   double trueUnits = 0;               ///< Cost of the request in units; 0: the host did not say.
   LoadReport load{};                  ///< The host's load as the host reports it.
   std::optional<Duration> took = {};  ///< Duration of the attempt, where the adapter measures it itself.
--- a/src/http/chunked_decoder.cpp
+++ b/src/http/chunked_decoder.cpp
@@ -23,7 +23,8 @@
 
 }  // namespace
 
-Chunks::End Chunks::take(char* data, std::size_t& decoded, std::size_t& raw, std::size_t size) {
+ChunkedDecoder::End ChunkedDecoder::decode(char* data, std::size_t& decoded, std::size_t& raw,
+                                           std::size_t size) {
   while (raw < size && state_ != State::done) {
     if (state_ == State::data) {
       readData(data, decoded, raw, size);
@@ -34,7 +35,7 @@
   return state_ == State::done ? End::done : End::more;
 }
 
-void Chunks::readData(char* data, std::size_t& decoded, std::size_t& raw, std::size_t size) {
+void ChunkedDecoder::readData(char* data, std::size_t& decoded, std::size_t& raw, std::size_t size) {
   const std::size_t count = std::min<std::uint64_t>(remaining_, size - raw);
   if (decoded != raw) std::memmove(data + decoded, data + raw, count);
   decoded += count;
@@ -44,7 +45,7 @@
 }
 
 // Reads one byte that is no data. Returns false if it must not stand there.
-bool Chunks::readFraming(char byte) {
+bool ChunkedDecoder::readFraming(char byte) {
   switch (state_) {
     case State::size:
       return readSize(byte);
@@ -76,7 +77,7 @@
   return true;
 }
 
-bool Chunks::readSize(char byte) {
+bool ChunkedDecoder::readSize(char byte) {
   if (const int value = hexValue(byte); value != kNoDigit) {
     remaining_ = remaining_ * kHexBase + static_cast<std::uint64_t>(value);
     ++sizeDigits_;
@@ -92,13 +93,13 @@
   return byte == ';' || byte == ' ' || byte == '\t';
 }
 
-bool Chunks::readExtension(char byte) {
+bool ChunkedDecoder::readExtension(char byte) {
   if (byte == '\r') state_ = State::sizeEnd;
   ++skippedBytes_;
   return byte != '\n' && skippedBytes_ <= kMaxHeadBytes;
 }
 
-bool Chunks::readTrailerLine(char byte) {
+bool ChunkedDecoder::readTrailerLine(char byte) {
   if (byte == '\n') state_ = State::trailer;
   ++skippedBytes_;
   return skippedBytes_ <= kMaxHeadBytes;
--- a/src/http/chunked_decoder.hpp
+++ b/src/http/chunked_decoder.hpp
@@ -8,7 +8,7 @@
 /// Decodes a body in chunked transfer coding (RFC 9112, section 7.1), in place and incrementally. Decoded
 /// bytes move down over the framing that preceded them. Extensions and trailers are skipped. Keeps no pointer
 /// to the data; not thread-safe.
-class Chunks {
+class ChunkedDecoder {
  public:
   /// How far the decoding has come.
   enum class End {
@@ -19,7 +19,7 @@
 
   /// Decodes as much as there is. In `data`, [0, decoded) is the body so far and [raw, size) the bytes not
   /// read yet; both ends are moved on. The bytes between `decoded` and `raw` are undefined afterwards.
-  End take(char* data, std::size_t& decoded, std::size_t& raw, std::size_t size);
+  End decode(char* data, std::size_t& decoded, std::size_t& raw, std::size_t size);
 
  private:
   // What the next byte belongs to.
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -58,14 +58,14 @@
   return stage_;
 }
 
-Message::Stage Message::ended() {
+Message::Stage Message::peerClosed() {
   if (stage_ == Stage::body && framing_ == Framing::untilClose) stage_ = Stage::done;
   return stage_;
 }
 
 std::string_view Message::get(std::string_view name) const {
   for (const FieldSpans& field : fields_)
-    if (same(view(field.name), name)) return view(field.value);
+    if (equalsIgnoringCase(view(field.name), name)) return view(field.value);
   return {};
 }
 
@@ -124,7 +124,7 @@
 }
 
 bool Message::readStartLine(std::string_view line) {
-  return kind_ == Kind::answer ? readStatusLine(line) : readRequestLine(line);
+  return kind_ == Kind::response ? readStatusLine(line) : readRequestLine(line);
 }
 
 bool Message::readStatusLine(std::string_view line) {
@@ -169,7 +169,7 @@
 }
 
 bool Message::isInterimAnswer() const {
-  return kind_ == Kind::answer && status_ / kStatusesPerClass == kInterimClass &&
+  return kind_ == Kind::response && status_ / kStatusesPerClass == kInterimClass &&
          status_ != kSwitchingProtocols;
 }
 
@@ -195,14 +195,15 @@
 }
 
 bool Message::readFramingField(const Field& field, FramingFields& framing) {
-  if (same(field.name, kContentLengthField)) return readContentLength(field.value, framing);
-  if (same(field.name, kTransferEncodingField)) {
-    if (framing.hasTransferCoding || !same(field.value, "chunked")) return fail(kBadRequest);
+  if (equalsIgnoringCase(field.name, kContentLengthField)) return readContentLength(field.value, framing);
+  if (equalsIgnoringCase(field.name, kTransferEncodingField)) {
+    if (framing.hasTransferCoding || !equalsIgnoringCase(field.value, "chunked")) return fail(kBadRequest);
     framing.hasTransferCoding = true;
-  } else if (same(field.name, kConnectionField)) {
+  } else if (equalsIgnoringCase(field.name, kConnectionField)) {
     if (listContains(field.value, "close")) keepsAlive_ = false;
     framing.connection = field.value;
-  } else if (same(field.name, kExpectField) && same(field.value, "100-continue")) {
+  } else if (equalsIgnoringCase(field.name, kExpectField) &&
+             equalsIgnoringCase(field.value, "100-continue")) {
     expectsContinue_ = true;
   }
   return true;
@@ -228,10 +229,10 @@
 }
 
 Message::Framing Message::framingOf(const FramingFields& framing) const {
-  if (kind_ == Kind::answer && hasNoBody(status_)) return Framing::none;
+  if (kind_ == Kind::response && hasNoBody(status_)) return Framing::none;
   if (framing.hasTransferCoding) return Framing::chunked;
   if (framing.contentLength) return Framing::length;
-  return kind_ == Kind::answer ? Framing::untilClose : Framing::none;
+  return kind_ == Kind::response ? Framing::untilClose : Framing::none;
 }
 
 // ---- Body ----
@@ -260,12 +261,12 @@
 }
 
 bool Message::readChunkedBody(std::size_t size) {
-  const auto end = chunks_.take(data_, decodedEnd_, consumed_, size);
-  if (end == Chunks::End::bad) return fail(kBadRequest);
+  const auto end = chunks_.decode(data_, decodedEnd_, consumed_, size);
+  if (end == ChunkedDecoder::End::bad) return fail(kBadRequest);
   const bool isTooLarge = decodedEnd_ - headEnd_ > maxBodyBytes_;
   const bool isPadded = consumed_ - headEnd_ > kMaxEncodedBodyFactor * maxBodyBytes_;
   if (isTooLarge || isPadded) return fail(kContentTooLarge);
-  if (end == Chunks::End::done) stage_ = Stage::done;
+  if (end == ChunkedDecoder::End::done) stage_ = Stage::done;
   return true;
 }
 
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -15,9 +15,9 @@
 /// Reads one HTTP/1.0 or HTTP/1.1 message at the start of a buffer, incrementally and without copying.
 ///
 /// The buffer belongs to the caller, who appends to it as bytes arrive. It may move in memory between two
-/// calls of advance() (see movedTo()), but the bytes that advance() has seen must stay at their offsets; a
-/// chunked body is decoded in place. Every view that is returned is part of the buffer: it is valid until the
-/// buffer changes, moves or is freed.
+/// calls of advance() (see bufferMoved()), but the bytes that advance() has seen must stay at their offsets;
+/// a chunked body is decoded in place. Every view that is returned is part of the buffer: it is valid until
+/// the buffer changes, moves or is freed.
 ///
 /// The reader is strict: whatever two readers of one message could understand in different ways is an error,
 /// so that no request can be smuggled past the gateway inside another one. Not thread-safe. Does not throw,
@@ -25,18 +25,18 @@
 class Message {
  public:
   /// What the message is: it decides how the start line is read and where a body without a length ends.
-  enum class Kind { request, answer };
+  enum class Kind { request, response };
   /// Who reads the body.
   enum class Body {
-    whole,    ///< The message is done once its body is complete; see maxBodyBytes.
-    streamed  ///< The message is done with its head; the caller reads the body, which starts at bodyAt().
+    buffered,  ///< The message is done once its body is complete; see maxBodyBytes.
+    streamed  ///< The message is done with its head; the caller reads the body, which starts at bodyOffset().
   };
   /// From head to body to done; or to bad from either. Done and bad are final until clear().
   enum class Stage {
     head,  ///< The head is incomplete.
     body,  ///< The head is complete and may be read, the body is not.
     done,  ///< The message is complete.
-    bad    ///< The message is malformed or too large; blame() says how.
+    bad    ///< The message is malformed or too large; errorStatus() says how.
   };
   /// A header field.
   struct Field {
@@ -45,7 +45,7 @@
   };
 
   /// `maxBodyBytes` limits a body that is read whole, in bytes after decoding.
-  explicit Message(Kind kind, Body body = Body::whole, std::size_t maxBodyBytes = kMaxBodyBytes)
+  explicit Message(Kind kind, Body body = Body::buffered, std::size_t maxBodyBytes = kMaxBodyBytes)
       : kind_(kind), bodyMode_(body), maxBodyBytes_(maxBodyBytes) {}
 
   /// Reads on in the buffer, which holds `size` bytes in all. Empty lines before a request and interim
@@ -53,27 +53,27 @@
   Stage advance(char* data, std::size_t size);
   /// The peer has closed the connection: completes an answer that has no stated length, whose body ends so.
   /// Returns the stage reached; one that is neither done nor bad means that the message was cut off.
-  Stage ended();
+  Stage peerClosed();
   /// Forgets the message, so that the next one may be read from the start of a buffer.
   void clear();
   /// The buffer has moved, with its bytes unchanged.
-  void movedTo(char* data) { data_ = data; }
+  void bufferMoved(char* data) { data_ = data; }
 
   // In every stage:
 
   /// The stage that advance() or ended() has reached.
   Stage stage() const { return stage_; }
   /// The status code to answer a bad request with: 400, 413 or 431. 0 if the message is not bad.
-  int blame() const { return errorStatus_; }
+  int errorStatus() const { return errorStatus_; }
   /// Returns whether any byte of the message has arrived.
-  bool begun() const { return headSeen_ > 0; }
+  bool hasBegun() const { return headSeen_ > 0; }
 
   // From stage body on. In stage bad they return what had been read before the fault was found.
 
   /// Returns whether the connection may be used for a further message after this one.
   bool keepsAlive() const { return keepsAlive_; }
   /// Returns whether the body is in chunked transfer coding.
-  bool chunked() const { return framing_ == Framing::chunked; }
+  bool isChunked() const { return framing_ == Framing::chunked; }
   /// Returns whether the client waits for an interim answer 100 before it sends the body.
   bool expectsContinue() const { return expectsContinue_; }
   /// The status code of an answer, from 100 to 999; 0 for a request.
@@ -83,10 +83,10 @@
   /// The target of a request as written, path and query; empty for an answer.
   std::string_view target() const { return view(target_); }
   /// Offset of the body in the buffer: the size of the head and of all that was skipped before it.
-  std::size_t bodyAt() const { return headEnd_; }
+  std::size_t bodyOffset() const { return headEnd_; }
   /// The number of header fields, kMaxFields at most.
-  std::size_t fields() const { return fields_.size(); }
-  /// One of the header fields, in the order received; `index` must be below fields().
+  std::size_t fieldCount() const { return fields_.size(); }
+  /// One of the header fields, in the order received; `index` must be below fieldCount().
   Field field(std::size_t index) const { return {view(fields_[index].name), view(fields_[index].value)}; }
   /// The value of the first header field of that name, compared without regard to case; empty if there is
   /// none.
@@ -161,7 +161,7 @@
   Span method_;
   Span target_;
   std::vector<FieldSpans> fields_;
-  Chunks chunks_;
+  ChunkedDecoder chunks_;
 };
 
 }  // namespace merlinbridge::http
--- a/src/http/syntax.cpp
+++ b/src/http/syntax.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-bool same(std::string_view a, std::string_view b) {
+bool equalsIgnoringCase(std::string_view a, std::string_view b) {
   if (a.size() != b.size()) return false;
   // Nearly all peers write names in the usual case: the bytes are equal then.
   if (std::memcmp(a.data(), b.data(), a.size()) == 0) return true;
@@ -41,7 +41,7 @@
 bool listContains(std::string_view list, std::string_view word) {
   while (!list.empty()) {
     const auto comma = std::min(list.find(','), list.size());
-    if (same(trimmed(list.substr(0, comma)), word)) return true;
+    if (equalsIgnoringCase(trimmed(list.substr(0, comma)), word)) return true;
     list.remove_prefix(std::min(list.size(), comma + 1));
   }
   return false;
--- a/src/http/syntax.hpp
+++ b/src/http/syntax.hpp
@@ -9,7 +9,7 @@
 
 /// Returns whether two field names, or two keywords in field values, are equal but for the case of ASCII
 /// letters.
-bool same(std::string_view a, std::string_view b);
+bool equalsIgnoringCase(std::string_view a, std::string_view b);
 /// Returns whether a comma-separated list contains a word, compared without regard to case. Blanks and tabs
 /// round the words of the list do not count.
 bool listContains(std::string_view list, std::string_view word);
--- a/src/lab/chart.hpp
+++ b/src/lab/chart.hpp
@@ -8,18 +8,22 @@
 /// Charts of a figure over a changed field.
 namespace merlinbridge::lab {
 
+/// How the values of an axis are spaced.
 enum class AxisScale { linear, logarithmic };
 
+/// One measured value with its interval.
 struct ChartPoint {
   double position = 0;  ///< On the horizontal axis.
   Estimate value;
 };
 
+/// The points of one policy or table, drawn as one line.
 struct ChartSeries {
   std::string name;
   std::vector<ChartPoint> points;  ///< By rising position.
 };
 
+/// What drawChart needs: titles, scales and series.
 struct Chart {
   std::string title;
   std::string horizontalTitle;  ///< With its unit, as is verticalTitle.
--- a/src/lab/commands/run_command.cpp
+++ b/src/lab/commands/run_command.cpp
@@ -22,6 +22,7 @@
   ExitCode execute() override {
     const ExperimentRunner runner(scenario_.file, scenario_.changes);
     const Run run{runner.scenario(), {}, seed_, parsePolicy(policy_)};
+    for (const std::string& warning : run.scenario.warnings) warnOnStderr(warning);
     const emulator::Metrics metrics = ExperimentRunner::play(run);
     std::cout << summaryOf(run, metrics);
     if (!folder_.empty()) writeFiles(run, metrics);
--- a/src/lab/commands/shrink_command.cpp
+++ b/src/lab/commands/shrink_command.cpp
@@ -64,6 +64,7 @@
   ExitCode execute() override {
     const ExperimentRunner runner(scenario_.file, scenario_.changes);
     const Scenario scenario = runner.scenario();
+    for (const std::string& warning : scenario.warnings) warnOnStderr(warning);
     const emulator::Policy policy = parsePolicy(policy_);
     const std::optional<Invariant> invariant = parseInvariant(invariant_);
     const auto violates = [this, policy, invariant](const Scenario& candidate) {
--- a/src/lab/commands/sweep_command.cpp
+++ b/src/lab/commands/sweep_command.cpp
@@ -52,6 +52,8 @@
     std::vector<Run> runs;
     for (const FieldValues& values : combinationsOf(fields)) {
       const emulator::Scenario scenario = runner.scenario(values);
+      if (runs.empty())  // the same keys are renamed in every combination
+        for (const std::string& warning : scenario.warnings) warnOnStderr(warning);
       for (const std::string& policy : policies_)
         for (const std::uint64_t seed : parseSeeds(seeds_))
           runs.push_back({scenario, values, seed, parsePolicy(policy)});
--- a/src/lab/run_result.cpp
+++ b/src/lab/run_result.cpp
@@ -34,7 +34,7 @@
     const auto& second = metrics.seconds[index];
     table += fmt::format("{},{},{},{},{},{},{},{},{},{:.6g},{:.6g}\n", index, second.asked, second.inTime,
                          second.late, second.failed, second.rejected, second.attempts, second.connects,
-                         second.countCalls, second.unitsSent, second.unitsBeyond);
+                         second.counterCalls, second.unitsSent, second.unitsBeyond);
   }
   return table + fmt::format("# end,{}\n", metrics.seconds.size());
 }
@@ -45,7 +45,7 @@
   for (const auto& [title, value] : emulator::figuresOf(metrics))
     text += fmt::format("  {:<22} {:.6g}\n", title, value);
   text += fmt::format("  {:<22} {}\n  {:<22} {:016x}\n", "events", metrics.events, kFingerprintTitle,
-                      metrics.print);
+                      metrics.fingerprint);
   for (const emulator::Violation& violation : metrics.first)
     text += fmt::format("INVARIANT VIOLATED at {:.4f} s: {}, request {}: {}\n",
                         seconds(violation.at.time_since_epoch()), wordOf(violation.rule),
--- a/src/lab/scenario_shrinker.hpp
+++ b/src/lab/scenario_shrinker.hpp
@@ -10,9 +10,10 @@
 /// Plays a scenario and says whether it still shows the behaviour that is looked for.
 using ShowsBehaviour = std::function<bool(const emulator::Scenario&)>;
 
+/// The result of shrink().
 struct ShrunkScenario {
   emulator::Scenario scenario;
-  std::size_t runs = 0;  ///< Plays that it took.
+  std::size_t runs = 0;  ///< Emulated runs that it took.
 };
 
 /// The smallest scenario found that still shows the behaviour: leaves out faults, methods and plans one by
--- a/src/net/buffer.hpp
+++ b/src/net/buffer.hpp
@@ -40,13 +40,13 @@
   /// Adds `bytes` that were written where reserve() pointed; freeBytes() at the most.
   void commit(std::size_t bytes) { end_ += bytes; }
   /// Appends a copy of `text`, which must not point into the buffer.
-  void add(std::string_view text) {
+  void append(std::string_view text) {
     if (text.empty()) return;
     std::memcpy(reserve(text.size()), text.data(), text.size());
     end_ += text.size();
   }
   /// Removes the first `bytes`; size() at the most.
-  void drop(std::size_t bytes) {
+  void consume(std::size_t bytes) {
     begin_ += bytes;
     if (begin_ == end_) {
       begin_ = 0;
@@ -58,7 +58,7 @@
     }
   }
   /// Removes the bytes from offset `from` up to, not including, offset `to`, both counted from the front.
-  void cut(std::size_t from, std::size_t to) {
+  void erase(std::size_t from, std::size_t to) {
     if (from == to) return;
     std::memmove(data() + from, data() + to, size() - to);
     end_ -= to - from;
--- a/src/net/client/client_connection.cpp
+++ b/src/net/client/client_connection.cpp
@@ -31,13 +31,13 @@
 }
 
 void ClientConnection::onData() {
-  if (state_ == State::lingering) return buffer_.drop(buffer_.size());
+  if (state_ == State::lingering) return buffer_.consume(buffer_.size());
   if (state_ != State::awaitingAnswer) {
-    if (!message_.begun()) deadlines_.startWait(loop_.now());
+    if (!message_.hasBegun()) deadlines_.startWait(loop_.now());
     parseRequests();
   }
-  if (state_ != State::awaitingAnswer && message_.begun()) updateWaitTimer();
-  if (mustPause()) scheduleEndCheck();
+  if (state_ != State::awaitingAnswer && message_.hasBegun()) updateWaitTimer();
+  if (readBufferFull()) scheduleEndCheck();
 }
 
 // A client may pipeline much and leave: its end of stream stands behind data that is not read, and may even
@@ -53,7 +53,7 @@
 
 void ClientConnection::checkForEnd() {
   endCheckScheduled_ = false;
-  if (!mustPause()) return;
+  if (!readBufferFull()) return;
   if (peerHungUp()) return onClosed();
   const std::size_t buffered = owner_.bufferedBytes();
   const std::size_t free = buffered < kMaxPipelinedBytes ? kMaxPipelinedBytes - buffered : 0;
@@ -82,11 +82,11 @@
 // Nothing behind bad framing can be read as a request.
 void ClientConnection::answerBadFraming() {
   persistence_ = Persistence::close;
-  answerText({message_.blame(), kBadFramingText});
+  answerText({message_.errorStatus(), kBadFramingText});
 }
 
 void ClientConnection::sendContinueIfExpected() {
-  const bool bodyHasBegun = message_.bodyAt() != buffer_.size();
+  const bool bodyHasBegun = message_.bodyOffset() != buffer_.size();
   if (message_.expectsContinue() && message_.stage() == http::Message::Stage::body && !bodyHasBegun)
     send({kContinueResponse});
 }
@@ -96,7 +96,7 @@
   // The answers to these methods are framed in another way than a host's answer to a request.
   if (message_.method() == "HEAD" || message_.method() == "CONNECT") return answerText(kMethodNotAllowed);
   // The request may have been pipelined by a client that has left since.
-  if (mustPause() && peerHungUp()) return onClosed();
+  if (readBufferFull() && peerHungUp()) return onClosed();
   forwardRequest();
 }
 
@@ -115,7 +115,7 @@
   const TimePoint now = loop_.now();
   core::GatewayCore& core = owner_.core();
   const core::ParsedRequest parsed = core::parseRequest(message_, core.names(), core.settings(), now);
-  if (!parsed.fault.empty()) return answerText({kStatusBadRequest, std::string(parsed.fault) + "\n"});
+  if (parsed.error) return answerText({kStatusBadRequest, std::string(core::textOf(*parsed.error)) + "\n"});
   enter(State::deciding);
   const RequestId requestId = core.requestArrived(now, ref(), parsed.request);
   if (state_ != State::deciding) return;
@@ -137,7 +137,7 @@
 }
 
 bool ClientConnection::hasNextRequest(bool messageComplete) const {
-  return messageComplete && (buffer_.size() > message_.size() || hasUnread());
+  return messageComplete && (buffer_.size() > message_.size() || hasUnreadBytes());
 }
 
 void ClientConnection::answer(int status, std::string_view fields, std::string_view body) {
@@ -149,7 +149,7 @@
   const bool headOnly = message().method() == "HEAD";
   const ResponseHead head(status, body.size(), fields, persistence_);
   answeredRequest_.assign(message_.get(kRequestIdField).substr(0, kMaxLoggedIdBytes));
-  buffer_.drop(messageComplete ? message_.size() : buffer_.size());
+  buffer_.consume(messageComplete ? message_.size() : buffer_.size());
   pipelineAllowance_ = 0;
   message_.clear();
   deadlines_.startWait(loop_.now());
@@ -164,7 +164,7 @@
 }
 
 void ClientConnection::onAllWritten() {
-  if (persistence_ == Persistence::close && state_ != State::awaitingAnswer && !message_.begun())
+  if (persistence_ == Persistence::close && state_ != State::awaitingAnswer && !message_.hasBegun())
     return lingeringClose(deadlines_.maxDeadline());
   resumeReading();
   if (!parsing_ && !buffer_.empty()) parseRequestsLater();
@@ -186,7 +186,7 @@
   if (state_ == State::lingering || !isUp()) return;
   enter(State::lingering);
   lingerUntil_ = loop_.now() + timeout;
-  buffer_.drop(buffer_.size());
+  buffer_.consume(buffer_.size());
   shutdownSend();
   updateWaitTimer();
   resumeReading();
@@ -194,7 +194,7 @@
 
 // While a request is in hand, at most a head's length of what is pipelined behind it is buffered, or what
 // checkForEnd() has allowed.
-bool ClientConnection::mustPause() const {
+bool ClientConnection::readBufferFull() const {
   return (state_ == State::awaitingAnswer || parsing_) &&
          buffer_.size() > std::max(message_.size() + http::kMaxHeadBytes, pipelineAllowance_);
 }
@@ -211,7 +211,7 @@
   if (state_ == State::lingering) return lingerUntil_;
   if (state_ == State::awaitingAnswer) return loop_.now() + deadlines_.maxDeadline();
   if (!allWritten()) return deadlines_.writeDeadline();
-  return message_.begun() ? deadlines_.requestDeadline() : deadlines_.idleDeadline();
+  return message_.hasBegun() ? deadlines_.requestDeadline() : deadlines_.idleDeadline();
 }
 
 void ClientConnection::timeOutRequest(Duration closeWithin) {
@@ -227,7 +227,7 @@
 void ClientConnection::onTimeout() {
   closeCause_ = ClientConnectionEnd::Cause::timeout;
   if (state_ == State::lingering || !allWritten()) return onClosed();
-  if (message_.begun()) return timeOutRequest(deadlines_.maxDeadline());
+  if (message_.hasBegun()) return timeOutRequest(deadlines_.maxDeadline());
   if (nothingReceived()) return lingeringClose(deadlines_.maxDeadline());
   closeCause_ = ClientConnectionEnd::Cause::peerOrFault;
   deadlines_.startWait(loop_.now());
--- a/src/net/client/client_connection.hpp
+++ b/src/net/client/client_connection.hpp
@@ -42,18 +42,20 @@
 
   /// The message in hand. Valid until the next read, which may move the buffer.
   const http::Message& message() {
-    message_.movedTo(buffer_.data());
+    message_.bufferMoved(buffer_.data());
     return message_;
   }
   /// Answers the request in hand. `fields`: whole header lines, each with its CRLF. Has no effect on a closed
   /// connection.
   void answer(int status, std::string_view fields, std::string_view body);
   /// Whether the connection is between two requests, with all answers written.
-  bool isIdle() const { return state_ == State::receiving && !message_.begun() && allWritten(); }
+  bool isIdle() const { return state_ == State::receiving && !message_.hasBegun() && allWritten(); }
   /// When isIdle(): since when.
   TimePoint idleSince() const { return deadlines_.waitStartedAt(); }
   /// Whether a part of a request has come, and not all of it.
-  bool hasIncompleteRequest() const { return state_ == State::receiving && message_.begun() && allWritten(); }
+  bool hasIncompleteRequest() const {
+    return state_ == State::receiving && message_.hasBegun() && allWritten();
+  }
   /// When hasIncompleteRequest(): from when on timeOutRequest() may be called to make room for another
   /// client.
   TimePoint evictableAt() const { return deadlines_.evictableAt(); }
@@ -77,8 +79,8 @@
   void onClosed() override;
   void onAllWritten() override;
   void onTimeout() override;
-  bool mustPause() const override;
-  bool expectsMore() const override { return state_ == State::receiving && message_.begun(); }
+  bool readBufferFull() const override;
+  bool expectsMore() const override { return state_ == State::receiving && message_.hasBegun(); }
   std::size_t readAheadLimit() const override;
   TimePoint waitDeadline() const override;
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -51,7 +51,7 @@
   reader_.step({});
 }
 
-bool Connection::hasUnread() const {
+bool Connection::hasUnreadBytes() const {
   if (!isUp()) return false;
   const CallStatus status = peek(socket_.descriptor()).status;
   return status == CallStatus::done || status == CallStatus::shortage;
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -40,7 +40,7 @@
   bool isUp() const { return socket_.isUp(); }
   /// Returns true if bytes have come that are not in the buffer yet. If the system cannot say for lack of
   /// resources, unread bytes are assumed: closing now could drop a request.
-  bool hasUnread() const;
+  bool hasUnreadBytes() const;
   /// Returns true if the peer has ended its stream or reset it, even if not all it sent has been read.
   bool peerHungUp() const;
   /// Returns true if the connection is up and neither bytes nor the peer's end wait to be read.
@@ -87,7 +87,7 @@
   bool peerEnded() const { return socket_.state() == ConnectionState::peerEnded; }
   /// The errno that broke the connection; 0 if none did.
   int lastError() const { return socket_.lastError(); }
-  /// Reads on if reading has paused; to be called where mustPause() may have become false.
+  /// Reads on if reading has paused; to be called where readBufferFull() may have become false.
   void resumeReading() { reader_.resume(); }
   /// Sets the wait timer; to be called where a wait begins that may end earlier than the one before.
   void updateWaitTimer();
--- a/src/net/connection_callbacks.hpp
+++ b/src/net/connection_callbacks.hpp
@@ -26,7 +26,7 @@
   virtual void onClosed() = 0;
   /// Returns true while the read buffer is as full as this connection allows. Reading then stops until
   /// Connection::resumeReading() is called.
-  virtual bool mustPause() const { return false; }
+  virtual bool readBufferFull() const { return false; }
   /// Returns true while a message has begun and is incomplete. The reader then reads on in the same turn:
   /// readiness that has been reported once is not reported again for the rest of the message.
   virtual bool expectsMore() const { return false; }
@@ -36,7 +36,7 @@
   /// The last unsent byte has been written. Also called by each Connection::send() that writes all at once.
   virtual void onAllWritten() {}
   /// Called just before unsent bytes are written again; may replace them with Connection::replaceUnsent().
-  virtual void beforeRetry() {}
+  virtual void beforeWritingUnsent() {}
   /// Returns false if the unsent bytes must not be written any more. The connection is then closed as after a
   /// failed write.
   virtual bool mayWrite() const { return true; }
--- a/src/net/counter/counter_connection.cpp
+++ b/src/net/counter/counter_connection.cpp
@@ -85,7 +85,7 @@
   ++firstCallNumber_;
   const CounterAnswer answer = readCounterAnswer(message_.status(), message_.body());
   const bool isLastAnswer = !message_.keepsAlive();
-  buffer_.drop(message_.size());
+  buffer_.consume(message_.size());
   message_.clear();
   if (!call.reported) {
     loop_.deadlines.cancel(call.timeout);
--- a/src/net/counter/counter_connection.hpp
+++ b/src/net/counter/counter_connection.hpp
@@ -67,7 +67,7 @@
 
   void onData() override;
   void onClosed() override;
-  bool expectsMore() const override { return message_.begun(); }
+  bool expectsMore() const override { return message_.hasBegun(); }
   TimePoint waitDeadline() const override;
   void onTimeout() override { onClosed(); }
 
@@ -81,7 +81,7 @@
   CounterConnectionOwner& owner_;
   const CounterTimeouts timeouts_;
   State state_ = State::inUse;
-  http::Message message_{http::Message::Kind::answer};
+  http::Message message_{http::Message::Kind::response};
   std::deque<Call> calls_;
   std::uint64_t firstCallNumber_ = 0;  ///< Of calls_.front(), counted from the connection's first call.
   TimePoint lastHeardAt_;              ///< Last byte received; the first call's time if none was in flight.
--- a/src/net/discovery/poll_connection.cpp
+++ b/src/net/discovery/poll_connection.cpp
@@ -13,7 +13,7 @@
                                std::string_view message)
     : Connection(loop),
       owner_(owner),
-      message_(http::Message::Kind::answer, http::Message::Body::whole, kMaxEndpointListBytes),
+      message_(http::Message::Kind::response, http::Message::Body::buffered, kMaxEndpointListBytes),
       deadline_(loop.now() + kHeartbeatInterval + connectTimeout) {
   send({message});
 }
--- a/src/net/discovery/poll_connection.hpp
+++ b/src/net/discovery/poll_connection.hpp
@@ -18,7 +18,7 @@
  private:
   void onData() override;
   void onClosed() override { finish(DiscoveryOutcome::failed); }
-  bool expectsMore() const override { return message_.begun(); }
+  bool expectsMore() const override { return message_.hasBegun(); }
   TimePoint waitDeadline() const override { return deadline_; }
   void onTimeout() override { finish(DiscoveryOutcome::failed); }
   void finish(DiscoveryOutcome outcome) { owner_.requestEnded(ref(), outcome); }
--- a/src/net/discovery/watch_connection.cpp
+++ b/src/net/discovery/watch_connection.cpp
@@ -20,9 +20,9 @@
 void WatchConnection::onData() {
   lastHeardAt_ = loop_.now();
   if (state_ == State::readingHead && !readHead()) return;
-  const http::Chunks::End end = decodeBody();
+  const http::ChunkedDecoder::End end = decodeBody();
   readEndpointLists();
-  if (isUp() && (end != http::Chunks::End::more || decodedBytes_ > kMaxEndpointListBytes)) onClosed();
+  if (isUp() && (end != http::ChunkedDecoder::End::more || decodedBytes_ > kMaxEndpointListBytes)) onClosed();
 }
 
 // Returns true once the head is complete and announces a watch; what follows it in the buffer is the body.
@@ -34,18 +34,18 @@
     return false;
   }
   state_ = State::readingBody;
-  buffer_.drop(head_.bodyAt());
+  buffer_.consume(head_.bodyOffset());
   return true;
 }
 
-http::Chunks::End WatchConnection::decodeBody() {
-  if (!head_.chunked()) {
+http::ChunkedDecoder::End WatchConnection::decodeBody() {
+  if (!head_.isChunked()) {
     decodedBytes_ = buffer_.size();
-    return http::Chunks::End::more;
+    return http::ChunkedDecoder::End::more;
   }
   std::size_t raw = decodedBytes_;
-  const auto end = chunks_.take(buffer_.data(), decodedBytes_, raw, buffer_.size());
-  buffer_.cut(decodedBytes_, raw);
+  const auto end = chunks_.decode(buffer_.data(), decodedBytes_, raw, buffer_.size());
+  buffer_.erase(decodedBytes_, raw);
   return end;
 }
 
@@ -77,7 +77,7 @@
 void WatchConnection::dropSplit() {
   const std::size_t bytes = splitBytes();
   if (bytes == 0) return;
-  buffer_.drop(bytes);
+  buffer_.consume(bytes);
   decodedBytes_ -= bytes;
   splitter_.dropped(bytes);
 }
@@ -88,7 +88,7 @@
 }
 
 bool WatchConnection::expectsMore() const {
-  return state_ == State::readingBody ? splitter_.begun() : head_.begun();
+  return state_ == State::readingBody ? splitter_.begun() : head_.hasBegun();
 }
 
 // Discovery sends a heartbeat every kHeartbeatInterval: a peer that vanished without closing the connection
--- a/src/net/discovery/watch_connection.hpp
+++ b/src/net/discovery/watch_connection.hpp
@@ -4,7 +4,7 @@
 #include <string_view>
 
 #include "config/json_stream_splitter.hpp"
-#include "http/chunks.hpp"
+#include "http/chunked_decoder.hpp"
 #include "http/message.hpp"
 #include "net/connection.hpp"
 #include "net/discovery/discovery_response_owner.hpp"
@@ -31,7 +31,7 @@
 
   TimePoint waitStartedAt() const;
   bool readHead();
-  http::Chunks::End decodeBody();
+  http::ChunkedDecoder::End decodeBody();
   void readEndpointLists();
   void trackObject(std::size_t splitBefore, bool begunBefore, config::JsonStreamSplitter::End end);
   void dropSplit();
@@ -40,8 +40,8 @@
   DiscoveryResponseOwner& owner_;
   const Duration connectTimeout_;
   State state_ = State::readingHead;
-  http::Message head_{http::Message::Kind::answer, http::Message::Body::streamed};
-  http::Chunks chunks_;
+  http::Message head_{http::Message::Kind::response, http::Message::Body::streamed};
+  http::ChunkedDecoder chunks_;
   std::size_t decodedBytes_ = 0;  ///< Of the body, at the front of the buffer.
   config::JsonStreamSplitter splitter_;
   TimePoint lastHeardAt_;      ///< Last byte received; before, when the connection was made or came up.
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -60,7 +60,7 @@
 void EventLoop::recoverMissedReadiness() {
   polled_.clear();
   polledConnections_.clear();
-  connections_.each([this](SlotRef ref, const std::unique_ptr<Connection>& connection) {
+  connections_.forEach([this](SlotRef ref, const std::unique_ptr<Connection>& connection) {
     const pollfd awaited = connection->socket().awaitedReadiness();
     if (awaited.events == 0) return;
     polled_.push_back(awaited);
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -75,7 +75,7 @@
     return made;
   }
   /// Deadlines may run up to `window` late, in the turn of another event, instead of in a turn of their own.
-  void coalesceTimersWithin(Duration window) { coalesceWithin_ = window; }
+  void setTimerCoalescing(Duration window) { coalesceWithin_ = window; }
   /// Sets the first pause before a call is repeated that failed for a shortage of this machine.
   void setRetryPause(Duration pause) { retryPause_ = pause; }
   Duration retryPause() const { return retryPause_; }
--- a/src/net/forwarded_request.cpp
+++ b/src/net/forwarded_request.cpp
@@ -28,7 +28,7 @@
 
 // `connectionField`: the request's Connection field, which lists further hop-by-hop fields.
 bool isForwarded(std::string_view name, std::string_view connectionField) {
-  const auto isSame = [name](std::string_view other) { return http::same(name, other); };
+  const auto isSame = [name](std::string_view other) { return http::equalsIgnoringCase(name, other); };
   return std::none_of(kFieldsNotForwarded.begin(), kFieldsNotForwarded.end(), isSame) &&
          !http::listContains(connectionField, name);
 }
@@ -41,7 +41,7 @@
   fmt::format_to(std::back_inserter(message), FMT_COMPILE("{} {} HTTP/1.1\r\nHost: {}{}{}\r\n"),
                  request.method(), request.target(), hostAddress, kDeadlineField, millisecondsLeft(timeLeft));
   const std::string_view connectionField = request.get(kConnectionField);
-  for (std::size_t at = 0; at < request.fields(); ++at) {
+  for (std::size_t at = 0; at < request.fieldCount(); ++at) {
     const auto [name, value] = request.field(at);
     if (isForwarded(name, connectionField)) message.append(name).append(": ").append(value).append("\r\n");
   }
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -58,13 +58,13 @@
 }
 
 // The counter's address is parsed first, so that nothing changes if it is not valid.
-void Server::moveTo(const std::string& discovery, const std::string& counter) {
+void Server::setAddresses(const std::string& discovery, const std::string& counter) {
   if (!counter.empty()) parseAddress(counter);
   discovery_.setAddress(discovery);
   counter_.setAddress(counter);
 }
 
-void Server::leave(TimePoint answerBy) {
+void Server::startDraining(TimePoint answerBy) {
   core_.setAnswerDeadline(answerBy);
   clients_.drain(answerBy);
 }
--- a/src/net/server.hpp
+++ b/src/net/server.hpp
@@ -27,21 +27,21 @@
   void serve();
   /// Sets the addresses of discovery and the counter service; an empty `counter`: there is none. Throws
   /// std::invalid_argument, and then nothing has changed.
-  void moveTo(const std::string& discovery, const std::string& counter);
+  void setAddresses(const std::string& discovery, const std::string& counter);
   /// Begins a graceful shutdown: the gateway is not ready, and answers all requests by `answerBy`.
-  void leave(TimePoint answerBy);
+  void startDraining(TimePoint answerBy);
   /// Closes the clients' connections that have been idle for at least `idleFor`.
   void closeIdle(Duration idleFor = Duration{0}) { clients_.closeIdle(idleFor); }
   /// Stops accepting if no client waits; see ClientAcceptor::stop().
-  bool shut() { return clients_.stopAccepting(); }
+  bool stopAccepting() { return clients_.stopAccepting(); }
   /// Looks whether clients wait unnoticed; the event loop does the same for its connections.
   void recoverMissedReadiness() { clients_.recoverMissedReadiness(); }
   /// Drops unread data of all clients, so that the exit of the process resets no connection.
-  void discard() { clients_.discardUnread(); }
+  void discardUnread() { clients_.discardUnread(); }
   /// Requests that the core has not answered yet.
   std::size_t unanswered() const { return core_.unanswered(); }
   /// Whether no request is unanswered, and no client is in the middle of a request or of an answer.
-  bool quiet() { return unanswered() == 0 && clients_.allIdle(); }
+  bool allAnswered() { return unanswered() == 0 && clients_.allIdle(); }
   /// Whether the connections of all clients have closed.
   bool allClosed() { return clients_.allClosed(); }
 
--- a/src/net/stream_reader.cpp
+++ b/src/net/stream_reader.cpp
@@ -21,7 +21,7 @@
 void StreamReader::step(const Error& error) {
   reenter(coroutine_) {
     while (socket_.isUp()) {
-      if (!writer_.allWritten() || callbacks_.mustPause()) {
+      if (!writer_.allWritten() || callbacks_.readBufferFull()) {
         paused_ = true;
         yield return;
       }
@@ -44,7 +44,7 @@
 }
 
 void StreamReader::resume() {
-  if (socket_.isUp() && writer_.allWritten() && !callbacks_.mustPause() && std::exchange(paused_, false))
+  if (socket_.isUp() && writer_.allWritten() && !callbacks_.readBufferFull() && std::exchange(paused_, false))
     step({});
 }
 
@@ -54,7 +54,7 @@
   CallStatus status = fill();
   for (int reads = 1; status == CallStatus::done; ++reads) {
     callbacks_.onData();
-    const bool goesOn = socket_.isUp() && writer_.allWritten() && !callbacks_.mustPause() &&
+    const bool goesOn = socket_.isUp() && writer_.allWritten() && !callbacks_.readBufferFull() &&
                         callbacks_.expectsMore() && reads < kMaxReadsPerTurn;
     if (!goesOn) return CallStatus::wouldBlock;
     status = fill();
--- a/src/net/stream_reader.hpp
+++ b/src/net/stream_reader.hpp
@@ -11,7 +11,7 @@
 
 /// Reads a connection's bytes into its buffer and calls ConnectionCallbacks::onData(). Reading pauses while
 /// bytes are unsent, since these stand behind the received ones in the same buffer, and while
-/// ConnectionCallbacks::mustPause() is true; resume() ends the pause.
+/// ConnectionCallbacks::readBufferFull() is true; resume() ends the pause.
 class StreamReader {
  public:
   StreamReader(StreamSocket& socket, Buffer& buffer, const StreamWriter& writer,
--- a/src/net/stream_writer.cpp
+++ b/src/net/stream_writer.cpp
@@ -21,14 +21,14 @@
     const std::size_t writtenOfPart = std::min(written, part.size());
     written -= writtenOfPart;
     part.remove_prefix(writtenOfPart);
-    buffer_.add(part);
+    buffer_.append(part);
     unsent_ += part.size();
   }
   return unsent_ > 0 ? WriteEvent::none : WriteEvent::allWritten;
 }
 
 void StreamWriter::sendLater(std::string_view part) {
-  buffer_.add(part);
+  buffer_.append(part);
   unsent_ += part.size();
   if (!std::exchange(flushScheduled_, true)) socket_.loop().flushLater(socket_.ref());
 }
@@ -72,23 +72,23 @@
 // if nothing may be written any more.
 CallStatus StreamWriter::writeUnsent() {
   if (!callbacks_.mayWrite()) return CallStatus::broken;
-  callbacks_.beforeRetry();
+  callbacks_.beforeWritingUnsent();
   socket_.ensureNoDelay();
   CallResult sent;
   while (unsent_ > 0 && sent.status == CallStatus::done) {
     sent = net::send(socket_.descriptor(), {unsent()});
     socket_.recordResult(SystemCall::send, sent);
     const std::size_t received = buffer_.size() - unsent_;
-    buffer_.cut(received, received + sent.bytes);
+    buffer_.erase(received, received + sent.bytes);
     unsent_ -= sent.bytes;
   }
-  if (buffer_.empty()) buffer_.drop(0);
+  if (buffer_.empty()) buffer_.consume(0);
   return sent.status;
 }
 
 void StreamWriter::replaceUnsent(std::string_view text) {
-  buffer_.cut(buffer_.size() - unsent_, buffer_.size());
-  buffer_.add(text);
+  buffer_.erase(buffer_.size() - unsent_, buffer_.size());
+  buffer_.append(text);
   unsent_ = text.size();
 }
 
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -47,7 +47,7 @@
 // Rewrites the deadline header just before the request is written, as long as none of it has been. Time spent
 // waiting for the socket has already used up part of the deadline; a stale value would let the host work on
 // after the client has given up.
-void UpstreamConnection::beforeRetry() {
+void UpstreamConnection::beforeWritingUnsent() {
   if (state_ == State::idle || unsentBytes() != requestBytes_) return;
   const std::string message = withDeadline(unsent(), deadline_.abandonAt - loop_.now());
   requestBytes_ = message.size();
@@ -71,8 +71,9 @@
 
 // An answer without a length is complete only if the stream ended in good order; a reset has cut it short.
 void UpstreamConnection::onClosed() {
-  answer_.movedTo(buffer_.data());  // the read that found the end may have moved the buffer
-  const bool answered = peerEnded() && answer_.begun() && answer_.ended() == http::Message::Stage::done;
+  answer_.bufferMoved(buffer_.data());  // the read that found the end may have moved the buffer
+  const bool answered =
+      peerEnded() && answer_.hasBegun() && answer_.peerClosed() == http::Message::Stage::done;
   if (state_ == State::idle) return owner_.closeConnection(ref());
   if (answered) return finish(outcomeOf(answer_), readUpstreamResponse(answer_));
   if (isUnsent() && !mayWrite()) return finish(Outcome::notSent);
@@ -96,7 +97,7 @@
 }
 
 void UpstreamConnection::becomeIdle() {
-  buffer_.drop(buffer_.size());
+  buffer_.consume(buffer_.size());
   answer_.clear();
   idleSince_ = loop_.now();
   owner_.connectionIdle(host_, ref());
--- a/src/net/upstream/upstream_connection.hpp
+++ b/src/net/upstream/upstream_connection.hpp
@@ -81,9 +81,9 @@
   void onData() override;
   void onClosed() override;
   void onConnected() override;
-  void beforeRetry() override;
+  void beforeWritingUnsent() override;
   bool mayWrite() const override;
-  bool expectsMore() const override { return state_ != State::idle && answer_.begun(); }
+  bool expectsMore() const override { return state_ != State::idle && answer_.hasBegun(); }
   TimePoint waitDeadline() const override;
   void onTimeout() override;
 
@@ -95,7 +95,7 @@
   UpstreamConnectionOwner& owner_;
   const HostId host_;
   const UpstreamTimeouts timeouts_;
-  http::Message answer_{http::Message::Kind::answer};
+  http::Message answer_{http::Message::Kind::response};
   State state_ = State::idle;
   RequestId requestId_{};
   AttemptNumber attemptNumber_{};
--- a/src/net/upstream/upstream_outcome.cpp
+++ b/src/net/upstream/upstream_outcome.cpp
@@ -45,11 +45,11 @@
 
 core::UpstreamResponse readUpstreamResponse(const http::Message& answer) {
   core::UpstreamResponse response{answer.body(), {}, 0, {}};
-  for (std::size_t index = 0; index < answer.fields(); ++index) {
+  for (std::size_t index = 0; index < answer.fieldCount(); ++index) {
     const auto [name, value] = answer.field(index);
-    if (http::same(name, "Content-Type")) response.type = value;
-    if (http::same(name, "Billed-Units")) response.trueUnits = numberOf(value);
-    if (http::same(name, "Srv-Load")) readLoadReport(value, response.load);
+    if (http::equalsIgnoringCase(name, "Content-Type")) response.contentType = value;
+    if (http::equalsIgnoringCase(name, "Billed-Units")) response.trueUnits = numberOf(value);
+    if (http::equalsIgnoringCase(name, "Srv-Load")) readLoadReport(value, response.load);
   }
   return response;
 }
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -14,18 +14,18 @@
 
 bool ConcurrencyLimit::publishesUsage(const Plan& plan) {
   const bool hasQuota = plan.rate > 0;
-  const bool hasLimit = plan.open > 0;
+  const bool hasLimit = plan.maxInFlight > 0;
   return hasLimit && !hasQuota;
 }
 
 double ConcurrencyLimit::freeSlots(double limitFraction, double othersRate) const {
-  if (limitFraction < 1) return std::max(kMinDividedSlots, plan_.open / gateways_) - inFlight_;
+  if (limitFraction < 1) return std::max(kMinDividedSlots, plan_.maxInFlight / gateways_) - inFlight_;
   const double othersInFlight = publishesUsage(plan_) ? othersRate : 0;
-  return plan_.open - inFlight_ - othersInFlight;
+  return plan_.maxInFlight - inFlight_ - othersInFlight;
 }
 
 bool ConcurrencyLimit::admits(double limitFraction, double othersRate, util::RandomSource& random) const {
-  if (plan_.open <= 0) return true;
+  if (plan_.maxInFlight <= 0) return true;
   return random.bernoulli(freeSlots(limitFraction, othersRate));
 }
 
--- a/src/policy/counter_exchange.cpp
+++ b/src/policy/counter_exchange.cpp
@@ -59,7 +59,7 @@
 void CounterExchange::schedule(CustomerState& customer) {
   const bool hasQuota = customer.plan.rate > 0;
   const bool publishes = hasQuota || ConcurrencyLimit::publishesUsage(customer.plan);
-  if (!context_.settings.counter || !publishes) return;
+  if (!context_.settings.hasCounter || !publishes) return;
   customer.round.requestedSinceCall = true;
   if (!idle(customer)) return;
   customer.round.state = CounterRound::State::queued;
--- a/src/policy_api/policy_settings.hpp
+++ b/src/policy_api/policy_settings.hpp
@@ -52,7 +52,7 @@
   double burst = 0;
 
   /// The concurrency limit: attempts of the customer in flight at once, over all gateways. 0: no limit.
-  int open = 0;
+  int maxInFlight = 0;
 
   /// The hard ceiling: units per second that are never exceeded, over all gateways. 0: no ceiling.
   double ceilingRate = 0;
@@ -79,7 +79,7 @@
   std::uint32_t gateways = 1;
 
   /// Whether there is a counter service through which the gateways learn of each other's use.
-  bool counter = false;
+  bool hasCounter = false;
 
   /// A call to the counter service ends without an answer after this long. Above 0.
   Duration counterTimeout{};
--- a/src/policy_api/time.hpp
+++ b/src/policy_api/time.hpp
@@ -8,9 +8,9 @@
 /// A duration in whole nanoseconds.
 using Duration = std::chrono::nanoseconds;
 
+// NOLINTBEGIN(readability-identifier-naming): std::chrono prescribes the names of a clock's members
 /// The gateway's steady clock, as a tag for TimePoint. It has no now(): the engine is given the time with
 /// every input and reads no clock. The origin has no meaning; only differences and slots of time are used.
-// NOLINTBEGIN(readability-identifier-naming): std::chrono prescribes the names of a clock's members
 struct GatewayClock {
   using rep = Duration::rep;
   using period = Duration::period;
--- a/src/simulator_adapter/gateway_instance.cpp
+++ b/src/simulator_adapter/gateway_instance.cpp
@@ -22,7 +22,7 @@
                                  ReplyBuffer& reply)
     : writer_(number, reply),
       loadFigureNames_(start.loadFigureNames),
-      core_(start.config, now, deadlines_, *this, core::Timekeeper::adapter) {}
+      core_(start.config, now, deadlines_, *this, core::DeadlineEnforcer::adapter) {}
 
 void GatewayInstance::handle(const Message& message, TimePoint now) {
   dispatch(message, now);
@@ -55,7 +55,7 @@
 
 void GatewayInstance::handleRequest(const RequestArrival& arrival, TimePoint now) {
   const RequestId requestId = core_.requestArrived(now, SlotRef::unpacked(arrival.id.value), arrival.request);
-  if (core_.holds(requestId)) requestIds_.emplace(arrival.id, requestId);
+  if (core_.contains(requestId)) requestIds_.emplace(arrival.id, requestId);
 }
 
 void GatewayInstance::handleClientLeft(WireRequestId id, TimePoint now) {
@@ -74,7 +74,7 @@
   response.trueUnits = end.trueUnits;
   response.load = end.load;
   response.took = end.took;
-  response.answered = end.clientAnswered;
+  response.answeredByAdapter = end.clientAnswered;
   core_.attemptEnded(now, request->second, end.attempt, end.outcome, response);
   forgetIfEnded(request);
 }
@@ -89,7 +89,7 @@
 }
 
 void GatewayInstance::forgetIfEnded(RequestIds::iterator request) {
-  if (!core_.holds(request->second)) requestIds_.erase(request);
+  if (!core_.contains(request->second)) requestIds_.erase(request);
 }
 
 void GatewayInstance::requestWakeUp(TimePoint now) {
--- a/src/simulator_adapter/message_reader.cpp
+++ b/src/simulator_adapter/message_reader.cpp
@@ -62,7 +62,7 @@
 
 Outcome parseOutcome(const Fields& fields) {
   const auto outcome = valueOf(fields.need<std::string_view>("code"), kOutcomes);
-  if (!outcome) fields.blame("code", "is not known");
+  if (!outcome) fields.fail("code", "is not known");
   return *outcome;
 }
 
@@ -76,11 +76,11 @@
   LoadReport load;
   if (!fields.has("stats")) return load;
   simdjson::dom::array stats;
-  if (fields.need<element>("stats").get(stats)) fields.blame("stats", "is not an array");
+  if (fields.need<element>("stats").get(stats)) fields.fail("stats", "is not an array");
   auto name = figureNames.begin();
   for (const element stat : stats) {
     double value = 0;
-    if (stat.get(value)) fields.blame("stats", "holds what is not a number");
+    if (stat.get(value)) fields.fail("stats", "holds what is not a number");
     if (name == figureNames.end()) break;
     config::readLoadFigure(load, *name++, value);
   }
@@ -127,7 +127,7 @@
 }
 
 GatewayStart parseGatewayStart(const Fields& fields) {
-  const Fields profile = fields.part("profileData");
+  const Fields profile = fields.section("profileData");
   GatewayStart start{config::loadFieldNames(profile), config::readSettings(profile)};
   start.config.seed = fields.need<std::uint64_t>("rngSeed");
   return start;
@@ -135,7 +135,7 @@
 
 WireRequestId parseRequestIdField(const Fields& fields) {
   const auto id = parseRequestId(fields.need<std::string_view>("id"));
-  if (!id) fields.blame("id", "is not 16 hex digits");
+  if (!id) fields.fail("id", "is not 16 hex digits");
   return *id;
 }
 
@@ -182,7 +182,7 @@
   endpoints.complete = how != "incr";
   if (!fields.has("hosts")) return endpoints;
   simdjson::dom::array entries;
-  if (fields.need<element>("hosts").get(entries)) fields.blame("hosts", "is not an array");
+  if (fields.need<element>("hosts").get(entries)) fields.fail("hosts", "is not an array");
   for (const element entry : entries)
     endpoints.entries.push_back(parseEndpoint(Fields("peersKnown.hosts", entry)));
   return endpoints;
--- a/tests/cold_hosts_test.cpp
+++ b/tests/cold_hosts_test.cpp
@@ -59,14 +59,14 @@
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     const Metrics metrics = play(scenario, seed, Policy::module);
     INFO(gateways << " gateways, seed " << seed);
-    CHECK(metrics.violations[static_cast<std::size_t>(Invariant::cold)] == 0);
-    CHECK(metrics.nearestCold < 1);
-    CHECK(metrics.nearestCold > 0.05);  // the hosts are used
+    CHECK(metrics.violations[static_cast<std::size_t>(Invariant::slowStart)] == 0);
+    CHECK(metrics.peakSlowStartLoad < 1);
+    CHECK(metrics.peakSlowStartLoad > 0.05);  // the hosts are used
   }
 }
 
 TEST_CASE("Gateways that admit everything overload the same hosts in slow start") {
   const Scenario scenario =
       readScenario(kHostsReplaced, "cold.toml", {"fleet.gateways=25", "clients.spread=8"});
-  CHECK(play(scenario, 1, Policy::all).violations[static_cast<std::size_t>(Invariant::cold)] > 0);
+  CHECK(play(scenario, 1, Policy::all).violations[static_cast<std::size_t>(Invariant::slowStart)] > 0);
 }
--- a/tests/config/config_error_test.cpp
+++ b/tests/config/config_error_test.cpp
@@ -83,7 +83,7 @@
   CHECK(message.fields.get("gone", 7) == 7);
   CHECK(message.fields.get("none", 7) == 7);
   CHECK_FALSE(message.fields.has("none"));
-  CHECK(message.fields.partOrNone("gone").get("any", true));
+  CHECK(message.fields.optionalSection("gone").get("any", true));
   CHECK(message.fields.duration("gone", Duration{5}) == Duration{5});
 }
 
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -95,7 +95,7 @@
   void shutDown() {
     if (below(40) == 0 && !shuttingDown_) {
       shuttingDown_ = true;
-      gateway_.server.leave(gateway_.clock.currentTime + 900s);
+      gateway_.server.startDraining(gateway_.clock.currentTime + 900s);
     }
     if (shuttingDown_) gateway_.server.closeIdle();
   }
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -134,7 +134,7 @@
 
 TEST_CASE("Settings without a counter service, with one gateway and with zero rates break no invariant") {
   PolicySettings settings = testPolicySettings();
-  settings.counter = GENERATE(true, false);
+  settings.hasCounter = GENERATE(true, false);
   settings.gateways = 1;
   settings.counterTimeout = 0ns;
   settings.slowStartTime = 0ns;
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -77,9 +77,9 @@
     const RequestId requestId{++last_};
     // The ceiling rule is broken by letting all in, the drain and cold rules by staying with what was first
     // told, or with what was told last.
-    const std::size_t host = rule_ == Invariant::drain  ? 0
-                             : rule_ == Invariant::cold ? hosts_.size() - 1
-                                                        : last_ % hosts_.size();
+    const std::size_t host = rule_ == Invariant::drain       ? 0
+                             : rule_ == Invariant::slowStart ? hosts_.size() - 1
+                                                             : last_ % hosts_.size();
     const auto sent = transport_.startAttempt(requestId, {0}, client, {static_cast<std::uint32_t>(host)},
                                               {a.deadline, TimePoint::max()});
     requests_[requestId.value] = {client, a.method, 0, std::get<SlotRef>(sent)};
@@ -101,7 +101,7 @@
     if (outcome == Outcome::ok) {
       const SlotRef client = held.client;
       requests_.erase(at);
-      transport_.answerOk(client, response.body, response.type);
+      transport_.answerOk(client, response.body, response.contentType);
       if (rule_ == Invariant::lost && last_ % 7 == 0) transport_.answerFailed(client);  // and once more
       return;
     }
@@ -321,9 +321,9 @@
                                   "s.toml");
   const Metrics a = play(s, 1, Policy::module), b = play(s, 1, Policy::module),
                 c = play(s, 2, Policy::module), even = play(s, 1, Policy::even);
-  CHECK(a.print == b.print);
+  CHECK(a.fingerprint == b.fingerprint);
   CHECK(a.events == b.events);
-  CHECK(a.print != c.print);
+  CHECK(a.fingerprint != c.fingerprint);
   CHECK(a.asked == even.asked);
   CHECK(a.utilityOffered == even.utilityOffered);
   CHECK(a.asked == a.inTime + a.late + a.failed + a.abandoned);
@@ -341,7 +341,7 @@
       {Invariant::lost, ""},
       {Invariant::duplicate, fault("host_err", "0s", "6s", "factor = 0.5")},
       {Invariant::drain, fault("host_replace", "1s", "1s", "share = 1")},
-      {Invariant::cold,
+      {Invariant::slowStart,
        fault("host_replace", "1s", "0s", "share = 0.25"),
        {"plan.0.ceiling_rate=0", "clients.rate=900"}},
       {Invariant::ceiling, "", {"clients.skew=2"}},
@@ -358,7 +358,7 @@
     bool named = false;
     for (const Violation& b : t.first)
       named = named || (b.rule == one.rule && b.at > TimePoint{} &&
-                        (b.attemptId.value > 0 || one.rule == Invariant::cold) && !b.what.empty());
+                        (b.attemptId.value > 0 || one.rule == Invariant::slowStart) && !b.what.empty());
     CHECK(named);
     CHECK(play(s, 1, Policy::module).broken() == 0);  // who keeps the rules is not blamed
   }
@@ -429,7 +429,7 @@
   CHECK(played({"hosts.count=0"}).broken() == 0);
   CHECK(played({"fleet.gateways=1", "clients.spread=1"}).broken() == 0);
   const Metrics alone = played({"counter.present=false"});
-  CHECK(alone.countCalls == 0);
+  CHECK(alone.counterCalls == 0);
   CHECK(alone.broken() == 0);
   CHECK(played({"clients.rate=0"}).asked == 0);
   CHECK(played({}, fault("host_kill", "2s", "0s", "share = 1")).broken() == 0);  // over as it begins
--- a/tests/gateway_core/tables_test.cpp
+++ b/tests/gateway_core/tables_test.cpp
@@ -37,7 +37,7 @@
   table.drop(dropped);
   CHECK(table.find(first) == address);
   std::vector<std::string> visited;
-  table.each([&](core::SlotRef, const std::string& element) { visited.push_back(element); });
+  table.forEach([&](core::SlotRef, const std::string& element) { visited.push_back(element); });
   REQUIRE(visited.size() == 99);
   CHECK(visited[49] == "49");
   CHECK(visited[50] == "51");
--- a/tests/gateway_core_test.cpp
+++ b/tests/gateway_core_test.cpp
@@ -2,7 +2,8 @@
 
 #include <catch2/catch.hpp>
 
-#include "world.hpp"
+#include "support/gateway_under_test.hpp"
+#include "support/simulated_fleet.hpp"
 
 using namespace merlinbridge;
 using namespace merlinbridge::testing;
@@ -56,7 +57,7 @@
 }
 config::GatewayConfig plainConfig(int hosts) {
   config::GatewayConfig config{};
-  config.settings = plainSettings(1);
+  config.settings = testPolicySettings(1);
   config.methods = {"look", "book", "zoned", "pay"};
   config.plans = {"metered", "open", "capped"};
   config.answerSlack = 16ms;
@@ -269,7 +270,7 @@
 }
 
 TEST_CASE("a request is parsed from the header fields, or the first error is returned") {
-  const PolicySettings settings = plainSettings();
+  const PolicySettings settings = testPolicySettings();
   const auto config = plainConfig(1);
   const core::NameTables names{
       core::NameTable<MethodId>(config.methods), core::NameTable<PlanId>(config.plans), {}, {}};
@@ -330,7 +331,7 @@
   fixture.core.clientLeft(fixture.now, requestId);
   CHECK(fixture.transport.closedConnections ==
         (isUnsent ? std::vector<std::uint32_t>{1} : std::vector<std::uint32_t>{}));
-  CHECK(fixture.core.holds(requestId) != isUnsent);
+  CHECK(fixture.core.contains(requestId) != isUnsent);
   CHECK(fixture.transport.startedAttempts.size() == 1);
 }
 
@@ -391,6 +392,6 @@
   const std::size_t whileConnected = kind == Kind::first ? 0 : 1;
   CHECK(started >= whileConnected);
   CHECK((started > whileConnected) == staysConnected);
-  if (!staysConnected && kind == Kind::retry) CHECK_FALSE(fixture.core.holds(requestId));
+  if (!staysConnected && kind == Kind::retry) CHECK_FALSE(fixture.core.contains(requestId));
   CHECK(fixture.core.unanswered() == (staysConnected ? 1u : 0u));
 }
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -1,7 +1,8 @@
 #include <catch2/catch.hpp>
 
 #include "http/message.hpp"
-#include "world.hpp"
+#include "support/gateway_under_test.hpp"
+#include "support/simulated_fleet.hpp"
 
 using namespace merlinbridge;
 using http::Message;
@@ -39,7 +40,7 @@
     bytes.swap(moved);
     moved.assign(moved.size(), '#');
   }
-  if (message.stage() != Stage::done) return {message.stage(), message.blame(), 0, {}, {}, {}, {}};
+  if (message.stage() != Stage::done) return {message.stage(), message.errorStatus(), 0, {}, {}, {}, {}};
   return {Stage::done,
           0,
           message.size(),
@@ -54,8 +55,8 @@
 TEST_CASE("a message is read the same wherever the buffer is split") {
   const auto [kind, text] = GENERATE(table<Kind, std::string>({{Kind::request, kPostRequest},
                                                                {Kind::request, "\r\n" + kPostRequest},
-                                                               {Kind::answer, kChunkedAnswer},
-                                                               {Kind::answer, kInterimAnswer}}));
+                                                               {Kind::response, kChunkedAnswer},
+                                                               {Kind::response, kInterimAnswer}}));
   const std::string withNext = text + "GET";  // bytes of the next message
   for (std::size_t first = 0; first <= text.size(); ++first)
     for (std::size_t second = first; second <= text.size(); ++second) {
@@ -128,7 +129,7 @@
   for (int round = 0; round < 200; ++round) {
     std::string text = base;
     for (int count = 0; count < 3; ++count) text[random() % text.size()] = static_cast<char>(random());
-    const Kind kind = seed % 2 ? Kind::request : Kind::answer;
+    const Kind kind = seed % 2 ? Kind::request : Kind::response;
     const std::size_t at = random() % text.size();
     const ParseResult whole = read(kind, text, {text.size()});
     const ParseResult split = read(kind, text, {at, text.size()});
@@ -140,15 +141,15 @@
 
 TEST_CASE("a response without a stated length ends with its connection") {
   std::string text = "HTTP/1.1 200 OK\r\n\r\nhel";
-  Message message(Kind::answer);
+  Message message(Kind::response);
   CHECK(message.advance(text.data(), text.size()) == Stage::body);
-  CHECK(message.ended() == Stage::done);
+  CHECK(message.peerClosed() == Stage::done);
   CHECK(message.body() == "hel");
   CHECK_FALSE(message.keepsAlive());
   std::string cut = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhel";
-  Message other(Kind::answer);
+  Message other(Kind::response);
   other.advance(cut.data(), cut.size());
-  CHECK(other.ended() == Stage::body);
+  CHECK(other.peerClosed() == Stage::body);
 }
 
 TEST_CASE("a message keeps its connection alive or not by its version and Connection field") {
@@ -170,14 +171,14 @@
   std::ranlux24_base random(7);
   for (int step = 0; step < 5000; ++step) {
     const std::string added(random() % 700, static_cast<char>('a' + step % 26));
-    buffer.add(added);
+    buffer.append(added);
     model += added;
     const std::size_t removed = random() % (model.size() + 1);
     if (step % 3 == 0) {
-      buffer.cut(removed / 2, removed);
+      buffer.erase(removed / 2, removed);
       model.erase(removed / 2, removed - removed / 2);
     } else {
-      buffer.drop(removed);
+      buffer.consume(removed);
       model.erase(0, removed);
     }
     REQUIRE(buffer.view() == model);
--- a/tests/net/client_admission_test.cpp
+++ b/tests/net/client_admission_test.cpp
@@ -94,7 +94,7 @@
   clientA.send(clientRequest("look"));
   clientB.send(clientRequest("look"));
   if (!slotWanted) {
-    gateway.server.leave(gateway.clock.currentTime + 3s);
+    gateway.server.startDraining(gateway.clock.currentTime + 3s);
     gateway.server.closeIdle();
   }
   std::vector<TestPeer> hosts;
--- a/tests/net/client_connection_test.cpp
+++ b/tests/net/client_connection_test.cpp
@@ -144,7 +144,7 @@
     newcomers.push_back(gateway.connectClient());
   gateway.runPendingEvents();
   if (closedBy == ClosedBy::shutdown) {
-    gateway.server.leave(TimePoint::max());
+    gateway.server.startDraining(TimePoint::max());
     gateway.server.closeIdle();
   }
   if (closedBy == ClosedBy::idleTimeout) gateway.advanceClock(29'980ms);
--- a/tests/net/connection_buffer_test.cpp
+++ b/tests/net/connection_buffer_test.cpp
@@ -22,7 +22,7 @@
   void onData() override {
     while (received() >= kMessageBytes) {
       messages += buffer_.view().substr(0, kMessageBytes);
-      buffer_.drop(kMessageBytes);
+      buffer_.consume(kMessageBytes);
       sendLater("yes");
     }
   }
--- a/tests/net/counter_client_test.cpp
+++ b/tests/net/counter_client_test.cpp
@@ -100,7 +100,7 @@
   std::optional<TestPeer> newConnection;
   REQUIRE(gateway.runUntilAccepted(gateway.counter, oldConnection));
   REQUIRE(gateway.runUntilReceived(*oldConnection, "POST /tally/u1."));
-  gateway.server.moveTo(gateway.discovery.address(), newCounter.address());
+  gateway.server.setAddresses(gateway.discovery.address(), newCounter.address());
   gateway.loop.endTurn();
   gateway.runPendingEvents();
   CHECK_FALSE(oldConnection->isClosedByRemote());
@@ -111,8 +111,8 @@
   otherClient.send(meteredRequest(2));
   REQUIRE(gateway.runUntilAccepted(newCounter, newConnection));
   CHECK(gateway.runUntilReceived(*newConnection, "POST /tally/u2."));
-  CHECK_THROWS_AS(gateway.server.moveTo(newCounter.address(), "nowhere"), std::invalid_argument);
-  CHECK_THROWS_AS(gateway.server.moveTo("nowhere", gateway.counter.address()), std::invalid_argument);
+  CHECK_THROWS_AS(gateway.server.setAddresses(newCounter.address(), "nowhere"), std::invalid_argument);
+  CHECK_THROWS_AS(gateway.server.setAddresses("nowhere", gateway.counter.address()), std::invalid_argument);
   CHECK_FALSE(newConnection->isClosedByRemote());
 }
 
@@ -130,8 +130,8 @@
   gateway.discovery.close();
   oldWatch->close();
   gateway.runPendingEvents();
-  gateway.server.moveTo(newDiscovery.address(), newCounter.address());
-  gateway.server.moveTo(newDiscovery.address(), newCounter.address());
+  gateway.server.setAddresses(newDiscovery.address(), newCounter.address());
+  gateway.server.setAddresses(newDiscovery.address(), newCounter.address());
   gateway.loop.endTurn();
   REQUIRE(gateway.runUntilAccepted(newDiscovery, newWatch));
   std::optional<TestPeer> secondWatch;
--- a/tests/net/discovery_watch_test.cpp
+++ b/tests/net/discovery_watch_test.cpp
@@ -156,7 +156,7 @@
   REQUIRE(gateway.runUntilReceived(*secondWatch, "from=41 "));
   secondWatch->send(kOkHead + list);
   gateway.runPendingEvents();
-  gateway.server.moveTo(gateway.discovery.address(), gateway.counter.address());  // the same addresses
+  gateway.server.setAddresses(gateway.discovery.address(), gateway.counter.address());  // the same addresses
   gateway.runPendingEvents();
   CHECK_FALSE(secondWatch->isClosedByRemote());
   secondWatch->closeWithReset();
@@ -179,7 +179,7 @@
   if (movedDuring == MovedDuring::pauseBeforeReconnect) watch->close();
   gateway.runPendingEvents();
   if (movedDuring == MovedDuring::unreadList) watch->send(kOkHead + endpointListJson(44, "") + "\n");
-  gateway.server.moveTo(newDiscovery.address(), gateway.counter.address());
+  gateway.server.setAddresses(newDiscovery.address(), gateway.counter.address());
   gateway.loop.endTurn();
   REQUIRE(gateway.runUntilAccepted(newDiscovery, newWatch));
   CHECK(gateway.runUntilReceived(*newWatch, "watch=1&from=41 "));
--- a/tests/net/graceful_shutdown_test.cpp
+++ b/tests/net/graceful_shutdown_test.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Graceful shutdown of the server: what is still accepted and answered, and when connections close.
-/// Server::leave() begins it, closeIdle() closes idle connections, shut() stops accepting, discard() reads
-/// and drops bytes that have arrived.
+/// Server::startDraining() begins it, closeIdle() closes idle connections, shut() stops accepting, discard()
+/// reads and drops bytes that have arrived.
 #include <catch2/catch.hpp>
 #include <optional>
 
@@ -17,7 +17,7 @@
   TestPeer idle = gateway.connectClient();
   ForwardedRequest forwarded(gateway);
   TestPeer newcomer = gateway.connectClient();
-  gateway.server.leave(TimePoint::max());
+  gateway.server.startDraining(TimePoint::max());
   newcomer.send(kReadyProbe);
   REQUIRE(gateway.runUntilClosed(newcomer));
   CHECK_THAT(newcomer.receivedBytes,
@@ -25,11 +25,11 @@
   CHECK_FALSE(idle.isClosedByRemote());
   gateway.server.closeIdle();
   CHECK(gateway.runUntilClosed(idle));
-  CHECK_FALSE(gateway.server.quiet());
+  CHECK_FALSE(gateway.server.allAnswered());
   forwarded.host->send(okResponse("one"));
   CHECK(gateway.runUntilClosed(forwarded.client));
   CHECK(forwarded.client.hasReceived("one"));
-  CHECK(gateway.server.quiet());
+  CHECK(gateway.server.allAnswered());
 }
 
 TEST_CASE("During shutdown a request pipelined behind another is answered before its connection closes") {
@@ -37,7 +37,7 @@
   GatewayUnderTest gateway;
   ForwardedRequest forwarded(gateway,
                              clientRequest("look") + (readBeforeShutdown ? clientRequest("look") : ""));
-  gateway.server.leave(gateway.clock.currentTime + 3s);
+  gateway.server.startDraining(gateway.clock.currentTime + 3s);
   gateway.server.closeIdle();
   forwarded.host->send(okResponse("one"));
   if (!readBeforeShutdown) forwarded.client.send(clientRequest("look"));
@@ -55,17 +55,17 @@
 TEST_CASE(
     "The listener closes only when no connection waits to be accepted, and refuses clients from then on") {
   GatewayUnderTest gateway;
-  gateway.server.leave(gateway.clock.currentTime + 3s);
+  gateway.server.startDraining(gateway.clock.currentTime + 3s);
   TestPeer late = gateway.connectClient();
-  CHECK_FALSE(gateway.server.shut());
+  CHECK_FALSE(gateway.server.stopAccepting());
   late.send(clientRequest("look"));
   std::optional<TestPeer> host;
   REQUIRE(gateway.runUntilAccepted(gateway.host, host));
-  CHECK_FALSE(gateway.server.quiet());
+  CHECK_FALSE(gateway.server.allAnswered());
   host->send(okResponse("one"));
   REQUIRE(gateway.runUntilClosed(late));
   CHECK(late.hasReceived("one"));
-  CHECK(gateway.server.shut());
+  CHECK(gateway.server.stopAccepting());
   TestPeer refused = gateway.connectClient();
   refused.send(kLiveProbe);
   gateway.runPendingEvents();
@@ -78,7 +78,7 @@
   forwarded.host->send(okResponse("one"));
   gateway->runPendingEvents();
   forwarded.client.send(clientRequest("look"));  // stays unread in the kernel's receive buffer
-  gateway->server.discard();
+  gateway->server.discardUnread();
   gateway.reset();  // closes all sockets, as the exit of the process does
   CHECK(forwarded.client.isClosedByRemote());
   CHECK_FALSE(forwarded.client.wasReset);
@@ -89,19 +89,19 @@
     "Shutdown answers every request by its end, though a host does not respond and deadlines are later") {
   GatewayUnderTest gateway;
   ForwardedRequest before(gateway, clientRequest("pay", "x", "", 5000));
-  gateway.server.leave(gateway.clock.currentTime + 2s);
+  gateway.server.startDraining(gateway.clock.currentTime + 2s);
   TestPeer after = gateway.connectClient();
   after.send(clientRequest("pay", "x", "", 5000));
   std::optional<TestPeer> host;
   REQUIRE(gateway.runUntilAccepted(gateway.host, host));
   REQUIRE(gateway.runUntilReceived(*host, "\r\n\r\nx"));
   gateway.advanceClock(1900ms);
-  CHECK_FALSE(gateway.server.quiet());
+  CHECK_FALSE(gateway.server.allAnswered());
   gateway.advanceClock(100ms);
   CHECK(gateway.runUntil([&] { return before.client.isClosedByRemote() && after.isClosedByRemote(); }));
   CHECK(statusOf(before.client) == "HTTP/1.1 502");
   CHECK(statusOf(after) == "HTTP/1.1 502");
-  CHECK(gateway.server.quiet());
+  CHECK(gateway.server.allAnswered());
 }
 
 TEST_CASE("Requests that have arrived unread when shutdown begins are answered, on old and new connections") {
@@ -112,7 +112,7 @@
   known.receivedBytes.clear();
   TestPeer silent = gateway.connectClient();
   gateway.runPendingEvents();
-  gateway.server.leave(TimePoint::max());
+  gateway.server.startDraining(TimePoint::max());
   TestPeer newcomer = gateway.connectClient();
   known.send(clientRequest("look"));
   newcomer.send(clientRequest("look"));
@@ -127,5 +127,5 @@
       [&] { return known.isClosedByRemote() && newcomer.isClosedByRemote() && silent.isClosedByRemote(); }));
   CHECK(known.hasReceived("one"));
   CHECK(newcomer.hasReceived("one"));
-  CHECK(gateway.server.quiet());
+  CHECK(gateway.server.allAnswered());
 }
--- a/tests/net/upstream_outcome_test.cpp
+++ b/tests/net/upstream_outcome_test.cpp
@@ -20,7 +20,7 @@
 
  private:
   std::string text_;
-  http::Message message_{http::Message::Kind::answer};
+  http::Message message_{http::Message::Kind::response};
 };
 
 Outcome outcome(const std::string& status, const std::string& fields = "") {
@@ -51,7 +51,7 @@
   const ParsedAnswer answer("200", "content-type: t/x\r\nBilled-Units: 2.5\r\n");
   const core::UpstreamResponse response = net::readUpstreamResponse(answer.message());
   CHECK(response.body == "body");
-  CHECK(response.type == "t/x");
+  CHECK(response.contentType == "t/x");
   CHECK(response.trueUnits == 2.5);
   CHECK_FALSE(response.load.inFlight.has_value());
 }
--- a/tests/policy/counter_exchange_test.cpp
+++ b/tests/policy/counter_exchange_test.cpp
@@ -66,7 +66,7 @@
   ExchangeFixture uncounted(settings);
   uncounted.request(uncounted.addCustomer(5, 3));
   CHECK(uncounted.sink.calls.empty());
-  settings.counter = false;
+  settings.hasCounter = false;
   ExchangeFixture withoutCounter(settings);
   withoutCounter.request(withoutCounter.addCustomer(5));
   CHECK(withoutCounter.sink.calls.empty());
--- a/tests/process_log_test.cpp
+++ b/tests/process_log_test.cpp
@@ -88,16 +88,16 @@
   Program program;
   const std::string address = program.host.address();
   const std::string unfit =
-      LoopbackGateway::replaced(hostLine(program.host.port, "h1", "in_service"), address, "nowhere");
+      replaceOnce(endpointJson(program.host.port, "h1", "in_service"), address, "nowhere");
   program.start(program.config(unfit), debugLevel(program));
-  std::optional<Peer> watch;
+  std::optional<TestPeer> watch;
   REQUIRE(within([&] { return program.discovery.accept(watch); }));
   watch->send("HTTP/1.1 200 OK\r\n\r\n{\"instances\":[]}\n");
   CHECK(
       program.logHolds("debug: endpoint_list_invalid: endpoint list from discovery cannot be parsed "
                        "error=\"discovery: field 'generation' is missing\"\n"));
-  Peer client = program.client();
-  client.send(LoopbackGateway::request("look"));
+  TestPeer client = program.client();
+  client.send(clientRequest("look"));
   CHECK(
       program.logHolds("warning: endpoint_address_invalid: host address from discovery cannot be parsed, "
                        "no attempts are sent to it host=h1 error="));
@@ -107,20 +107,20 @@
   Program program;
   program.start(program.config(), debugLevel(program));
   REQUIRE(program.logHolds("info: ready"));
-  Peer client = program.client();
-  std::optional<Peer> host;
-  client.send(LoopbackGateway::request("look"));
+  TestPeer client = program.client();
+  std::optional<TestPeer> host;
+  client.send(clientRequest("look"));
   REQUIRE(within([&] { return program.host.accept(host); }));
-  REQUIRE(within([&] { return host->holds("\r\n\r\n"); }));
-  host->got.clear();
-  host->send(LoopbackGateway::ok("one"));
-  REQUIRE(within([&] { return client.holds("one"); }));
-  client.send(LoopbackGateway::request("pay", "x"));
-  std::optional<Peer> next;  // a request that must not run twice gets a connection of its own
+  REQUIRE(within([&] { return host->hasReceived("\r\n\r\n"); }));
+  host->receivedBytes.clear();
+  host->send(okResponse("one"));
+  REQUIRE(within([&] { return client.hasReceived("one"); }));
+  client.send(clientRequest("pay", "x"));
+  std::optional<TestPeer> next;  // a request that must not run twice gets a connection of its own
   REQUIRE(within([&] { return program.host.accept(next); }));
-  REQUIRE(within([&] { return next->holds("\r\n\r\nx"); }));
-  next->reset();
-  REQUIRE(within([&] { return client.holds("HTTP/1.1 502"); }));
+  REQUIRE(within([&] { return next->hasReceived("\r\n\r\nx"); }));
+  next->closeWithReset();
+  REQUIRE(within([&] { return client.hasReceived("HTTP/1.1 502"); }));
   REQUIRE(program.logHolds("status=502 written=complete\n"));
   const std::string log = program.log();
   INFO(log);
@@ -133,10 +133,10 @@
        "debug: request_failed: request failed request=", " status=502\n", "debug: request_answered: "}));
 
   Program drained;
-  drained.start(drained.config(hostLine(drained.host.port, "h1", "terminating")), debugLevel(drained));
+  drained.start(drained.config(endpointJson(drained.host.port, "h1", "terminating")), debugLevel(drained));
   REQUIRE(drained.logHolds("info: ready"));
-  Peer rejected = drained.client();
-  rejected.send(LoopbackGateway::request("look"));
+  TestPeer rejected = drained.client();
+  rejected.send(clientRequest("look"));
   CHECK(drained.logHolds("debug: request_rejected: request rejected request="));
   CHECK(drained.logHolds(" status=429\n"));
 }
@@ -145,11 +145,11 @@
   Program program;
   program.start(program.config(), debugLevel(program));
   REQUIRE(program.logHolds("info: ready"));
-  std::optional<Peer> host;
-  Peer waiting = program.client();
-  waiting.send(LoopbackGateway::request("pay", "x"));
+  std::optional<TestPeer> host;
+  TestPeer waiting = program.client();
+  waiting.send(clientRequest("pay", "x"));
   REQUIRE(within([&] { return program.host.accept(host); }));
-  REQUIRE(within([&] { return host->holds("\r\n\r\nx"); }));
+  REQUIRE(within([&] { return host->hasReceived("\r\n\r\nx"); }));
   waiting.close();
   CHECK(
       program.logHolds("debug: client_disconnected: client disconnected before its request was answered "
@@ -158,12 +158,12 @@
 
   // Each request is rejected at once; the answers are never read, and fill the connection's buffers.
   Program drained;
-  drained.start(drained.config(hostLine(drained.host.port, "h1", "terminating")));
+  drained.start(drained.config(endpointJson(drained.host.port, "h1", "terminating")));
   REQUIRE(drained.logHolds("info: ready"));
-  const std::string request = LoopbackGateway::request("look");
+  const std::string request = clientRequest("look");
   std::string many;
   for (int copies = 0; copies < 1000; ++copies) many += request;
-  Peer deaf = drained.client();
+  TestPeer deaf = drained.client();
   std::size_t sent = 0;
   auto lastAccepted = std::chrono::steady_clock::now();
   REQUIRE(within([&] {
@@ -172,7 +172,7 @@
     if (accepted > 0) lastAccepted = std::chrono::steady_clock::now();
     return std::chrono::steady_clock::now() - lastAccepted > 300ms;
   }));
-  deaf.reset();
+  deaf.closeWithReset();
   CHECK(
       drained.logHolds("info: response_incomplete: connection closed before the response was written "
                        "completely request=00ff error="));
@@ -199,11 +199,11 @@
   Program program;
   program.logDescriptor = ends[1];
   program.start(program.config());
-  std::optional<Peer> client;
+  std::optional<TestPeer> client;
   REQUIRE(within([&] {  // `starting` and `ready` have not been accepted by then
-    if (!client || client->ended()) client.emplace(program.client());
+    if (!client || client->isClosedByRemote()) client.emplace(program.client());
     client->send("GET /health/ready HTTP/1.1\r\n\r\n");
-    return client->holds("HTTP/1.1 200");
+    return client->hasReceived("HTTP/1.1 200");
   }));
   std::string log;
   const auto readAll = [&] {
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -7,29 +7,29 @@
 TEST_CASE("SIGHUP moves discovery and the counter service, and ends neither the process nor a request") {
   Program p;
   p.startReady();
-  std::optional<Peer> watch, host, moved, count;
+  std::optional<TestPeer> watch, host, moved, count;
   REQUIRE(within([&] { return p.discovery.accept(watch); }));
-  REQUIRE(within([&] { return watch->holds("watch=1&from=41 "); }));
+  REQUIRE(within([&] { return watch->hasReceived("watch=1&from=41 "); }));
   watch->send(
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: "
       "chunked\r\n\r\n24\r\n{\"generation\":45,\n\"instances\":[]}\n\n\n\r\n");
-  Peer client = p.client();
-  client.send(LoopbackGateway::request("look"));
+  TestPeer client = p.client();
+  client.send(clientRequest("look"));
   REQUIRE(within([&] { return p.host.accept(host); }));
-  REQUIRE(within([&] { return host->holds("\r\n\r\n"); }));
+  REQUIRE(within([&] { return host->hasReceived("\r\n\r\n"); }));
   PeerListener discovery, counter;
-  p.write(configText("127.0.0.1:" + std::to_string(p.listenPort), discovery.address(), counter.address(),
-                     hostLine(p.host.port, "h1", "in_service"), 128));
+  p.write(gatewayConfigText("127.0.0.1:" + std::to_string(p.listenPort), discovery.address(),
+                            counter.address(), endpointJson(p.host.port, "h1", "in_service"), 128));
   for (int n = 0; n < 5; ++n) p.signal(SIGHUP);
   REQUIRE(within([&] { return discovery.accept(moved); }));
-  CHECK(within([&] { return moved->holds("watch=1&from=45 "); }));
-  CHECK(within([&] { return watch->ended(); }));
-  host->send(LoopbackGateway::ok("one"));
-  CHECK(within([&] { return client.holds("one"); }));
-  client.got.clear();
-  client.send(LoopbackGateway::metered(1));
+  CHECK(within([&] { return moved->hasReceived("watch=1&from=45 "); }));
+  CHECK(within([&] { return watch->isClosedByRemote(); }));
+  host->send(okResponse("one"));
+  CHECK(within([&] { return client.hasReceived("one"); }));
+  client.receivedBytes.clear();
+  client.send(meteredRequest(1));
   CHECK(within([&] { return counter.accept(count); }));
-  CHECK(within([&] { return count->holds("POST /tally/u1."); }));
+  CHECK(within([&] { return count->hasReceived("POST /tally/u1."); }));
   CHECK(p.runs());
 }
 
@@ -38,8 +38,9 @@
   Program p;
   p.startReady();
   PeerListener discovery;
-  const std::string good = configText("127.0.0.1:" + std::to_string(p.listenPort), discovery.address(),
-                                      p.counter.address(), hostLine(p.host.port, "h1", "in_service"), 128);
+  const std::string good =
+      gatewayConfigText("127.0.0.1:" + std::to_string(p.listenPort), discovery.address(), p.counter.address(),
+                        endpointJson(p.host.port, "h1", "in_service"), 128);
   std::string bad = good;
   switch (GENERATE(0, 1, 2)) {
     case 0:
@@ -55,9 +56,9 @@
   p.write(bad);
   for (int n = 0; n < 3; ++n) p.signal(SIGHUP);
   REQUIRE(p.logHolds("warning: config_rejected: configuration rejected, keeping the previous one "));
-  std::optional<Peer> watch, moved;
+  std::optional<TestPeer> watch, moved;
   CHECK(p.discovery.accept(watch));
-  CHECK_FALSE(watch->ended());
+  CHECK_FALSE(watch->isClosedByRemote());
   p.write(good);  // whoever was at it has come to the end
   CHECK(within([&] { return discovery.accept(moved); }));
   CHECK(p.runs());
@@ -68,11 +69,11 @@
 TEST_CASE("SIGHUP during graceful shutdown does not cut it short") {
   Program p;
   p.startReady();
-  std::optional<Peer> host;
-  Peer client = p.client();
-  client.send(LoopbackGateway::request("look", "", "", 1900));
+  std::optional<TestPeer> host;
+  TestPeer client = p.client();
+  client.send(clientRequest("look", "", "", 1900));
   REQUIRE(within([&] { return p.host.accept(host); }));
-  REQUIRE(within([&] { return host->holds("\r\n\r\n"); }));
+  REQUIRE(within([&] { return host->hasReceived("\r\n\r\n"); }));
   p.signal(SIGTERM);
   REQUIRE(p.logHolds("info: draining: "));
   p.signal(SIGHUP);
@@ -80,34 +81,34 @@
   REQUIRE(p.logHolds("info: closing_idle_connections: "));
   p.signal(SIGHUP);
   p.signal(SIGTERM);
-  host->send(LoopbackGateway::ok("one"));
-  CHECK(within([&] { return client.holds("one"); }));
+  host->send(okResponse("one"));
+  CHECK(within([&] { return client.hasReceived("one"); }));
   CHECK(p.exitStatus() == 0);
 }
 
 TEST_CASE("SIGTERM under steady load: every request accepted in time is answered, and the process exits") {
   Program p;
   p.startReady();
-  std::vector<std::pair<Peer, int>> clients;  // and how many requests are out on each
-  std::vector<Peer> hosts;
-  const std::string hang = LoopbackGateway::request("pay", "x", "", 5000);
-  Peer hanging = p.client();
+  std::vector<std::pair<TestPeer, int>> clients;  // and how many requests are out on each
+  std::vector<TestPeer> hosts;
+  const std::string hang = clientRequest("pay", "x", "", 5000);
+  TestPeer hanging = p.client();
   hanging.send(hang);
   clients.reserve(8);
   for (int n = 0; n < 8; ++n) clients.emplace_back(p.client(), 0);
   int answered = 0, unanswered = 0;
   const auto serve = [&] {
-    std::optional<Peer> host;
+    std::optional<TestPeer> host;
     while (p.host.accept(host)) hosts.push_back(std::move(*host));
-    for (Peer& h : hosts) {
-      if (!h.holds("\r\n\r\n") || h.got.starts_with("POST")) continue;
-      h.got.clear();
-      h.send(LoopbackGateway::ok("one"));
+    for (TestPeer& h : hosts) {
+      if (!h.hasReceived("\r\n\r\n") || h.receivedBytes.starts_with("POST")) continue;
+      h.receivedBytes.clear();
+      h.send(okResponse("one"));
     }
     for (auto& [client, out] : clients) {
-      if (out > 0 && client.holds("one")) client.got.clear(), --out, ++answered;
-      if (client.ended() && out > 0) out = 0, ++unanswered;
-      if (!client.over && out == 0) client.send(LoopbackGateway::request("look")), ++out;
+      if (out > 0 && client.hasReceived("one")) client.receivedBytes.clear(), --out, ++answered;
+      if (client.isClosedByRemote() && out > 0) out = 0, ++unanswered;
+      if (!client.remoteClosed && out == 0) client.send(clientRequest("look")), ++out;
     }
   };
   REQUIRE(within([&] { return serve(), answered > 100; }));
@@ -118,7 +119,7 @@
   CHECK(std::chrono::steady_clock::now() - told < 2700ms);  // longest deadline, and 0.7 s
   CHECK(p.exitStatus() == 0);
   CHECK(unanswered <= 8);  // sent while the connection was being closed: asked again elsewhere
-  CHECK(hanging.holds("HTTP/1.1 502"));
+  CHECK(hanging.hasReceived("HTTP/1.1 502"));
 }
 
 TEST_CASE(
@@ -142,10 +143,10 @@
 TEST_CASE("SIGTERM ends the process before SIGKILL is due, whatever clients do with their connections") {
   Program p;
   p.startReady();
-  std::optional<Peer> host;
-  Peer rests = p.client(), silent = p.client(), half = p.client(), deaf = p.client(), waits = p.client();
+  std::optional<TestPeer> host;
+  TestPeer rests = p.client(), silent = p.client(), half = p.client(), deaf = p.client(), waits = p.client();
   rests.send("GET /health/live HTTP/1.1\r\n\r\n");
-  REQUIRE(within([&] { return rests.holds("live"); }));
+  REQUIRE(within([&] { return rests.hasReceived("live"); }));
   half.send("POST /pay HTTP/1.1\r\nReq-Id: 1\r\nContent-Length: 10\r\n\r\nhalf");
   const std::string live = "GET /health/live HTTP/1.1\r\n\r\n";
   std::string many;
@@ -153,58 +154,60 @@
   std::size_t sent = 0;
   const auto more = [&] { sent += deaf.trySend(std::string_view(many).substr(sent % live.size())); };
   for (int n = 0; n < 50; ++n) more();  // and reads none of the answers
-  waits.send(LoopbackGateway::request("pay", "x", "", 5000));
+  waits.send(clientRequest("pay", "x", "", 5000));
   REQUIRE(within([&] { return p.host.accept(host); }));
-  REQUIRE(within([&] { return host->holds("\r\n\r\nx"); }));
+  REQUIRE(within([&] { return host->hasReceived("\r\n\r\nx"); }));
   p.signal(SIGTERM);
   const auto told = std::chrono::steady_clock::now();
   REQUIRE(p.logHolds("info: closing_idle_connections: "));
-  rests.send(LoopbackGateway::request("look"));  // crosses the end of its rest
+  rests.send(clientRequest("look"));  // crosses the end of its rest
   REQUIRE(p.logHolds("info: stopped"));
   CHECK(std::chrono::steady_clock::now() - told < 2700ms);  // the longest deadline, and 0.7 s
   CHECK(p.exitStatus() == 0);
-  CHECK(within([&] { return rests.ended() && silent.ended() && waits.ended(); }));
+  CHECK(within(
+      [&] { return rests.isClosedByRemote() && silent.isClosedByRemote() && waits.isClosedByRemote(); }));
   CHECK_FALSE((rests.wasReset || silent.wasReset || waits.wasReset));
-  CHECK(waits.holds("HTTP/1.1 502"));
+  CHECK(waits.hasReceived("HTTP/1.1 502"));
 }
 
 TEST_CASE("a new process takes over the address at once, with hundreds of gateways and hosts known") {
   Program p;
-  std::string hosts = hostLine(p.host.port, "h0", "in_service");
-  for (int h = 1; h < 600; ++h) hosts += "," + hostLine(p.host.port, "h" + std::to_string(h), "in_service");
-  const std::string text = LoopbackGateway::replaced(p.config(hosts), "\"siblings\":1", "\"siblings\":350");
-  std::vector<std::optional<Peer>> reached;
+  std::string hosts = endpointJson(p.host.port, "h0", "in_service");
+  for (int h = 1; h < 600; ++h)
+    hosts += "," + endpointJson(p.host.port, "h" + std::to_string(h), "in_service");
+  const std::string text = replaceOnce(p.config(hosts), "\"siblings\":1", "\"siblings\":350");
+  std::vector<std::optional<TestPeer>> reached;
   std::size_t paid = 0;
   const auto take = [&] {
-    for (std::optional<Peer> host; p.host.accept(host); host.reset())
+    for (std::optional<TestPeer> host; p.host.accept(host); host.reset())
       reached.push_back(std::exchange(host, std::nullopt));
     paid = 0;
-    for (auto& host : reached) paid += host->holds("POST /pay");
+    for (auto& host : reached) paid += host->hasReceived("POST /pay");
     return paid;
   };
   p.start(text);
   REQUIRE(p.logHolds("info: ready"));
-  Peer before = p.client();
-  before.send(LoopbackGateway::request("pay", "x", "", 1500));
+  TestPeer before = p.client();
+  before.send(clientRequest("pay", "x", "", 1500));
   REQUIRE(within([&] { return take() == 1; }));
   p.signal(SIGTERM);
   REQUIRE(p.logHolds("info: closing_idle_connections: "));
   for (auto& host : reached)
-    if (host->holds("POST /pay")) host->send(LoopbackGateway::ok("one"));
+    if (host->hasReceived("POST /pay")) host->send(okResponse("one"));
   CHECK(p.exitStatus() == 0);
-  REQUIRE(within([&] { return before.ended(); }));
-  CHECK_THAT(before.got, Catch::StartsWith("HTTP/1.1 200") && Catch::EndsWith("one"));
+  REQUIRE(within([&] { return before.isClosedByRemote(); }));
+  CHECK_THAT(before.receivedBytes, Catch::StartsWith("HTTP/1.1 200") && Catch::EndsWith("one"));
   const auto began = std::chrono::steady_clock::now();
   p.start(text);  // nobody has waited for the old one's connections to be forgotten
-  Peer after = p.client();
+  TestPeer after = p.client();
   REQUIRE(within([&] {
-    if (after.ended()) after = p.client();
+    if (after.isClosedByRemote()) after = p.client();
     after.send("GET /health/ready HTTP/1.1\r\n\r\n");
-    return after.holds("HTTP/1.1 200");
+    return after.hasReceived("HTTP/1.1 200");
   }));
   CHECK(std::chrono::steady_clock::now() - began < 10s);
-  after.got.clear();
-  after.send(LoopbackGateway::request("pay", "y", "", 1500));
+  after.receivedBytes.clear();
+  after.send(clientRequest("pay", "y", "", 1500));
   CHECK(within([&] { return take() == 2; }));  // that of the old life is not sent on again
 }
 
@@ -278,13 +281,13 @@
   Program p;
   p.startReady();
   p.limitDescriptors(128);
-  std::optional<Peer> watch;
+  std::optional<TestPeer> watch;
   REQUIRE(within([&] { return p.discovery.accept(watch); }));
   watch->send("HTTP/1.1 200 OK\r\n\r\n\n");
   p.discovery.close();
-  watch->reset();
+  watch->closeWithReset();
   REQUIRE(p.logHolds("warning: discovery_unreachable: "));
-  std::vector<Peer> crowd;
+  std::vector<TestPeer> crowd;
   for (int n = 0; n < kCrowd; ++n) {
     crowd.push_back(p.client());
     if (n % 2 == 0) crowd.back().send("GET /health/live HTTP/1.1\r\n\r\n");
@@ -292,28 +295,28 @@
   }
   std::this_thread::sleep_for(700ms);  // asks of discovery fail meanwhile
   // A newcomer is let in, its attempt has a descriptor, and so has the counter.
-  Peer client = p.client();
-  client.send(LoopbackGateway::metered(1));
-  std::optional<Peer> host, counter;
+  TestPeer client = p.client();
+  client.send(meteredRequest(1));
+  std::optional<TestPeer> host, counter;
   REQUIRE(within([&] { return p.host.accept(host); }));
-  REQUIRE(within([&] { return host->holds("\r\n\r\n"); }));
-  host->send(LoopbackGateway::ok("served"));
-  CHECK(within([&] { return client.holds("served"); }));
-  CHECK(
-      within([&] { return p.counter.accept(counter) && within([&] { return counter->holds("/tally/"); }); }));
+  REQUIRE(within([&] { return host->hasReceived("\r\n\r\n"); }));
+  host->send(okResponse("served"));
+  CHECK(within([&] { return client.hasReceived("served"); }));
+  CHECK(within(
+      [&] { return p.counter.accept(counter) && within([&] { return counter->hasReceived("/tally/"); }); }));
   const PeerListener back(p.discovery.port);
-  std::optional<Peer> ask, next;
+  std::optional<TestPeer> ask, next;
   // The longest wait after silence is 0.375 s by these settings; the rest is a busy machine's.
   REQUIRE(within([&] { return back.accept(ask); }, 1s));
-  REQUIRE(within([&] { return ask->holds("from=41 "); }));
+  REQUIRE(within([&] { return ask->hasReceived("from=41 "); }));
   ask->send("HTTP/1.1 200 OK\r\n\r\n{\"generation\":60,\"reset\":true,\"instances\":[" +
-            hostLine(p.host.port, "h1", "terminating") + "]}\n");
+            endpointJson(p.host.port, "h1", "terminating") + "]}\n");
   CHECK(p.logHolds("info: discovery_restored: "));
-  client.got.clear();
-  client.send(LoopbackGateway::metered(2));
-  CHECK(within([&] { return client.holds("HTTP/1.1 429"); }));  // the only host drains
-  ask->reset();
+  client.receivedBytes.clear();
+  client.send(meteredRequest(2));
+  CHECK(within([&] { return client.hasReceived("HTTP/1.1 429"); }));  // the only host drains
+  ask->closeWithReset();
   REQUIRE(within([&] { return back.accept(next); }));
-  CHECK(within([&] { return next->holds("from=60 "); }));
+  CHECK(within([&] { return next->hasReceived("from=60 "); }));
   CHECK(p.runs());
 }
--- a/tests/program.hpp
+++ b/tests/program.hpp
@@ -12,7 +12,8 @@
 #include <thread>
 
 #include "faults/fault_plan.hpp"
-#include "world.hpp"
+#include "support/gateway_under_test.hpp"
+#include "support/simulated_fleet.hpp"
 
 // The program as a process of its own, with stand-ins for everybody else on loopback.
 namespace merlinbridge::testing {
@@ -51,8 +52,9 @@
   }
 
   std::string config(const std::string& known = "") const {
-    return configText("127.0.0.1:" + std::to_string(listenPort), discovery.address(), counter.address(),
-                      known.empty() ? hostLine(host.port, "h1", "in_service") : known, 128);
+    return gatewayConfigText("127.0.0.1:" + std::to_string(listenPort), discovery.address(),
+                             counter.address(),
+                             known.empty() ? endpointJson(host.port, "h1", "in_service") : known, 128);
   }
   void write(const std::string& text) const { std::ofstream(folder_ + "/config.json") << text; }
   void start(const std::string& text, const std::string& own = "") {
@@ -129,7 +131,7 @@
     if (!within([&] { return !runs(); })) return -1;
     return WIFEXITED(status_) ? WEXITSTATUS(status_) : -1;
   }
-  Peer client() const { return Peer::to(listenPort); }
+  TestPeer client() const { return TestPeer::connectTo(listenPort); }
 
   PeerListener host, counter, discovery;
   std::uint16_t listenPort = 0;
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -83,7 +83,7 @@
   constexpr std::uint32_t kGateways = 3;
   const auto seed = GENERATE(take(6, random(1, 1'000'000)));
   PolicySettings settings = testPolicySettings();
-  settings.counter = seed % 2 == 0;  // without it each gateway enforces its share alone
+  settings.hasCounter = seed % 2 == 0;  // without it each gateway enforces its share alone
   SimulatedFleet fleet(settings, static_cast<std::uint64_t>(seed));
   for (std::uint32_t step = 0; step < 600; ++step) {
     fleet.runFor(10ms);
--- a/tests/support/simulated_fleet.cpp
+++ b/tests/support/simulated_fleet.cpp
@@ -28,7 +28,7 @@
                       {Repeat::nonIdempotent, Group::all, 2s, 500ms, 3}};
   settings.plans = {{4, 12, 0, 0, 0, 0, 1}, {0, 0, 2, 0, 0, 0, 1}, {20, 30, 0, 40, 60, 8, 1.5}};
   settings.gateways = gateways;
-  settings.counter = true;
+  settings.hasCounter = true;
   settings.counterTimeout = 50ms;
   settings.maxUnits = 4;
   settings.allowCancel = true;
--- a/tests/support/test_peer.hpp
+++ b/tests/support/test_peer.hpp
@@ -55,15 +55,6 @@
   bool remoteClosed = false;  ///< The remote end has closed the connection, in good order or by a RST.
   bool wasReset = false;      ///< The remote end has closed the connection by a RST.
 
-  // Earlier names, for the files that world.hpp lists.
-  std::string& got{receivedBytes};
-  const bool& over{remoteClosed};
-  static TestPeer to(std::uint16_t port) { return connectTo(port); }
-  std::string& read() { return readAvailable(); }
-  bool holds(std::string_view text) { return hasReceived(text); }
-  bool ended() { return isClosedByRemote(); }
-  void reset() { closeWithReset(); }
-
  private:
   int socket_;
 };
--- a/tests/test_services/loopback_run.cpp
+++ b/tests/test_services/loopback_run.cpp
@@ -37,8 +37,8 @@
   };
   Hosts hosts;
   for (std::uint32_t index = 0; index < scenario.hosts; ++index)
-    hosts.push_back(std::make_unique<ServiceHost>(io, ServiceHost::Capacity{scenario.cores, scenario.room},
-                                                  reports, workOf));
+    hosts.push_back(std::make_unique<ServiceHost>(
+        io, ServiceHost::Capacity{scenario.cores, scenario.queueCapacity}, reports, workOf));
   return hosts;
 }
 
@@ -100,7 +100,7 @@
     metrics.connects += host->connections();
     metrics.unitsSent += host->units();
   }
-  metrics.countCalls = counter.calls();
+  metrics.counterCalls = counter.calls();
   if (!daemons.terminate()) throw lab::LabError("a daemon did not end with 0");
   return metrics;
 }
--- a/tests/test_services/platform_settings.cpp
+++ b/tests/test_services/platform_settings.cpp
@@ -51,7 +51,7 @@
   for (const auto& entry : scenario.plans)
     all += fmt::format(
         R"({}{{"name":"{}","unitsPerS":{},"storeSize":{},"open":{},"neverOverRate":{},"capDepth":{},"hardSlack":{},"price":{}}})",
-        all.empty() ? "" : ",", entry.name, entry.plan.rate, entry.plan.burst, entry.plan.open,
+        all.empty() ? "" : ",", entry.name, entry.plan.rate, entry.plan.burst, entry.plan.maxInFlight,
         entry.plan.ceilingRate, entry.plan.ceilingBurst, entry.plan.ceilingSlack, entry.plan.price);
   return all;
 }
@@ -68,8 +68,8 @@
       microseconds(scenario.counterTimeout), maxUnits, microseconds(scenario.connectTimeout),
       microseconds(scenario.idle), scenario.allowCancel, scenario.allowHedging, scenario.maxAttempts,
       microseconds(scenario.maxRetryAfter), scenario.startCapacity, scenario.overloadMultiple,
-      microseconds(scenario.cold), microseconds(scenario.tip), microseconds(scenario.answerSlack),
-      microseconds(scenario.drainGrace));
+      microseconds(scenario.slowStartTime), microseconds(scenario.overloadWindow),
+      microseconds(scenario.answerSlack), microseconds(scenario.drainGrace));
 }
 
 }  // namespace merlinbridge::test_services
--- a/tests/test_services/validation_clients.cpp
+++ b/tests/test_services/validation_clients.cpp
@@ -84,7 +84,7 @@
                               std::min(1.0, scenario_.units), std::max(1.0, 4 * scenario_.units));
   // The emulator draws here whether the client leaves early; these clients do not, but the stream stays in
   // step.
-  arrivals_.bernoulli(scenario_.leaves);
+  arrivals_.bernoulli(scenario_.abandonProbability);
   request->arrivedAt = WallClock::now();
   request->deadline = request->arrivedAt + scenario_.methods[request->method].deadline;
   request->attemptsLeft = scenario_.tries;
@@ -214,7 +214,7 @@
   if (mayRetry == MayRetry::no) return fail(*request);
   const double backoff = double(1 << std::min(kMaxDoublings, request->attemptsMade - 1));
   Duration wait = scaled(scenario_.wait, (0.5 + choices_.uniform01()) * backoff);
-  if (retryAfterSeconds > 0 && choices_.bernoulli(scenario_.heedsAdvice))
+  if (retryAfterSeconds > 0 && choices_.bernoulli(scenario_.honorsRetryAfter))
     wait = std::max(wait, durationOf(retryAfterSeconds));
   if (WallClock::now() + wait >= request->deadline || request->attemptsLeft <= 0) return fail(*request);
   auto timer = std::make_shared<asio::steady_timer>(io_, wait);
--- a/tests/test_services/validation_clients.hpp
+++ b/tests/test_services/validation_clients.hpp
@@ -49,7 +49,7 @@
     std::string received;
     std::size_t receivedBytes = 0;
     bool attemptEnded = false;
-    http::Message response{http::Message::Kind::answer};
+    http::Message response{http::Message::Kind::response};
   };
   using RequestPtr = std::shared_ptr<ClientRequest>;
   using ConnectionPtr = std::shared_ptr<Connection>;
--- a/tests/watch_bound_test.cpp
+++ b/tests/watch_bound_test.cpp
@@ -154,7 +154,7 @@
   GatewayUnderTest gateway(128, "", "\"seed\":\"8c1f\"", seedField);
   const bool connecting = state == WatchState::connecting;
   if (connecting) {
-    gateway.server.moveTo(unreachable.address(), gateway.counter.address());
+    gateway.server.setAddresses(unreachable.address(), gateway.counter.address());
     gateway.runPendingEvents();
   }
   DiscoveryPeer discovery(gateway, connecting ? unreachable : gateway.discovery);
