--- a/Makefile
+++ b/Makefile
@@ -13,6 +13,8 @@
 
 lint:
 	scripts/check_policy.sh
+	scripts/check_layout.sh
+	scripts/check_headers.sh
 	scripts/lint.sh
 
 run: build
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -8,6 +8,9 @@
 clang-format --dry-run --Werror "${sources[@]}"
 echo "clang-format: ${#sources[@]} files are formatted"
 
+# A clean report counts only if planted findings are reported.
+tests/lint_config_test.sh
+
 # The database of compile commands is all that clang-tidy needs; g++'s own warning options are not clang's.
 cmake -B build-lint -DMERLINBRIDGE_TESTS=ON -DMERLINBRIDGE_EMULATOR_VALIDATION=ON -DMERLINBRIDGE_TEST_SERVICES=ON -DCMAKE_BUILD_TYPE=Debug >/dev/null
 report=$(mktemp)
--- a/src/net/discovery/discovery_schedule.cpp
+++ b/src/net/discovery/discovery_schedule.cpp
@@ -7,7 +7,7 @@
 
 // Mean pauses, in heartbeat intervals: the longest backoff after a rejection, and how long a polled list is
 // used before the next poll. With two rejections, or one request that hangs, before a request that is
-// answered, a change is known within the 6 s after which it counts as notified; docs/crossings.md has the
+// answered, a change is known within the 6 s after which it counts as notified; docs/event-races.md has the
 // sum.
 constexpr double kLongestBackoffBeats = 0.5;
 constexpr double kPollIntervalBeats = 0.75;
--- a/tests/net/readiness_watchdog_test.cpp
+++ b/tests/net/readiness_watchdog_test.cpp
@@ -20,7 +20,7 @@
   watchdog.waitBegins(POLLIN);
   watchdog.waitBegins(POLLOUT);
   watchdog.markReady();
-  const short ended = GENERATE(0, POLLOUT);
+  const short ended = GENERATE(short{0}, short{POLLOUT});
   watchdog.completionRan(ended);
   CHECK_FALSE(watchdog.takeMissedWait());
 }
--- a/tests/watch_bound_test.cpp
+++ b/tests/watch_bound_test.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Upper bound for the time in which a change of the endpoint list is applied: 6 s by the gateway's clock
 /// after discovery can be reached again, in whatever state the watch was, and though two more requests are
-/// rejected or one more hangs first. docs/crossings.md adds up the parts of that time.
+/// rejected or one more hangs first. docs/event-races.md adds up the parts of that time.
 #include <catch2/catch.hpp>
 #include <string>
 #include <vector>
