--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -1,3 +1,5 @@
+#include <fmt/format.h>
+
 #include <catch2/catch.hpp>
 
 #include "emulator/event_queue.hpp"
@@ -161,13 +163,16 @@
 }
 
 TEST_CASE("parts of a run draw from streams of their own") {
-  RandomStream a(1, "one"), b(1, "one"), c(1, "two"), d(2, "one");
-  const double first = a.uniform01();
-  CHECK(first == b.uniform01());
-  CHECK(first != c.uniform01());
-  CHECK(first != d.uniform01());
+  RandomStream stream(1, "one");
+  RandomStream sameStream(1, "one");
+  RandomStream otherName(1, "two");
+  RandomStream otherSeed(2, "one");
+  const double first = stream.uniform01();
+  CHECK(first == sameStream.uniform01());
+  CHECK(first != otherName.uniform01());
+  CHECK(first != otherSeed.uniform01());
   double sum = 0;
-  for (int n = 0; n < 10'000; ++n) sum += a.exponential(3);
+  for (int draw = 0; draw < 10'000; ++draw) sum += stream.exponential(3);
   CHECK(sum / 10'000 == Approx(3).epsilon(0.05));
 }
 
@@ -226,21 +231,21 @@
 }
 
 TEST_CASE("a scenario is read whole, and what is written reads as the same") {
-  const Scenario s = readScenario(kPlain + fault("host_slow", "1s", "2s", "factor = 5"), "s.toml");
-  CHECK(s.gateways == 3);
-  CHECK(s.methods.at(1).group == Group::cell);
-  CHECK(s.faults.at(0).factor == 5);
-  const std::string written = writeScenario(s);
+  const Scenario scenario = readScenario(kPlain + fault("host_slow", "1s", "2s", "factor = 5"), "s.toml");
+  CHECK(scenario.gateways == 3);
+  CHECK(scenario.methods.at(1).group == Group::cell);
+  CHECK(scenario.faults.at(0).factor == 5);
+  const std::string written = writeScenario(scenario);
   CHECK(writeScenario(readScenario(written, "again.toml")) == written);
-  CHECK(readScenario(written, "again.toml").hash == s.hash);
+  CHECK(readScenario(written, "again.toml").hash == scenario.hash);
   CHECK(readScenario(kPlain, "s.toml", {"fleet.gateways=30", "method.0.share=2"}).gateways == 30);
   CHECK(readScenario(kPlain, "s.toml", {"hosts.count=9"}).hash != readScenario(kPlain, "s.toml").hash);
 }
 
 TEST_CASE("a bad scenario is named by place and by what was expected") {
-  const auto replaced = [](const std::string& was, const std::string& is) {
+  const auto replaced = [](const std::string& before, const std::string& after) {
     std::string text = kPlain;
-    return text.replace(text.find(was), was.size(), is);
+    return text.replace(text.find(before), before.size(), after);
   };
   CHECK(complaint(replaced("rate = 150", "rate = -1")) ==
         "s.toml:10:8: 'clients.rate': expected a number from 0 to 10000000, found -1");
@@ -279,10 +284,12 @@
     const std::string oldName(key.oldName);
     const std::string newName(key.newName);
     INFO(table << "." << oldName);
-    const std::string warning = "key " + table + "." + oldName + " is now called " + table + "." + newName;
-    const std::size_t head = text.find("[" + table + "]\n");
+    const std::string oldKey = fmt::format("{}.{}", table, oldName);
+    const std::string newKey = fmt::format("{}.{}", table, newName);
+    const std::string warning = fmt::format("key {} is now called {}", oldKey, newKey);
+    const std::size_t head = text.find(fmt::format("[{}]\n", table));
     REQUIRE(head != std::string::npos);
-    const std::size_t line = text.find("\n" + newName + " = ", head) + 1;
+    const std::size_t line = text.find(fmt::format("\n{} = ", newName), head) + 1;
     REQUIRE(line != std::string::npos + 1);
 
     std::string old = text;
@@ -304,31 +311,33 @@
     oldChanged.replace(line + oldName.size() + 3, value.size(), other);
     CHECK(writeScenario(readScenario(oldChanged, "s.toml")) ==
           writeScenario(readScenario(changed, "s.toml")));
-    const Scenario set = readScenario(text, "s.toml", {table + "." + oldName + "=" + other});
+    const Scenario set = readScenario(text, "s.toml", {fmt::format("{}={}", oldKey, other)});
     CHECK(writeScenario(set) == writeScenario(readScenario(changed, "s.toml")));
     CHECK(set.warnings == std::vector<std::string>{warning});
 
     std::string both = text;
-    both.insert(line, oldName + " = " + value + "\n");
-    CHECK(complaint(both).ends_with("'" + table + "." + oldName + "' stands beside '" + table + "." +
-                                    newName + "', which is its new name"));
+    both.insert(line, fmt::format("{} = {}\n", oldName, value));
+    CHECK(complaint(both).ends_with(
+        fmt::format("'{}' stands beside '{}', which is its new name", oldKey, newKey)));
   }
 }
 
 TEST_CASE("one seed gives one run, another seed another, and every policy meets the same clients") {
-  const Scenario s = readScenario(kPlain + fault("gateway_restart", "1s", "2s", "steps = 3") +
-                                      fault("host_replace", "2s", "1s", "share = 0.5"),
-                                  "s.toml");
-  const Metrics a = play(s, 1, Policy::module), b = play(s, 1, Policy::module),
-                c = play(s, 2, Policy::module), even = play(s, 1, Policy::even);
-  CHECK(a.fingerprint == b.fingerprint);
-  CHECK(a.events == b.events);
-  CHECK(a.fingerprint != c.fingerprint);
-  CHECK(a.asked == even.asked);
-  CHECK(a.utilityOffered == even.utilityOffered);
-  CHECK(a.asked == a.inTime + a.late + a.failed + a.abandoned);
-  CHECK(a.broken() == 0);
-  CHECK(a.inTime > a.asked / 2);
+  const Scenario scenario = readScenario(kPlain + fault("gateway_restart", "1s", "2s", "steps = 3") +
+                                             fault("host_replace", "2s", "1s", "share = 0.5"),
+                                         "s.toml");
+  const Metrics first = play(scenario, 1, Policy::module);
+  const Metrics again = play(scenario, 1, Policy::module);
+  const Metrics otherSeed = play(scenario, 2, Policy::module);
+  const Metrics even = play(scenario, 1, Policy::even);
+  CHECK(first.fingerprint == again.fingerprint);
+  CHECK(first.events == again.events);
+  CHECK(first.fingerprint != otherSeed.fingerprint);
+  CHECK(first.asked == even.asked);
+  CHECK(first.utilityOffered == even.utilityOffered);
+  CHECK(first.asked == first.inTime + first.late + first.failed + first.abandoned);
+  CHECK(first.broken() == 0);
+  CHECK(first.inTime > first.asked / 2);
 }
 
 TEST_CASE("every breach of a rule is reported, with time, request and rule") {
@@ -348,19 +357,20 @@
   };
   for (const Case& one : cases) {
     INFO(wordOf(one.rule));
-    const Scenario s = readScenario(kPlain + one.faults, "s.toml", one.changes);
-    const Metrics t = play(s, 1, Policy::module,
-                           [&](const config::GatewayConfig& config, TimePoint, core::DeadlineQueue& deadlines,
-                               core::Transport& transport, const Truth&) {
-                             return std::make_unique<Breaker>(one.rule, config, deadlines, transport);
-                           });
-    CHECK(t.violations[static_cast<std::size_t>(one.rule)] > 0);
+    const Scenario scenario = readScenario(kPlain + one.faults, "s.toml", one.changes);
+    const Metrics metrics =
+        play(scenario, 1, Policy::module,
+             [&](const config::GatewayConfig& config, TimePoint, core::DeadlineQueue& deadlines,
+                 core::Transport& transport,
+                 const Truth&) { return std::make_unique<Breaker>(one.rule, config, deadlines, transport); });
+    CHECK(metrics.violations[static_cast<std::size_t>(one.rule)] > 0);
     bool named = false;
-    for (const Violation& b : t.first)
-      named = named || (b.rule == one.rule && b.at > TimePoint{} &&
-                        (b.attemptId.value > 0 || one.rule == Invariant::slowStart) && !b.what.empty());
+    for (const Violation& violation : metrics.first)
+      named = named || (violation.rule == one.rule && violation.at > TimePoint{} &&
+                        (violation.attemptId.value > 0 || one.rule == Invariant::slowStart) &&
+                        !violation.what.empty());
     CHECK(named);
-    CHECK(play(s, 1, Policy::module).broken() == 0);  // who keeps the rules is not blamed
+    CHECK(play(scenario, 1, Policy::module).broken() == 0);  // who keeps the rules is not blamed
   }
 }
 
@@ -372,7 +382,7 @@
                    {"fleet.gateways=" + gateways, "clients.spread=" + gateways, "length=8s",
                     "clients.rate=500", "clients.customers=60", "hosts.count=12", "hosts.cores=8",
                     "plan.0.rate=4", "plan.0.burst=12", "plan.0.ceiling_rate=0"});
-  const auto beyond = [](const Metrics& t) { return t.unitsBeyond / t.unitsSent; };
+  const auto beyond = [](const Metrics& metrics) { return metrics.unitsBeyond / metrics.unitsSent; };
   const Metrics module = play(s, 3, Policy::module), all = play(s, 3, Policy::all),
                 truth = play(s, 3, Policy::truth);
   CHECK(beyond(all) > 0.3);  // else it would show nothing
@@ -383,8 +393,8 @@
 }
 
 TEST_CASE("an answer's time counts from when the gateway had the whole of the request") {
-  const Scenario s = readScenario(kPlain, "s.toml");  // the slack is 50 ms
-  InvariantChecker checker(s);
+  const Scenario scenario = readScenario(kPlain, "s.toml");  // the slack is 50 ms
+  InvariantChecker checker(scenario);
   const auto answeredAfter = [&](std::uint64_t id, TimePoint taken, TimePoint answered) {
     checker.taken(taken, {id}, {{0}, 0, 0, 1, 1, TimePoint(2s)});
     checker.answered(answered, {id}, Answer::rejected);
@@ -409,16 +419,17 @@
     const std::string one =
         fault(kind, "1s", "3s", "share = 0.5\nfactor = " + std::string(part ? "0.2" : "3") + "\nsteps = 2");
     INFO(kind);
-    const Metrics t = play(readScenario(kPlain + one, "s.toml"), 3, Policy::module);
-    for (const Violation& b : t.first)
-      UNSCOPED_INFO(seconds(b.at.time_since_epoch()) << " " << wordOf(b.rule) << " " << b.what);
-    CHECK(t.broken() == 0);
-    CHECK(t.asked == t.inTime + t.late + t.failed + t.abandoned);
+    const Metrics metrics = play(readScenario(kPlain + one, "s.toml"), 3, Policy::module);
+    for (const Violation& violation : metrics.first)
+      UNSCOPED_INFO(seconds(violation.at.time_since_epoch())
+                    << " " << wordOf(violation.rule) << " " << violation.what);
+    CHECK(metrics.broken() == 0);
+    CHECK(metrics.asked == metrics.inTime + metrics.late + metrics.failed + metrics.abandoned);
     if (kind != "load_burst") together += one;
   }
-  const Metrics t = play(readScenario(kPlain + together, "s.toml"), 4, Policy::module);
-  for (const Violation& b : t.first) WARN(wordOf(b.rule) << " " << b.what);
-  CHECK(t.broken() == 0);
+  const Metrics metrics = play(readScenario(kPlain + together, "s.toml"), 4, Policy::module);
+  for (const Violation& violation : metrics.first) WARN(wordOf(violation.rule) << " " << violation.what);
+  CHECK(metrics.broken() == 0);
 }
 
 TEST_CASE("scenarios at the edge are played to their end") {
@@ -438,8 +449,8 @@
 }
 
 TEST_CASE("what is remembered is bounded by what is in flight") {
-  const Scenario s = readScenario(kPlain, "s.toml", {"length=30s", "clients.rate=300"});
-  const Metrics t = play(s, 1, Policy::module);
-  CHECK(t.asked > 8'000);
-  CHECK(t.maxInFlight < 200);
+  const Scenario scenario = readScenario(kPlain, "s.toml", {"length=30s", "clients.rate=300"});
+  const Metrics metrics = play(scenario, 1, Policy::module);
+  CHECK(metrics.asked > 8'000);
+  CHECK(metrics.maxInFlight < 200);
 }
--- a/tests/program.hpp
+++ b/tests/program.hpp
@@ -60,7 +60,8 @@
   void start(const std::string& text, const std::string& own = "") {
     if (!piped_) write(text);
     const std::string ownSetting = "GW_OWN=" + own;
-    const std::string setting = "GW_CONFIG=" + folder_ + "/config.json", log = folder_ + "/log";
+    const std::string setting = "GW_CONFIG=" + folder_ + "/config.json";
+    const std::string log = folder_ + "/log";
     posix_spawn_file_actions_t files;
     posix_spawn_file_actions_init(&files);
     if (logDescriptor >= 0)
