--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -377,14 +377,15 @@
 TEST_CASE("quotas count over the whole fleet, and what is inside them is served all the same") {
   // Customers ask for twice their quotas, evenly over all gateways. Few gateways see each often, many seldom.
   const auto [gateways, most] = GENERATE(table<std::string, double>({{"3", 0.15}, {"60", 0.8}}));
-  const Scenario s =
+  const Scenario scenario =
       readScenario(kPlain, "s.toml",
                    {"fleet.gateways=" + gateways, "clients.spread=" + gateways, "length=8s",
                     "clients.rate=500", "clients.customers=60", "hosts.count=12", "hosts.cores=8",
                     "plan.0.rate=4", "plan.0.burst=12", "plan.0.ceiling_rate=0"});
   const auto beyond = [](const Metrics& metrics) { return metrics.unitsBeyond / metrics.unitsSent; };
-  const Metrics module = play(s, 3, Policy::module), all = play(s, 3, Policy::all),
-                truth = play(s, 3, Policy::truth);
+  const Metrics module = play(scenario, 3, Policy::module);
+  const Metrics all = play(scenario, 3, Policy::all);
+  const Metrics truth = play(scenario, 3, Policy::truth);
   CHECK(beyond(all) > 0.3);  // else it would show nothing
   CHECK(beyond(truth) < 0.02);
   CHECK(beyond(module) < most * beyond(all));
--- a/tests/json_stream_splitter_test.cpp
+++ b/tests/json_stream_splitter_test.cpp
@@ -46,7 +46,7 @@
   for (std::size_t cut = 0; cut <= text.size(); ++cut)
     CHECK(Read({text.substr(0, cut), text.substr(cut)}).objects == wanted);
   std::vector<std::string> bytes;
-  for (const char c : text) bytes.emplace_back(1, c);
+  for (const char byte : text) bytes.emplace_back(1, byte);
   CHECK(Read(bytes).objects == wanted);
 }
 
