--- a/src/emulator/host_fleet.cpp
+++ b/src/emulator/host_fleet.cpp
@@ -135,7 +135,7 @@
   if (at.state == State::up) at.connections -= static_cast<int>(count);
 }
 
-std::variant<SlotRef, Outcome> HostFleet::submit(const Arrival& arrival) {
+std::variant<SlotRef, Outcome> HostFleet::submit(const AttemptArrival& arrival) {
   const Scenario& scenario = run_.scenario();
   const Duration work = scaled(scenario.methods[arrival.method].work, 0.5 + work_.exponential(0.5));
   if (isOverloadedBy(arrival, work)) {
@@ -156,7 +156,7 @@
   return job;
 }
 
-bool HostFleet::isOverloadedBy(const Arrival& arrival, Duration work) {
+bool HostFleet::isOverloadedBy(const AttemptArrival& arrival, Duration work) {
   const EmulatedHost& at = hosts_[arrival.host];
   return at.startedDuringRun &&
          run_.checker().hostAsked(run_.now(), {arrival.host}, at.startedAt, work, arrival.startAnnounced);
--- a/src/emulator/host_fleet.hpp
+++ b/src/emulator/host_fleet.hpp
@@ -34,7 +34,7 @@
   /// When a host started.
   enum class Start { longBeforeRun, now };
   /// A request that has arrived at a host.
-  struct Arrival {
+  struct AttemptArrival {
     std::uint32_t host = 0;
     ProcessSlot attempt;
     ClientAttemptId clientAttemptId;
@@ -88,7 +88,7 @@
   /// Connections were closed by the other side. No effect on a host that is not up.
   void connectionsClosed(std::uint32_t host, std::size_t count);
   /// Takes a request: either the job that it is now, or the outcome that it had at once.
-  std::variant<core::SlotRef, Outcome> submit(const Arrival&);
+  std::variant<core::SlotRef, Outcome> submit(const AttemptArrival&);
   /// The gateway has closed the connection of that job. No effect if the job is over.
   void cancel(core::SlotRef job);
 
@@ -124,7 +124,7 @@
 
   double rampFactor(const EmulatedHost&) const;
   bool isHanging(std::uint32_t host) const;
-  bool isOverloadedBy(const Arrival&, Duration work);
+  bool isOverloadedBy(const AttemptArrival&, Duration work);
   void run(core::SlotRef job);
   void finish(core::SlotRef job);
   void startQueued(std::uint32_t host);
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Ends of connections in any order: generated events of clients and hosts, several in one turn of the event
-/// loop, against a plain model of what a client may receive and what a host may get. docs/event-races.md lists
-/// the cases by name.
+/// loop, against a plain model of what a client may receive and what a host may get. docs/event-races.md
+/// lists the cases by name.
 #include <catch2/catch.hpp>
 #include <random>
 #include <set>
