--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -17,8 +17,8 @@
 constexpr ShutdownKeys kOldShutdownKeys{"end", "still_coming", "most_life"};
 
 void readLog(TomlTable log, OperatorConfig& config) {
-  config.form = log.oneOf<LogForm>("form", config.form, kLogFormNames);
-  config.level = log.oneOf<Level>("level", config.level, kLevelNames);
+  config.form = log.oneOf<LogFormat>("form", config.form, kLogFormatNames);
+  config.level = log.oneOf<LogLevel>("level", config.level, kLogLevelNames);
   log.done();
 }
 
--- a/src/config/operator_config.hpp
+++ b/src/config/operator_config.hpp
@@ -19,8 +19,8 @@
 
 /// What the operators set themselves, beside what the platform sets. Every key may be missing.
 struct OperatorConfig {
-  LogForm form = LogForm::text;
-  Level level = Level::info;
+  LogFormat form = LogFormat::text;
+  LogLevel level = LogLevel::info;
   /// After SIGTERM, all that comes is answered for so long. Part of killedAfter.
   Duration acceptFor = std::chrono::milliseconds(700);
   /// After SIGTERM, the process may be killed after so long; at least `acceptFor`.
--- a/src/daemon/commands.cpp
+++ b/src/daemon/commands.cpp
@@ -102,7 +102,7 @@
 
 ExitCode serve(const ConfigSources& sources, const std::vector<config::RenamedSetting>& renamed) {
   LogStream standardError(STDERR_FILENO);
-  Log log(standardError, Level::info);
+  Log log(standardError, LogLevel::info);
   try {
     runUntilStopped(sources, renamed, log);
     return ExitCode::success;
--- a/src/daemon/config_sources.cpp
+++ b/src/daemon/config_sources.cpp
@@ -60,7 +60,7 @@
   config::OperatorConfig operatorConfig;
   if (!operatorFile.empty())
     operatorConfig = config::readOperatorConfig(readFile(operatorFile), operatorFile);
-  operatorConfig.level = levelNamed(environmentVariable("GW_LOG_LEVEL")).value_or(operatorConfig.level);
+  operatorConfig.level = parseLogLevel(environmentVariable("GW_LOG_LEVEL")).value_or(operatorConfig.level);
   return operatorConfig;
 }
 
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -61,7 +61,7 @@
   SignalWatch& signals_;  ///< Signals that come before run() are handled by it.
   net::Server server_;
   Phase phase_ = Phase::starting;
-  core::DeadlineQueue::Ticket reloadTimer_{};    ///< Of the next retry of a reload, if one is due.
+  core::DeadlineQueue::Handle reloadTimer_{};    ///< Of the next retry of a reload, if one is due.
   TimePoint reloadWarnedAt_{};                   ///< Of the last config_rejected; the origin: none yet.
   TimePoint noTrafficSince_ = TimePoint::max();  ///< In phase closingIdle; max: there is traffic.
   TimePoint answerDeadline_{};                   ///< From draining on: all requests are answered by then.
--- a/src/daemon/log_stream.cpp
+++ b/src/daemon/log_stream.cpp
@@ -26,7 +26,7 @@
 
 // In text form whatever form the other lines have: a stream of characters does not know it.
 std::string droppedLine(std::uint64_t dropped) {
-  std::string line = formatLogLine(LogForm::text, LogEvent::logLinesDropped, LogField{"count", dropped});
+  std::string line = formatLogLine(LogFormat::text, LogEvent::logLinesDropped, LogField{"count", dropped});
   line += '\n';
   return line;
 }
--- a/src/emulator/emulated_gateway.cpp
+++ b/src/emulator/emulated_gateway.cpp
@@ -32,7 +32,7 @@
     if (at == requests_.end()) return;
     const RequestId requestId = at->second;
     requests_.erase(at);
-    core_.clientLeft(now, requestId);
+    core_.clientDisconnected(now, requestId);
   }
   void attemptEnded(TimePoint now, RequestId requestId, AttemptNumber attemptNumber, Outcome outcome,
                     const core::UpstreamResponse& response) override {
--- a/src/gateway_core/deadline_queue.hpp
+++ b/src/gateway_core/deadline_queue.hpp
@@ -18,26 +18,26 @@
 class DeadlineQueue {
  public:
   /// Names a pending callback. The number is unique for the lifetime of the queue; a default-constructed
-  /// ticket names none.
-  struct Ticket {
+  /// handle names none.
+  struct Handle {
     TimePoint dueAt{};
     std::uint64_t number = 0;
     explicit operator bool() const { return number != 0; }
-    auto operator<=>(const Ticket&) const =
+    auto operator<=>(const Handle&) const =
         default;  // NOLINT(modernize-use-nullptr): clang-tidy 14 misreads <=>
   };
   /// Called once, at or after the time it was added for. May add and cancel callbacks; must not call run().
   using Callback = std::function<void(TimePoint now)>;
 
   /// Adds a callback, which the queue owns from here on. A time that has passed is allowed.
-  Ticket add(TimePoint dueAt, Callback callback) {
-    const Ticket ticket{dueAt, ++lastNumber_};
-    pending_.emplace(ticket, std::move(callback));
-    return ticket;
+  Handle add(TimePoint dueAt, Callback callback) {
+    const Handle handle{dueAt, ++lastNumber_};
+    pending_.emplace(handle, std::move(callback));
+    return handle;
   }
   /// Removes and destroys a pending callback. Has no effect on one that has run already, or on an empty
-  /// ticket.
-  void cancel(Ticket ticket) { pending_.erase(ticket); }
+  /// handle.
+  void cancel(Handle handle) { pending_.erase(handle); }
   /// When the earliest callback is due; TimePoint::max() if none is pending.
   TimePoint nextDueAt() const { return pending_.empty() ? TimePoint::max() : pending_.begin()->first.dueAt; }
 
@@ -60,7 +60,7 @@
   }
 
  private:
-  std::map<Ticket, Callback> pending_;
+  std::map<Handle, Callback> pending_;
   std::uint64_t lastNumber_ = 0;
   Duration recentLateness_{0};
 };
--- a/src/gateway_core/deferred_events.hpp
+++ b/src/gateway_core/deferred_events.hpp
@@ -8,24 +8,24 @@
 namespace merlinbridge::core {
 
 /// A client was found to be gone while the engine was starting an attempt for its request.
-struct ClientGone {
+struct ClientDisconnected {
   RequestId requestId;
 };
 /// An attempt ended at once, while the engine was starting it.
-struct AttemptEndedAtOnce {
+struct AttemptEndedImmediately {
   RequestId requestId;
   AttemptNumber attemptNumber;
   Outcome outcome;
 };
 /// An attempt is to be given up, with that outcome unless it turns out to be unsent.
-struct AttemptAbandoned {
+struct AttemptToAbandon {
   RequestId requestId;
   AttemptNumber attemptNumber;
   Outcome outcome;
 };
 
 /// What the core learns while the decision engine handles an input, and may tell the engine only afterwards.
-using DeferredEvent = std::variant<ClientGone, AttemptEndedAtOnce, AttemptAbandoned>;
+using DeferredEvent = std::variant<ClientDisconnected, AttemptEndedImmediately, AttemptToAbandon>;
 
 /// The deferred events, first in, first out. Bounded by the attempts in flight, which the engine limits. Not
 /// thread-safe.
--- a/src/gateway_core/gateway_core.cpp
+++ b/src/gateway_core/gateway_core.cpp
@@ -5,10 +5,10 @@
 namespace merlinbridge::core {
 
 GatewayCore::GatewayCore(const config::GatewayConfig& config, TimePoint now, DeadlineQueue& deadlines,
-                         Transport& transport, DeadlineEnforcer timekeeper)
+                         Transport& transport, DeadlineEnforcer deadlineEnforcer)
     : settings_(config.settings),
       answerSlack_(config.answerSlack),
-      enforcesDeadlines_(timekeeper == DeadlineEnforcer::core),
+      enforcesDeadlines_(deadlineEnforcer == DeadlineEnforcer::core),
       now_(now),
       names_{NameTable<MethodId>(config.methods), NameTable<PlanId>(config.plans),
              NameTable<ZoneId>(config.zones), NameTable<MachineId>(config.machines)},
@@ -39,7 +39,7 @@
   return requestId;
 }
 
-void GatewayCore::clientLeft(TimePoint now, RequestId requestId) {
+void GatewayCore::clientDisconnected(TimePoint now, RequestId requestId) {
   now_ = now;
   if (!requests_.markAnswered(requestId)) return;
   engine_.clientLeft(now, requestId);
@@ -64,7 +64,7 @@
       .host = attempt->host,
       .outcome = outcome,
       .requestAnswered = request->state == PendingRequest::State::answered,
-      .duration = response.took.value_or(now - attempt->startedAt),
+      .duration = response.duration.value_or(now - attempt->startedAt),
       .trueUnits = outcome == Outcome::ok ? response.trueUnits : 0,
       .load = response.load,
   };
@@ -72,7 +72,7 @@
   finishInput(now, requestId);
 }
 
-bool GatewayCore::isPending(RequestId requestId) {
+bool GatewayCore::clientAwaitsAnswer(RequestId requestId) {
   const PendingRequest* const request = requests_.find(requestId);
   return request && request->state == PendingRequest::State::unanswered &&
          transport_.clientConnected(request->client);
@@ -85,16 +85,16 @@
   if (!request) return;
   // A client may have hung up although the event loop, running late, has not handled the hang-up yet. The
   // engine still gets an attempt that ends, as not sent, but no host works for a client that is gone.
-  const bool clientGone = !isPending(requestId);
-  if (clientGone) deferred_.add(ClientGone{requestId});
+  const bool clientIsDisconnected = !clientAwaitsAnswer(requestId);
+  if (clientIsDisconnected) deferred_.add(ClientDisconnected{requestId});
   const AttemptNumber attemptNumber = request->addAttempt(host, now_);
   hosts_.attemptStarted(host);
   deadline.abandonAt = std::min(deadline.abandonAt, request->deadline);
-  AttemptStart started = Outcome::notSent;
-  if (!clientGone)
+  AttemptStartResult started = Outcome::notSent;
+  if (!clientIsDisconnected)
     started = transport_.startAttempt(requestId, attemptNumber, request->client, host, deadline);
   if (const Outcome* const outcome = std::get_if<Outcome>(&started)) {
-    deferred_.add(AttemptEndedAtOnce{requestId, attemptNumber, *outcome});
+    deferred_.add(AttemptEndedImmediately{requestId, attemptNumber, *outcome});
     return;
   }
   request->attempts[attemptNumber.value].connection = std::get<SlotRef>(started);
@@ -106,7 +106,7 @@
 }
 
 void GatewayCore::cancel(RequestId requestId, AttemptNumber attemptNumber) {
-  deferred_.add(AttemptAbandoned{requestId, attemptNumber, Outcome::cancelled});
+  deferred_.add(AttemptToAbandon{requestId, attemptNumber, Outcome::cancelled});
 }
 
 void GatewayCore::reject(RequestId requestId, Duration retryAfter) {
@@ -131,7 +131,7 @@
   });
 }
 
-DeadlineQueue::Ticket GatewayCore::addAnswerDeadlineTimer(TimePoint deadline, RequestId requestId) {
+DeadlineQueue::Handle GatewayCore::addAnswerDeadlineTimer(TimePoint deadline, RequestId requestId) {
   return deadlines_.add(deadline,
                         [this, requestId](TimePoint now) { answerDeadlineReached(now, requestId); });
 }
@@ -166,9 +166,9 @@
 }
 
 void GatewayCore::counterCallEnded(TimePoint now, const CounterKey& counter, CounterCallOutcome outcome,
-                                   double total, Duration took) {
+                                   double total, Duration duration) {
   now_ = now;
-  engine_.counterCallEnded(now, counter, outcome, total, took);
+  engine_.counterCallEnded(now, counter, outcome, total, duration);
   finishInput(now, std::nullopt);
 }
 
@@ -229,7 +229,7 @@
       const Attempt& attempt = request.attempts[number];
       if (attempt.state != Attempt::State::inFlight || isServing[attempt.host.value]) continue;
       if (transport_.isUnsent(attempt.connection))
-        deferred_.add(AttemptAbandoned{requestId, {number}, Outcome::notSent});
+        deferred_.add(AttemptToAbandon{requestId, {number}, Outcome::notSent});
     }
   });
 }
@@ -260,15 +260,15 @@
   }
 }
 
-void GatewayCore::handle(TimePoint now, const ClientGone& event) {
-  clientLeft(now, event.requestId);
+void GatewayCore::handle(TimePoint now, const ClientDisconnected& event) {
+  clientDisconnected(now, event.requestId);
 }
 
-void GatewayCore::handle(TimePoint now, const AttemptEndedAtOnce& event) {
+void GatewayCore::handle(TimePoint now, const AttemptEndedImmediately& event) {
   attemptEnded(now, event.requestId, event.attemptNumber, event.outcome);
 }
 
-void GatewayCore::handle(TimePoint now, const AttemptAbandoned& event) {
+void GatewayCore::handle(TimePoint now, const AttemptToAbandon& event) {
   abandonAttempt(now, event.requestId, event.attemptNumber, event.outcome);
 }
 
--- a/src/gateway_core/gateway_core.hpp
+++ b/src/gateway_core/gateway_core.hpp
@@ -52,19 +52,20 @@
   /// The number of requests without a final answer.
   std::size_t unanswered() const { return requests_.unanswered(); }
   /// Returns whether the request has no final answer yet and its client is still connected.
-  bool isPending(RequestId);
+  bool clientAwaitsAnswer(RequestId);
 
   /// Takes a request from a client and returns its id. The request may have been answered, and its id may be
   /// unknown, by the time this returns. `request.requestId` is ignored; `request.deadline` is the client's.
   RequestId requestArrived(TimePoint now, SlotRef client, Request request);
   /// The client has disconnected: the request gets no answer, and its unsent attempts are given up.
-  void clientLeft(TimePoint now, RequestId);
+  void clientDisconnected(TimePoint now, RequestId);
   /// An attempt has ended. Outcome::ok answers the client with the response, if the client has no answer yet.
   /// The end of an attempt that is not in flight is ignored.
   void attemptEnded(TimePoint now, RequestId, AttemptNumber, Outcome, const UpstreamResponse& = {});
   /// A call to the counter service has ended. `total` is the count after the call and is read only if the
-  /// outcome is ok; `took` is the duration of the call.
-  void counterCallEnded(TimePoint now, const CounterKey&, CounterCallOutcome, double total, Duration took);
+  /// outcome is ok; `duration` is the duration of the call.
+  void counterCallEnded(TimePoint now, const CounterKey&, CounterCallOutcome, double total,
+                        Duration duration);
   /// Applies a complete list or a change from discovery. Unsent attempts to hosts that no longer serve are
   /// given up, so that they may go elsewhere.
   void endpointsUpdated(TimePoint now, const config::EndpointList&);
@@ -81,7 +82,7 @@
   void wakeAt(TimePoint, TimerId) override;
   void report(EngineEvent event) override { transport_.report(event); }
 
-  DeadlineQueue::Ticket addAnswerDeadlineTimer(TimePoint, RequestId);
+  DeadlineQueue::Handle addAnswerDeadlineTimer(TimePoint, RequestId);
   void answerDeadlineReached(TimePoint now, RequestId);
   void abandonAttempt(TimePoint now, RequestId, AttemptNumber, Outcome);
   void abandonAttemptsOfAnswered(TimePoint now, RequestId);
@@ -89,9 +90,9 @@
   std::vector<bool> servingHosts(const config::EndpointList&, const std::vector<HostUpdate>&) const;
   void deferAbandoningUnsent(const std::vector<bool>& isServing);
   void finishInput(TimePoint now, std::optional<RequestId>);
-  void handle(TimePoint now, const ClientGone&);
-  void handle(TimePoint now, const AttemptEndedAtOnce&);
-  void handle(TimePoint now, const AttemptAbandoned&);
+  void handle(TimePoint now, const ClientDisconnected&);
+  void handle(TimePoint now, const AttemptEndedImmediately&);
+  void handle(TimePoint now, const AttemptToAbandon&);
 
   const PolicySettings settings_;
   const Duration answerSlack_;  ///< An answer so long after its deadline still counts.
--- a/src/gateway_core/host_directory.cpp
+++ b/src/gateway_core/host_directory.cpp
@@ -8,8 +8,8 @@
   const auto hostId = findOrAdd(now, endpoint);
   if (!hostId) return std::nullopt;
   Host& host = hosts_[hostId->value];
-  // Connections to an earlier incarnation may look open: no close reaches the gateway from a machine that
-  // crashed.
+  // Connections to the host's previous process may still look open: a machine that crashed does not close
+  // them.
   const bool restarted = std::exchange(host.startedAt, endpoint.started) != endpoint.started;
   const bool moved = !endpoint.address.empty() && !host.address.empty() && endpoint.address != host.address;
   if (!endpoint.serving || restarted || moved) observer_.hostUnavailable(*hostId);
@@ -21,19 +21,19 @@
 void HostDirectory::removeUnlisted(TimePoint now, const std::vector<HostUpdate>& listed) {
   std::vector<bool> isListed(hosts_.size(), false);
   for (const HostUpdate& update : listed) isListed[update.host.value] = true;
-  for (std::uint32_t number = 0; number < hosts_.size(); ++number) {
-    Host& host = hosts_[number];
-    if (isListed[number] || host.presence == Presence::gone) continue;
+  for (std::uint32_t index = 0; index < hosts_.size(); ++index) {
+    Host& host = hosts_[index];
+    if (isListed[index] || host.presence == Presence::gone) continue;
     setPresence(host, Presence::gone, now);
-    observer_.hostUnavailable({number});
+    observer_.hostUnavailable({index});
   }
 }
 
 std::optional<HostId> HostDirectory::findOrAdd(TimePoint now, const config::Endpoint& endpoint) {
   if (const auto known = names_.find(endpoint.name)) return known;
   if (endpoint.gone) return std::nullopt;
-  if (const auto reusable = findReusable(now)) {
-    reuseNumber(*reusable, endpoint);
+  if (const auto reusable = findReusableId(now)) {
+    reuseId(*reusable, endpoint);
     return reusable;
   }
   if (hosts_.size() >= kMaxHosts) {
@@ -45,21 +45,21 @@
   return names_.findOrAdd(endpoint.name);
 }
 
-// Numbers are reused even while some are free: the engine's work for a request grows with the highest number.
-// In a full directory the reserved time is waived, because a new host that gets no number serves nobody.
-std::optional<HostId> HostDirectory::findReusable(TimePoint now) const {
+// Reuses ids before the table is full, because the engine's work per request grows with the highest id. In a
+// full directory the reuse delay is skipped: a new host without an id would get no requests at all.
+std::optional<HostId> HostDirectory::findReusableId(TimePoint now) const {
   const bool full = hosts_.size() >= kMaxHosts;
-  for (std::uint32_t number = 0; number < hosts_.size(); ++number) {
-    const Host& host = hosts_[number];
+  for (std::uint32_t index = 0; index < hosts_.size(); ++index) {
+    const Host& host = hosts_[index];
     if (host.presence != Presence::gone || host.attemptsInFlight > 0) continue;
-    if (full || now - host.goneAt > numberReuseDelay_) return HostId{number};
+    if (full || now - host.goneAt > idReuseDelay_) return HostId{index};
   }
   return std::nullopt;
 }
 
-void HostDirectory::reuseNumber(HostId hostId, const config::Endpoint& endpoint) {
+void HostDirectory::reuseId(HostId hostId, const config::Endpoint& endpoint) {
   names_.reassign(hostId, endpoint.name);
-  // Idle connections under this number lead to the removed host's machine.
+  // Idle connections under this id still lead to the removed host.
   observer_.hostUnavailable(hostId);
   Host& host = hosts_[hostId.value];
   host.address.clear();
--- a/src/gateway_core/host_directory.hpp
+++ b/src/gateway_core/host_directory.hpp
@@ -35,11 +35,11 @@
   static constexpr std::size_t kMaxHosts = 4096;
   /// How long the number of a removed host stays reserved, in multiples of the longest request deadline. A
   /// request that could name the removed host has ended by then.
-  static constexpr int kNumberReuseDeadlines = 2;
+  static constexpr int kIdReuseDelayInDeadlines = 2;
 
   /// `longestDeadline` is that of all methods. The observer must outlive the directory.
   HostDirectory(Duration longestDeadline, HostObserver& observer)
-      : numberReuseDelay_(kNumberReuseDeadlines * longestDeadline), observer_(observer) {}
+      : idReuseDelay_(kIdReuseDelayInDeadlines * longestDeadline), observer_(observer) {}
 
   /// Applies one entry of an endpoint list. Assigns a number to a host that is new, and notifies the observer
   /// of a host whose idle connections are of no more use. Returns nothing if the host gets no number: it is
@@ -71,11 +71,11 @@
   };
 
   std::optional<HostId> findOrAdd(TimePoint now, const config::Endpoint&);
-  std::optional<HostId> findReusable(TimePoint now) const;
-  void reuseNumber(HostId, const config::Endpoint&);
+  std::optional<HostId> findReusableId(TimePoint now) const;
+  void reuseId(HostId, const config::Endpoint&);
   static void setPresence(Host&, Presence, TimePoint now);
 
-  const Duration numberReuseDelay_;
+  const Duration idReuseDelay_;
   HostObserver& observer_;
   NameTable<HostId> names_;
   std::vector<Host> hosts_;  ///< By HostId.
--- a/src/gateway_core/request_table.hpp
+++ b/src/gateway_core/request_table.hpp
@@ -24,7 +24,7 @@
   enum class State : std::uint8_t { unanswered, answered };
   SlotRef client;
   TimePoint deadline;  ///< The core fails the request then if it is still unanswered.
-  DeadlineQueue::Ticket answerDeadlineTimer;
+  DeadlineQueue::Handle answerDeadlineTimer;
   State state = State::unanswered;
   std::uint32_t attemptsInFlight = 0;
   std::vector<Attempt> attempts;  ///< By AttemptNumber.
--- a/src/gateway_core/slot_table.hpp
+++ b/src/gateway_core/slot_table.hpp
@@ -35,27 +35,27 @@
   SlotRef add(Args&&... args) {
     std::uint32_t slot = 0;
     if (freeSlots_.empty()) {
-      slot = static_cast<std::uint32_t>(rows_.size());
-      rows_.emplace_back();
+      slot = static_cast<std::uint32_t>(slots_.size());
+      slots_.emplace_back();
     } else {
       slot = freeSlots_.back();
       freeSlots_.pop_back();
     }
-    Row& row = rows_[slot];
-    row.element.emplace(std::forward<Args>(args)...);
+    Slot& entry = slots_[slot];
+    entry.element.emplace(std::forward<Args>(args)...);
     ++size_;
-    return {slot, ++row.generation};
+    return {slot, ++entry.generation};
   }
   /// Returns the element, which the table owns, or nullptr if it has been dropped.
   T* find(SlotRef ref) {
-    if (ref.slot >= rows_.size()) return nullptr;
-    Row& row = rows_[ref.slot];
-    return row.element && row.generation == ref.generation ? &*row.element : nullptr;
+    if (ref.slot >= slots_.size()) return nullptr;
+    Slot& entry = slots_[ref.slot];
+    return entry.element && entry.generation == ref.generation ? &*entry.element : nullptr;
   }
   /// Destroys the element and frees its slot. Has no effect if it has been dropped already.
   void drop(SlotRef ref) {
     if (!find(ref)) return;
-    rows_[ref.slot].element.reset();
+    slots_[ref.slot].element.reset();
     freeSlots_.push_back(ref.slot);
     --size_;
   }
@@ -65,18 +65,18 @@
   /// drop elements.
   template <class Visitor>
   void forEach(Visitor visitor) {
-    for (std::uint32_t slot = 0; slot < rows_.size(); ++slot) {
-      Row& row = rows_[slot];
-      if (row.element) visitor(SlotRef{slot, row.generation}, *row.element);
+    for (std::uint32_t slot = 0; slot < slots_.size(); ++slot) {
+      Slot& entry = slots_[slot];
+      if (entry.element) visitor(SlotRef{slot, entry.generation}, *entry.element);
     }
   }
 
  private:
-  struct Row {
+  struct Slot {
     std::uint32_t generation = 0;  ///< Of the element here, or of the last one.
     std::optional<T> element;
   };
-  std::deque<Row> rows_;
+  std::deque<Slot> slots_;
   std::vector<std::uint32_t> freeSlots_;
   std::size_t size_ = 0;
 };
--- a/src/gateway_core/transport.hpp
+++ b/src/gateway_core/transport.hpp
@@ -12,7 +12,7 @@
 
 /// How the start of an attempt went: the connection that carries the attempt, or the outcome of an attempt
 /// that ended at once, for example because no socket was left.
-using AttemptStart = std::variant<SlotRef, Outcome>;
+using AttemptStartResult = std::variant<SlotRef, Outcome>;
 
 /// What the core asks of its surroundings: sockets in the daemon, the wire in the simulator adapter, the
 /// network model in the emulator.
@@ -31,7 +31,8 @@
   virtual void answerFailed(SlotRef client) = 0;
   /// Writes the client's request to the host. The core hears of the attempt's end through
   /// GatewayCore::attemptEnded, unless an Outcome is returned, which is the end.
-  virtual AttemptStart startAttempt(RequestId, AttemptNumber, SlotRef client, HostId, AttemptDeadline) = 0;
+  virtual AttemptStartResult startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
+                                          AttemptDeadline) = 0;
   /// Gives up an attempt in flight. Returns true if the attempt has ended by this call, false if its end is
   /// reported later through GatewayCore::attemptEnded.
   virtual bool closeAttempt(SlotRef client, AttemptNumber, SlotRef connection) = 0;
@@ -51,11 +52,11 @@
 /// and are read during that call only.
 struct UpstreamResponse {
   std::string_view body;
-  std::string_view contentType;       ///< Content-Type; empty: none was sent.
-  double trueUnits = 0;               ///< Cost of the request in units; 0: the host did not say.
-  LoadReport load{};                  ///< The host's load as the host reports it.
-  std::optional<Duration> took = {};  ///< Duration of the attempt, where the adapter measures it itself.
-  bool answeredByAdapter = false;     ///< The adapter has already passed the answer on to the client.
+  std::string_view contentType;           ///< Content-Type; empty: none was sent.
+  double trueUnits = 0;                   ///< Cost of the request in units; 0: the host did not say.
+  LoadReport load{};                      ///< The host's load as the host reports it.
+  std::optional<Duration> duration = {};  ///< Duration of the attempt, where the adapter measures it itself.
+  bool answeredByAdapter = false;         ///< The adapter has already passed the answer on to the client.
 };
 
 }  // namespace merlinbridge::core
--- a/src/net/client/client_connection.cpp
+++ b/src/net/client/client_connection.cpp
@@ -238,7 +238,7 @@
   return {closeCause_, peerEnded(), lastError()};
 }
 
-// The core is called last: it may answer or start other requests from clientLeft().
+// The core is called last: it may answer or start other requests from clientDisconnected().
 void ClientConnection::onClosed() {
   if (!allWritten() && !answeredRequest_.empty())
     logIncompleteResponse(loop_.log, answeredRequest_, presentEnd());
@@ -247,7 +247,7 @@
   if (isUnanswered) enter(State::receiving);
   owner_.connectionClosed(ref());
   loop_.closeDeferred(ref());
-  if (isUnanswered) owner_.core().clientLeft(loop_.now(), requestId_);
+  if (isUnanswered) owner_.core().clientDisconnected(loop_.now(), requestId_);
 }
 
 }  // namespace merlinbridge::net
--- a/src/net/counter/counter_connection.hpp
+++ b/src/net/counter/counter_connection.hpp
@@ -61,7 +61,7 @@
   struct Call {
     CounterKey key;
     TimePoint startedAt;
-    core::DeadlineQueue::Ticket timeout;
+    core::DeadlineQueue::Handle timeout;
     bool reported = false;  ///< The owner has its result; its answer has yet to be read past.
   };
 
--- a/src/net/discovery/discovery_client.hpp
+++ b/src/net/discovery/discovery_client.hpp
@@ -49,7 +49,7 @@
   DiscoverySchedule schedule_;
   Reachability reachability_ = Reachability::reachable;
   SlotRef openRequest_{};                      ///< Its connection; empty between requests.
-  core::DeadlineQueue::Ticket nextRequest_{};  ///< Between requests.
+  core::DeadlineQueue::Handle nextRequest_{};  ///< Between requests.
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/upstream/upstream_pool.cpp
+++ b/src/net/upstream/upstream_pool.cpp
@@ -116,7 +116,7 @@
 }
 
 bool UpstreamPool::isPending(RequestId requestId) {
-  return core_->isPending(requestId);
+  return core_->clientAwaitsAnswer(requestId);
 }
 
 std::string_view UpstreamPool::hostName(HostId host) const {
--- a/src/net/wait_timer.hpp
+++ b/src/net/wait_timer.hpp
@@ -35,7 +35,7 @@
  private:
   core::DeadlineQueue& deadlines_;
   TimePoint firesAt_ = TimePoint::max();
-  core::DeadlineQueue::Ticket pending_{};
+  core::DeadlineQueue::Handle pending_{};
 };
 
 }  // namespace merlinbridge::net
--- a/src/simulator_adapter/gateway_instance.cpp
+++ b/src/simulator_adapter/gateway_instance.cpp
@@ -61,7 +61,7 @@
 void GatewayInstance::handleClientLeft(WireRequestId id, TimePoint now) {
   const auto request = requestIds_.find(id);
   if (request == requestIds_.end()) return;
-  core_.clientLeft(now, request->second);
+  core_.clientDisconnected(now, request->second);
   forgetIfEnded(request);
 }
 
@@ -73,7 +73,7 @@
   core::UpstreamResponse response;
   response.trueUnits = end.trueUnits;
   response.load = end.load;
-  response.took = end.took;
+  response.duration = end.took;
   response.answeredByAdapter = end.clientAnswered;
   core_.attemptEnded(now, request->second, end.attempt, end.outcome, response);
   forgetIfEnded(request);
--- a/src/util/log.hpp
+++ b/src/util/log.hpp
@@ -22,14 +22,14 @@
 namespace merlinbridge {
 
 /// The two forms of a log line.
-enum class LogForm {
+enum class LogFormat {
   text,  ///< `level: event: message key=value ...`
   json   ///< One object with the strings level, event and text; text is the message and the fields as above.
 };
 
 /// The forms as they are called in [log] form.
-inline constexpr std::array<std::pair<std::string_view, LogForm>, 2> kLogFormNames{
-    {{"text", LogForm::text}, {"json", LogForm::json}}};
+inline constexpr std::array<std::pair<std::string_view, LogFormat>, 2> kLogFormatNames{
+    {{"text", LogFormat::text}, {"json", LogFormat::json}}};
 
 /// A key and its value in a log line. Refers to the value, which must outlive the call that formats the line.
 template <class Value>
@@ -50,11 +50,11 @@
 /// The whole line of an event, without the line feed: its message from the catalogue, then the fields in the
 /// order given, each value as fmt writes it.
 template <class... Values>
-std::string formatLogLine(LogForm form, LogEvent event, const LogField<Values>&... fields) {
+std::string formatLogLine(LogFormat format, LogEvent event, const LogField<Values>&... fields) {
   const LogEventInfo& info = infoOf(event);
   std::string text(info.message);
   (appendLogField(text, fields.key, fmt::format("{}", fields.value)), ...);
-  if (form == LogForm::text) return fmt::format("{}: {}: {}", nameOf(info.level), info.name, text);
+  if (format == LogFormat::text) return fmt::format("{}: {}: {}", nameOf(info.level), info.name, text);
   return fmt::format(R"({{"level":"{}","event":"{}","text":"{}"}})", nameOf(info.level), info.name,
                      util::escapeJson(text));
 }
@@ -64,18 +64,18 @@
 class Log {
  public:
   /// `out` stays the caller's and must outlive the log.
-  Log(std::ostream& out, Level minLevel, LogForm form = LogForm::text)
+  Log(std::ostream& out, LogLevel minLevel, LogFormat format = LogFormat::text)
       : sink_(std::make_shared<spdlog::sinks::ostream_sink_st>(out, true)),
         logger_("merlinbridge", sink_),
-        form_(form),
+        format_(format),
         minLevel_(minLevel) {
     sink_->set_pattern("%v");
     logger_.set_level(spdlog::level::trace);  // enabled() is what decides
     logger_.flush_on(spdlog::level::trace);
   }
   /// Changes level and form of all lines from the next one on.
-  void configure(Level minLevel, LogForm form) {
-    form_ = form;
+  void configure(LogLevel minLevel, LogFormat format) {
+    format_ = format;
     minLevel_ = minLevel;
   }
 
@@ -85,14 +85,14 @@
   /// catalogue names for the event, in its order.
   template <class... Values>
   void operator()(LogEvent event, const LogField<Values>&... fields) {
-    if (enabled(event)) logger_.log(spdlog::level::info, formatLogLine(form_, event, fields...));
+    if (enabled(event)) logger_.log(spdlog::level::info, formatLogLine(format_, event, fields...));
   }
 
  private:
   std::shared_ptr<spdlog::sinks::ostream_sink_st> sink_;
   spdlog::logger logger_;
-  LogForm form_;
-  Level minLevel_;
+  LogFormat format_;
+  LogLevel minLevel_;
 };
 
 }  // namespace merlinbridge
--- a/src/util/log_event.hpp
+++ b/src/util/log_event.hpp
@@ -13,20 +13,23 @@
 namespace merlinbridge {
 
 /// How urgent a log line is; a log writes the lines of its minimum level and above.
-enum class Level { debug, info, warning, error };
+enum class LogLevel { debug, info, warning, error };
 
-/// The levels as they are called in log lines, in [log] level and in GW_LOG_LEVEL; in the order of Level.
-inline constexpr std::array<std::pair<std::string_view, Level>, 4> kLevelNames{
-    {{"debug", Level::debug}, {"info", Level::info}, {"warning", Level::warning}, {"error", Level::error}}};
+/// The levels as they are called in log lines, in [log] level and in GW_LOG_LEVEL; in the order of LogLevel.
+inline constexpr std::array<std::pair<std::string_view, LogLevel>, 4> kLogLevelNames{
+    {{"debug", LogLevel::debug},
+     {"info", LogLevel::info},
+     {"warning", LogLevel::warning},
+     {"error", LogLevel::error}}};
 
 /// The level's name as it stands in a log line.
-constexpr std::string_view nameOf(Level level) {
-  return kLevelNames[static_cast<std::size_t>(level)].first;
+constexpr std::string_view nameOf(LogLevel level) {
+  return kLogLevelNames[static_cast<std::size_t>(level)].first;
 }
 
 /// The level of that name, none for any other text.
-constexpr std::optional<Level> levelNamed(std::string_view text) {
-  for (const auto& [name, level] : kLevelNames)
+constexpr std::optional<LogLevel> parseLogLevel(std::string_view text) {
+  for (const auto& [name, level] : kLogLevelNames)
     if (name == text) return level;
   return std::nullopt;
 }
@@ -75,7 +78,7 @@
   LogEvent event;
   /// Stays the same from release to release: operators match on it.
   std::string_view name;
-  Level level;
+  LogLevel level;
   /// May change between releases.
   std::string_view message;
   /// The keys of the line's fields in their order, separated by spaces.
@@ -84,72 +87,73 @@
 
 /// Indexed by LogEvent.
 inline constexpr std::array kLogEvents{
-    LogEventInfo{LogEvent::starting, "starting", Level::info, "configuration read, about to listen",
+    LogEventInfo{LogEvent::starting, "starting", LogLevel::info, "configuration read, about to listen",
                  "gateway listen known_hosts"},
-    LogEventInfo{LogEvent::ready, "ready", Level::info, "accepting clients", ""},
-    LogEventInfo{LogEvent::draining, "draining", Level::info,
+    LogEventInfo{LogEvent::ready, "ready", LogLevel::info, "accepting clients", ""},
+    LogEventInfo{LogEvent::draining, "draining", LogLevel::info,
                  "graceful shutdown: not ready, still answering requests", ""},
-    LogEventInfo{LogEvent::closingIdleConnections, "closing_idle_connections", Level::info,
+    LogEventInfo{LogEvent::closingIdleConnections, "closing_idle_connections", LogLevel::info,
                  "closing idle client connections, finishing requests in flight", "unanswered_requests"},
-    LogEventInfo{LogEvent::stopped, "stopped", Level::info, "shutdown complete", ""},
-    LogEventInfo{LogEvent::startRetried, "start_retried", Level::warning, "start-up step failed, retrying",
+    LogEventInfo{LogEvent::stopped, "stopped", LogLevel::info, "shutdown complete", ""},
+    LogEventInfo{LogEvent::startRetried, "start_retried", LogLevel::warning, "start-up step failed, retrying",
                  "step error"},
-    LogEventInfo{LogEvent::fatalError, "fatal_error", Level::error, "merlinbridge cannot start or continue",
-                 "step error"},
-    LogEventInfo{LogEvent::settingRenamed, "setting_renamed", Level::warning,
+    LogEventInfo{LogEvent::fatalError, "fatal_error", LogLevel::error,
+                 "merlinbridge cannot start or continue", "step error"},
+    LogEventInfo{LogEvent::settingRenamed, "setting_renamed", LogLevel::warning,
                  "a setting was given under its old name", "detail"},
-    LogEventInfo{LogEvent::configReloaded, "config_reloaded", Level::info, "configuration reloaded",
+    LogEventInfo{LogEvent::configReloaded, "config_reloaded", LogLevel::info, "configuration reloaded",
                  "discovery counter"},
-    LogEventInfo{LogEvent::configRejected, "config_rejected", Level::warning,
+    LogEventInfo{LogEvent::configRejected, "config_rejected", LogLevel::warning,
                  "configuration rejected, keeping the previous one", "error retry"},
-    LogEventInfo{LogEvent::configRetryFailed, "config_retry_failed", Level::debug,
+    LogEventInfo{LogEvent::configRetryFailed, "config_retry_failed", LogLevel::debug,
                  "configuration still invalid, keeping the previous one", "error retry"},
-    LogEventInfo{LogEvent::configInvalid, "config_invalid", Level::error, "platform configuration is invalid",
-                 "error"},
-    LogEventInfo{LogEvent::operatorConfigInvalid, "operator_config_invalid", Level::error,
+    LogEventInfo{LogEvent::configInvalid, "config_invalid", LogLevel::error,
+                 "platform configuration is invalid", "error"},
+    LogEventInfo{LogEvent::operatorConfigInvalid, "operator_config_invalid", LogLevel::error,
                  "operator configuration is invalid", "error"},
-    LogEventInfo{LogEvent::discoveryUnreachable, "discovery_unreachable", Level::warning,
+    LogEventInfo{LogEvent::discoveryUnreachable, "discovery_unreachable", LogLevel::warning,
                  "discovery unreachable, keeping the last endpoint list", "generation"},
-    LogEventInfo{LogEvent::discoveryRestored, "discovery_restored", Level::info, "discovery reachable again",
-                 "generation"},
-    LogEventInfo{LogEvent::endpointListInvalid, "endpoint_list_invalid", Level::debug,
+    LogEventInfo{LogEvent::discoveryRestored, "discovery_restored", LogLevel::info,
+                 "discovery reachable again", "generation"},
+    LogEventInfo{LogEvent::endpointListInvalid, "endpoint_list_invalid", LogLevel::debug,
                  "endpoint list from discovery cannot be parsed", "error"},
-    LogEventInfo{LogEvent::endpointAddressInvalid, "endpoint_address_invalid", Level::warning,
+    LogEventInfo{LogEvent::endpointAddressInvalid, "endpoint_address_invalid", LogLevel::warning,
                  "host address from discovery cannot be parsed, no attempts are sent to it", "host error"},
-    LogEventInfo{LogEvent::endpointTableFull, "endpoint_table_full", Level::info,
+    LogEventInfo{LogEvent::endpointTableFull, "endpoint_table_full", LogLevel::info,
                  "endpoint table full, host ignored", "host"},
-    LogEventInfo{LogEvent::counterUnreachable, "counter_unreachable", Level::info,
+    LogEventInfo{LogEvent::counterUnreachable, "counter_unreachable", LogLevel::info,
                  "counter service unreachable: using local quota share", ""},
-    LogEventInfo{LogEvent::counterRestored, "counter_restored", Level::info,
+    LogEventInfo{LogEvent::counterRestored, "counter_restored", LogLevel::info,
                  "counter service reachable: sharing quotas again", ""},
-    LogEventInfo{LogEvent::loadSheddingStarted, "load_shedding_started", Level::info,
+    LogEventInfo{LogEvent::loadSheddingStarted, "load_shedding_started", LogLevel::info,
                  "no host capacity: shedding load, lowest priority first", ""},
-    LogEventInfo{LogEvent::loadSheddingStopped, "load_shedding_stopped", Level::info,
+    LogEventInfo{LogEvent::loadSheddingStopped, "load_shedding_stopped", LogLevel::info,
                  "host capacity available: no longer shedding load", ""},
-    LogEventInfo{LogEvent::attemptStarted, "attempt_started", Level::debug, "attempt started",
+    LogEventInfo{LogEvent::attemptStarted, "attempt_started", LogLevel::debug, "attempt started",
                  "request request_number attempt host"},
-    LogEventInfo{LogEvent::attemptEnded, "attempt_ended", Level::debug, "attempt ended",
+    LogEventInfo{LogEvent::attemptEnded, "attempt_ended", LogLevel::debug, "attempt ended",
                  "request_number attempt host outcome error"},
-    LogEventInfo{LogEvent::requestAnswered, "request_answered", Level::debug, "request answered",
+    LogEventInfo{LogEvent::requestAnswered, "request_answered", LogLevel::debug, "request answered",
                  "request status written"},
-    LogEventInfo{LogEvent::requestRejected, "request_rejected", Level::debug, "request rejected",
+    LogEventInfo{LogEvent::requestRejected, "request_rejected", LogLevel::debug, "request rejected",
+                 "request status"},
+    LogEventInfo{LogEvent::requestFailed, "request_failed", LogLevel::debug, "request failed",
                  "request status"},
-    LogEventInfo{LogEvent::requestFailed, "request_failed", Level::debug, "request failed", "request status"},
-    LogEventInfo{LogEvent::requestDropped, "request_dropped", Level::warning,
+    LogEventInfo{LogEvent::requestDropped, "request_dropped", LogLevel::warning,
                  "connection closed before the request was answered", "request error"},
-    LogEventInfo{LogEvent::responseIncomplete, "response_incomplete", Level::info,
+    LogEventInfo{LogEvent::responseIncomplete, "response_incomplete", LogLevel::info,
                  "connection closed before the response was written completely", "request error"},
-    LogEventInfo{LogEvent::clientDisconnected, "client_disconnected", Level::debug,
+    LogEventInfo{LogEvent::clientDisconnected, "client_disconnected", LogLevel::debug,
                  "client disconnected before its request was answered", "request seen_as"},
-    LogEventInfo{LogEvent::systemCallFailed, "system_call_failed", Level::warning, "system call failed",
+    LogEventInfo{LogEvent::systemCallFailed, "system_call_failed", LogLevel::warning, "system call failed",
                  "call error action since_last_line"},
-    LogEventInfo{LogEvent::systemCallFailuresTotal, "system_call_failures_total", Level::info,
+    LogEventInfo{LogEvent::systemCallFailuresTotal, "system_call_failures_total", LogLevel::info,
                  "failed system calls since start", "call error count"},
-    LogEventInfo{LogEvent::eventLoopStalled, "event_loop_stalled", Level::warning,
+    LogEventInfo{LogEvent::eventLoopStalled, "event_loop_stalled", LogLevel::warning,
                  "event loop stalled, timers fired late", "late_ms since_last_line"},
-    LogEventInfo{LogEvent::eventLoopStallsTotal, "event_loop_stalls_total", Level::info,
+    LogEventInfo{LogEvent::eventLoopStallsTotal, "event_loop_stalls_total", LogLevel::info,
                  "event loop stalls since start", "count"},
-    LogEventInfo{LogEvent::logLinesDropped, "log_lines_dropped", Level::warning,
+    LogEventInfo{LogEvent::logLinesDropped, "log_lines_dropped", LogLevel::warning,
                  "log lines dropped, standard error did not accept them", "count"},
 };
 
--- a/tests/config/operator_config_test.cpp
+++ b/tests/config/operator_config_test.cpp
@@ -27,8 +27,8 @@
 
 TEST_CASE("an empty operators' file has the defaults") {
   const OperatorConfig config = readOperatorConfig("", "own.toml");
-  CHECK(config.form == LogForm::text);
-  CHECK(config.level == Level::info);
+  CHECK(config.form == LogFormat::text);
+  CHECK(config.level == LogLevel::info);
   CHECK(config.acceptFor == 700ms);
   CHECK(config.killedAfter == 3700ms);
   CHECK(config.reloadRetries == 5);
@@ -40,8 +40,8 @@
       "[log]\nform = \"json\"\nlevel = \"error\"\n[shutdown]\naccept_for = \"1s\"\nkilled_after = \"2s\"\n"
       "[reload]\nretries = 12\n",
       "own.toml");
-  CHECK(config.form == LogForm::json);
-  CHECK(config.level == Level::error);
+  CHECK(config.form == LogFormat::json);
+  CHECK(config.level == LogLevel::error);
   CHECK(config.acceptFor == 1s);
   CHECK(config.killedAfter == 2s);
   CHECK(config.reloadRetries == 12);
--- a/tests/gateway_core/tables_test.cpp
+++ b/tests/gateway_core/tables_test.cpp
@@ -87,12 +87,12 @@
 TEST_CASE("DeferredEvents handles events in order, those that the handler adds included") {
   core::DeferredEvents events;
   std::vector<std::uint64_t> handled;
-  events.add(core::ClientGone{{1}});
-  events.add(core::AttemptAbandoned{{2}, {0}, Outcome::cancelled});
+  events.add(core::ClientDisconnected{{1}});
+  events.add(core::AttemptToAbandon{{2}, {0}, Outcome::cancelled});
   const auto handler = [&](const auto& event) {
     handled.push_back(event.requestId.value);
     if (event.requestId.value == 1) {
-      events.add(core::ClientGone{{3}});
+      events.add(core::ClientDisconnected{{3}});
       events.drain([&](const auto&) { handled.push_back(0); });  // returns at once: the outer drain goes on
     }
   };
--- a/tests/gateway_core_test.cpp
+++ b/tests/gateway_core_test.cpp
@@ -18,8 +18,8 @@
   }
   void answerRejected(SlotRef, Duration) override { answers.emplace_back("rejected"); }
   void answerFailed(SlotRef) override { answers.emplace_back("failed"); }
-  core::AttemptStart startAttempt(RequestId requestId, AttemptNumber attemptNumber, SlotRef, HostId host,
-                                  AttemptDeadline deadline) override {
+  core::AttemptStartResult startAttempt(RequestId requestId, AttemptNumber attemptNumber, SlotRef,
+                                        HostId host, AttemptDeadline deadline) override {
     startedAttempts.push_back({requestId, attemptNumber, host, deadline});
     if (immediateOutcome) return *immediateOutcome;
     return SlotRef{static_cast<std::uint32_t>(startedAttempts.size()), 1};
@@ -93,7 +93,7 @@
   const RequestId requestId = fixture.requestArrives(0);
   fixture.core.attemptEnded(fixture.now, requestId, {0}, Outcome::ok, {"body", {}, 0, {}});
   fixture.core.attemptEnded(fixture.now, requestId, {0}, Outcome::ok, {"again", {}, 0, {}});
-  fixture.core.clientLeft(fixture.now, requestId);
+  fixture.core.clientDisconnected(fixture.now, requestId);
   fixture.advance(2s);
   CHECK(fixture.transport.answers == std::vector<std::string>{"ok body"});
   CHECK(fixture.core.unanswered() == 0);
@@ -158,7 +158,7 @@
 TEST_CASE("a request whose client has left gets no answer and no retry") {
   Fixture fixture;
   const RequestId requestId = fixture.requestArrives(0);
-  fixture.core.clientLeft(fixture.now, requestId);
+  fixture.core.clientDisconnected(fixture.now, requestId);
   fixture.core.attemptEnded(fixture.now, requestId, {0}, Outcome::noConnection);
   fixture.advance(2s);
   CHECK(fixture.transport.startedAttempts.size() == 1);
@@ -328,7 +328,7 @@
   Fixture fixture;
   const RequestId requestId = fixture.requestArrives(0);
   if (isUnsent) fixture.transport.unsentConnections.insert(1);
-  fixture.core.clientLeft(fixture.now, requestId);
+  fixture.core.clientDisconnected(fixture.now, requestId);
   CHECK(fixture.transport.closedConnections ==
         (isUnsent ? std::vector<std::uint32_t>{1} : std::vector<std::uint32_t>{}));
   CHECK(fixture.core.contains(requestId) != isUnsent);
--- a/tests/log_event_test.cpp
+++ b/tests/log_event_test.cpp
@@ -113,7 +113,7 @@
 
 TEST_CASE("a log line is level, event, message and key=value fields") {
   std::ostringstream out;
-  Log log(out, Level::info);
+  Log log(out, LogLevel::info);
   log(LogEvent::discoveryUnreachable, LogField{"generation", 41});
   log(LogEvent::attemptStarted, LogField{"request", 7});  // below the minimum level
   CHECK(out.str() ==
@@ -125,8 +125,8 @@
 
 TEST_CASE("a log line as JSON has level, event and text") {
   std::ostringstream out;
-  Log log(out, Level::error);
-  log.configure(Level::debug, LogForm::json);
+  Log log(out, LogLevel::error);
+  log.configure(LogLevel::debug, LogFormat::json);
   log(LogEvent::configRetryFailed, LogField{"error", std::string_view("no \"listen\"")},
       LogField{"retry", 2});
   CHECK(out.str() ==
@@ -144,13 +144,13 @@
 }
 
 TEST_CASE("levels and forms are found by their names alone") {
-  for (const auto& [name, level] : kLevelNames) {
-    CHECK(levelNamed(name) == level);
+  for (const auto& [name, level] : kLogLevelNames) {
+    CHECK(parseLogLevel(name) == level);
     CHECK(nameOf(level) == name);
   }
-  CHECK_FALSE(levelNamed("").has_value());
-  CHECK_FALSE(levelNamed("Info").has_value());
-  CHECK_FALSE(levelNamed("warn").has_value());
+  CHECK_FALSE(parseLogLevel("").has_value());
+  CHECK_FALSE(parseLogLevel("Info").has_value());
+  CHECK_FALSE(parseLogLevel("warn").has_value());
 }
 
 TEST_CASE("event names are unique lower-case words joined by underscores") {
--- a/tests/net/client_connection_log_test.cpp
+++ b/tests/net/client_connection_log_test.cpp
@@ -15,7 +15,7 @@
 constexpr auto kTimeout = ClientConnectionEnd::Cause::timeout;
 
 // The end of an unanswered request as it is logged, from `minLevel` on.
-std::string unansweredLine(const ClientConnectionEnd& end, Level minLevel = Level::debug) {
+std::string unansweredLine(const ClientConnectionEnd& end, LogLevel minLevel = LogLevel::debug) {
   std::ostringstream out;
   Log log(out, minLevel);
   net::logUnansweredRequest(log, "7", end);
@@ -24,14 +24,14 @@
 
 std::string incompleteLine(const ClientConnectionEnd& end) {
   std::ostringstream out;
-  Log log(out, Level::debug);
+  Log log(out, LogLevel::debug);
   net::logIncompleteResponse(log, "7", end);
   return out.str();
 }
 
 std::string answeredLine(WriteProgress progress) {
   std::ostringstream out;
-  Log log(out, Level::debug);
+  Log log(out, LogLevel::debug);
   net::logRequestAnswered(log, "7", 200, progress);
   return out.str();
 }
@@ -51,14 +51,14 @@
 }
 
 TEST_CASE("a client that leaves before its answer is not logged above the debug level") {
-  CHECK(unansweredLine({kPeerOrFault, true, 0}, Level::info).empty());
+  CHECK(unansweredLine({kPeerOrFault, true, 0}, LogLevel::info).empty());
 }
 
 TEST_CASE("a request whose connection breaks or times out is logged as dropped") {
-  const std::string broken = unansweredLine({kPeerOrFault, false, EPIPE}, Level::warning);
+  const std::string broken = unansweredLine({kPeerOrFault, false, EPIPE}, LogLevel::warning);
   CHECK(contains(broken, "request_dropped"));
   CHECK(contains(broken, "Broken pipe"));
-  const std::string timedOut = unansweredLine({kTimeout, true, 0}, Level::warning);
+  const std::string timedOut = unansweredLine({kTimeout, true, 0}, LogLevel::warning);
   CHECK(contains(timedOut, "request_dropped"));
   CHECK(contains(timedOut, "timed out"));
 }
--- a/tests/support/gateway_under_test.hpp
+++ b/tests/support/gateway_under_test.hpp
@@ -66,7 +66,7 @@
  public:
   ManualClock clock;
   std::ostringstream logText;  ///< The log, as the gateway writes it.
-  Log log{logText, Level::info};
+  Log log{logText, LogLevel::info};
   PeerListener host;       ///< The only host, unless the constructor was given endpoints.
   PeerListener counter;    ///< The counter service.
   PeerListener discovery;  ///< The discovery service.
