--- a/src/gateway_core/deadline_queue.hpp
+++ b/src/gateway_core/deadline_queue.hpp
@@ -11,14 +11,13 @@
 
 namespace merlinbridge::core {
 
-/// Pending callbacks ordered by the time at which they are due; of two due at the same time, the one added
-/// first runs first. The queue has no clock: its owner, the event loop or a simulation, calls run(). Not
-/// thread-safe; callbacks run on the strand of run() and are destroyed after they ran or when they are
-/// cancelled.
+/// Pending callbacks, ordered by due time; callbacks with the same due time run in the order in which they
+/// were added. The queue reads no clock: its owner, the event loop or a simulation, calls run(). Not
+/// thread-safe; callbacks run inside run() and are destroyed after they have run or when they are cancelled.
 class DeadlineQueue {
  public:
-  /// Names a pending callback. The number is unique for the lifetime of the queue; a default-constructed
-  /// handle names none.
+  /// Identifies a pending callback. `number` is unique for the lifetime of the queue; a default-constructed
+  /// handle identifies no callback.
   struct Handle {
     TimePoint dueAt{};
     std::uint64_t number = 0;
@@ -26,35 +25,35 @@
     auto operator<=>(const Handle&) const =
         default;  // NOLINT(modernize-use-nullptr): clang-tidy 14 misreads <=>
   };
-  /// Called once, at or after the time it was added for. May add and cancel callbacks; must not call run().
+  /// Called once, at or after its due time. May add and cancel callbacks; must not call run().
   using Callback = std::function<void(TimePoint now)>;
 
-  /// Adds a callback, which the queue owns from here on. A time that has passed is allowed.
+  /// Adds a callback, which the queue then owns. `dueAt` may be in the past.
   Handle add(TimePoint dueAt, Callback callback) {
     const Handle handle{dueAt, ++lastNumber_};
     pending_.emplace(handle, std::move(callback));
     return handle;
   }
-  /// Removes and destroys a pending callback. Has no effect on one that has run already, or on an empty
-  /// handle.
+  /// Removes and destroys a pending callback. No effect if it has already run or if the handle is empty.
   void cancel(Handle handle) { pending_.erase(handle); }
-  /// When the earliest callback is due; TimePoint::max() if none is pending.
+  /// The earliest due time; TimePoint::max() if no callback is pending.
   TimePoint nextDueAt() const { return pending_.empty() ? TimePoint::max() : pending_.begin()->first.dueAt; }
 
-  /// Runs the callbacks that are due at `now`. A callback added meanwhile runs in the next run() at the
-  /// earliest, so that one which adds itself again cannot keep the loop from its other work.
+  /// Runs the callbacks that are due at `now`. Callbacks added during the run wait for the next run(), so
+  /// that a callback that adds itself again cannot starve the event loop.
   void run(TimePoint now) {
     const std::uint64_t lastBeforeRun = lastNumber_;
-    for (auto at = pending_.begin(); at != pending_.end() && at->first.dueAt <= now; at = pending_.begin()) {
-      while (at != pending_.end() && at->first.number > lastBeforeRun) ++at;
-      if (at == pending_.end() || at->first.dueAt > now) return;
-      const auto due = pending_.extract(at);
+    for (auto next = pending_.begin(); next != pending_.end() && next->first.dueAt <= now;
+         next = pending_.begin()) {
+      while (next != pending_.end() && next->first.number > lastBeforeRun) ++next;
+      if (next == pending_.end() || next->first.dueAt > now) return;
+      const auto due = pending_.extract(next);
       recentLateness_ = std::max(recentLateness_ / 2, now - due.key().dueAt);
       due.mapped()(now);
     }
   }
-  /// By how much callbacks run late: the largest recent delay, which halves with each callback that runs, or
-  /// the delay of one that is overdue now, whichever is more.
+  /// How late callbacks run: the largest recent delay, which halves with each callback that runs, or the
+  /// present delay of the earliest pending callback, whichever is larger.
   Duration lateness(TimePoint now) const {
     return pending_.empty() ? recentLateness_ : std::max(recentLateness_, now - nextDueAt());
   }
--- a/src/gateway_core/deferred_events.hpp
+++ b/src/gateway_core/deferred_events.hpp
@@ -7,33 +7,35 @@
 
 namespace merlinbridge::core {
 
-/// A client was found to be gone while the engine was starting an attempt for its request.
+/// The client was found to be disconnected while the engine was starting an attempt for its request.
 struct ClientDisconnected {
   RequestId requestId;
 };
-/// An attempt ended at once, while the engine was starting it.
+/// An attempt ended while the engine was still starting it.
 struct AttemptEndedImmediately {
   RequestId requestId;
   AttemptNumber attemptNumber;
   Outcome outcome;
 };
-/// An attempt is to be given up, with that outcome unless it turns out to be unsent.
+/// An attempt that the core will abandon. It ends with `outcome`, or as Outcome::notSent if it is still
+/// unsent.
 struct AttemptToAbandon {
   RequestId requestId;
   AttemptNumber attemptNumber;
   Outcome outcome;
 };
 
-/// What the core learns while the decision engine handles an input, and may tell the engine only afterwards.
+/// An event that occurs while the decision engine handles an input, and that the engine may be told of only
+/// after it has handled that input.
 using DeferredEvent = std::variant<ClientDisconnected, AttemptEndedImmediately, AttemptToAbandon>;
 
-/// The deferred events, first in, first out. Bounded by the attempts in flight, which the engine limits. Not
-/// thread-safe.
+/// A first-in, first-out queue of deferred events. Its length is bounded by the number of attempts in flight,
+/// which the engine limits. Not thread-safe.
 class DeferredEvents {
  public:
   void add(DeferredEvent event) { events_.push_back(event); }
-  /// Calls `handler(event)` for each event until none is left; the handler may add events. A call from within
-  /// the handler returns at once: the outer one goes on with the events.
+  /// Calls `handler(event)` for each event until none is left; the handler may add events. A nested call from
+  /// the handler returns immediately, and the outer call handles the remaining events.
   template <class Handler>
   void drain(Handler handler) {
     if (draining_) return;
--- a/src/gateway_core/gateway_core.cpp
+++ b/src/gateway_core/gateway_core.cpp
@@ -25,8 +25,8 @@
 
 RequestId GatewayCore::requestArrived(TimePoint now, SlotRef client, Request request) {
   now_ = now;
-  // The answer must reach the client while it still waits: the slack that the rules allow and the event
-  // loop's own delay come off the deadline.
+  // The answer must reach the client before the client gives up, so the deadline is brought forward by the
+  // answer slack and by the event loop's present lateness.
   if (enforcesDeadlines_)
     request.deadline = std::max(now, request.deadline - answerSlack_ - deadlines_.lateness(now));
   request.deadline = std::min(request.deadline, answerDeadline_);
@@ -83,8 +83,8 @@
 void GatewayCore::startAttempt(RequestId requestId, HostId host, AttemptDeadline deadline) {
   PendingRequest* const request = requests_.find(requestId);
   if (!request) return;
-  // A client may have hung up although the event loop, running late, has not handled the hang-up yet. The
-  // engine still gets an attempt that ends, as not sent, but no host works for a client that is gone.
+  // A client may have disconnected before a late event loop has handled the disconnection. The engine is then
+  // told that the attempt ended as not sent, and no host does work for a disconnected client.
   const bool clientIsDisconnected = !clientAwaitsAnswer(requestId);
   if (clientIsDisconnected) deferred_.add(ClientDisconnected{requestId});
   const AttemptNumber attemptNumber = request->addAttempt(host, now_);
@@ -98,7 +98,7 @@
     return;
   }
   request->attempts[attemptNumber.value].connection = std::get<SlotRef>(started);
-  // At the request's own deadline its timer gives up all attempts.
+  // At the request's own deadline, the request's timer abandons all its attempts.
   if (enforcesDeadlines_ && deadline.abandonAt < request->deadline)
     deadlines_.add(deadline.abandonAt, [this, requestId, attemptNumber](TimePoint now) {
       abandonAttempt(now, requestId, attemptNumber, Outcome::noAnswer);
@@ -136,8 +136,8 @@
                         [this, requestId](TimePoint now) { answerDeadlineReached(now, requestId); });
 }
 
-// Gives up the attempts in flight, upon which the engine answers. Fails a request that the engine leaves
-// unanswered all the same, so that no request is lost.
+// Abandons the attempts in flight, after which the engine normally answers the request. Fails the request if
+// the engine has not, so that every request gets an answer.
 void GatewayCore::answerDeadlineReached(TimePoint now, RequestId requestId) {
   if (enforcesDeadlines_)
     for (std::uint32_t number = 0; number < requests_.attemptCount(requestId); ++number)
@@ -213,7 +213,7 @@
   return updates;
 }
 
-// By HostId: false for a host that the list names as not serving, or that a complete list does not name.
+// Indexed by HostId: false for a host that the list marks as not serving or that a complete list omits.
 std::vector<bool> GatewayCore::servingHosts(const config::EndpointList& endpoints,
                                             const std::vector<HostUpdate>& updates) const {
   std::vector<bool> isServing(hosts_.size(), !endpoints.complete);
@@ -221,8 +221,8 @@
   return isServing;
 }
 
-// An attempt whose connection is still being set up would reach its host only after the host began to drain,
-// and a draining host takes no new requests.
+// Abandons attempts that are still unsent to hosts that no longer serve: they would reach the host after it
+// began to drain, and a draining host accepts no new requests.
 void GatewayCore::deferAbandoningUnsent(const std::vector<bool>& isServing) {
   requests_.forEach([&](RequestId requestId, const PendingRequest& request) {
     for (std::uint32_t number = 0; number < request.attempts.size(); ++number) {
@@ -236,8 +236,8 @@
 
 // ---- The end of each input ----
 
-// Runs after every call of the engine: handles what was deferred meanwhile, in order, and drops the request
-// that the input was about once it is answered and has no attempt in flight.
+// Runs after every call to the engine: handles the deferred events in order, then drops the request that the
+// input concerned if it is answered and has no attempt in flight.
 void GatewayCore::finishInput(TimePoint now, std::optional<RequestId> requestId) {
   deferred_.drain([this, now](const auto& event) { handle(now, event); });
   if (!requestId) return;
@@ -248,8 +248,8 @@
   requests_.drop(*requestId);
 }
 
-// Gives up the unsent attempts of a request that has its answer or whose client has left: their results would
-// be discarded. Attempts that are already sent run to their end.
+// Abandons the unsent attempts of a request that is answered or whose client has disconnected, because their
+// results would be discarded. Attempts that are already sent run to completion.
 void GatewayCore::abandonAttemptsOfAnswered(TimePoint now, RequestId requestId) {
   for (std::uint32_t number = 0; number < requests_.attemptCount(requestId); ++number) {
     PendingRequest& request = *requests_.find(requestId);
--- a/src/gateway_core/gateway_core.hpp
+++ b/src/gateway_core/gateway_core.hpp
@@ -17,60 +17,61 @@
 namespace merlinbridge::core {
 
 /// Who ends attempts and requests at their deadlines: the core, or the adapter, which then reports the end of
-/// each attempt in time. With an adapter the core still fails a request that is unanswered after its
-/// deadline.
+/// each attempt on time. With `adapter`, the core still fails a request that is unanswered when the answer
+/// slack after its deadline has passed.
 enum class DeadlineEnforcer { core, adapter };
 
 /// The core of the gateway, without I/O. It keeps the pending requests with their attempts (RequestTable),
-/// the hosts (HostDirectory) and all deadlines, carries the decisions of the decision engine to the
-/// transport, and hands the engine what came of them.
+/// the hosts (HostDirectory) and all deadlines, passes the decisions of the decision engine to the transport
+/// and reports their results to the engine.
 ///
-/// Promises: each request gets at most one final answer, and gets one by its deadline unless its client has
-/// left; each attempt that the transport started is reported to the engine as ended exactly once.
+/// Guarantees: each request gets at most one final answer, and gets one by its deadline unless its client has
+/// disconnected; the end of each attempt that the engine starts is reported to the engine exactly once.
 ///
-/// Not thread-safe: all calls are made on one strand, that of the DeadlineQueue. Times are on the gateway's
-/// clock and never go back from call to call. No call may be made from within a call to the transport. A
-/// RequestId that is not known any more is ignored everywhere. Owns its engine; the queue and the transport
-/// must outlive the core, and the core must outlive the callbacks that it has added to the queue.
+/// Not thread-safe: all calls must be made on one strand, that of the DeadlineQueue. Times are on the
+/// gateway's clock and must not decrease from call to call. The transport must not call the core from within
+/// a call that the core makes to it. A RequestId that is no longer known is ignored by every function. The
+/// core owns its engine; the queue and the transport must outlive the core, and the core must outlive the
+/// callbacks that it has added to the queue.
 class GatewayCore final : private DecisionSink {
  public:
   /// Starts with the hosts that the configuration names. Calls the transport.
   GatewayCore(const config::GatewayConfig&, TimePoint now, DeadlineQueue&, Transport&,
               DeadlineEnforcer = DeadlineEnforcer::core);
 
-  /// The names that request parsing needs; valid as long as the core.
+  /// The name tables for parseRequest(); valid for the lifetime of the core.
   const NameTables& names() const { return names_; }
-  /// The settings in force; valid as long as the core.
+  /// The engine's settings; valid for the lifetime of the core.
   const PolicySettings& settings() const { return settings_; }
   /// The host's address as "10.0.0.4:8080"; empty if discovery named none. Valid until the next
   /// endpointsUpdated.
   const std::string& addressOf(HostId host) const { return hosts_.addressOf(host); }
-  /// Discovery's name of the host. Valid until the next endpointsUpdated.
+  /// The host's name in discovery. Valid until the next endpointsUpdated.
   const std::string& nameOf(HostId host) const { return hosts_.nameOf(host); }
   /// Returns whether the request is still in the table: it is unanswered or has attempts in flight.
   bool contains(RequestId requestId) { return requests_.find(requestId) != nullptr; }
   /// The number of requests without a final answer.
   std::size_t unanswered() const { return requests_.unanswered(); }
-  /// Returns whether the request has no final answer yet and its client is still connected.
+  /// Returns whether the request is unanswered and its client is still connected.
   bool clientAwaitsAnswer(RequestId);
 
-  /// Takes a request from a client and returns its id. The request may have been answered, and its id may be
-  /// unknown, by the time this returns. `request.requestId` is ignored; `request.deadline` is the client's.
+  /// Accepts a client's request and returns its id. When this returns, the request may already be answered
+  /// and its id no longer known. `request.requestId` is ignored; `request.deadline` is the client's deadline.
   RequestId requestArrived(TimePoint now, SlotRef client, Request request);
-  /// The client has disconnected: the request gets no answer, and its unsent attempts are given up.
+  /// The client has disconnected: the request gets no answer, and its unsent attempts are abandoned.
   void clientDisconnected(TimePoint now, RequestId);
-  /// An attempt has ended. Outcome::ok answers the client with the response, if the client has no answer yet.
-  /// The end of an attempt that is not in flight is ignored.
+  /// An attempt has ended. With Outcome::ok, the client gets the response unless the request is already
+  /// answered. Ignored if the attempt is not in flight.
   void attemptEnded(TimePoint now, RequestId, AttemptNumber, Outcome, const UpstreamResponse& = {});
-  /// A call to the counter service has ended. `total` is the count after the call and is read only if the
-  /// outcome is ok; `duration` is the duration of the call.
+  /// A call to the counter service has ended. `total` is the count after the call, and is read only if the
+  /// outcome is ok; `duration` is how long the call took.
   void counterCallEnded(TimePoint now, const CounterKey&, CounterCallOutcome, double total,
                         Duration duration);
-  /// Applies a complete list or a change from discovery. Unsent attempts to hosts that no longer serve are
-  /// given up, so that they may go elsewhere.
+  /// Applies a complete endpoint list or an incremental update from discovery. Abandons the unsent attempts
+  /// to hosts that no longer serve, so that their requests can go to other hosts.
   void endpointsUpdated(TimePoint now, const config::EndpointList&);
-  /// Answers every request, present and future, by `answerBy` at the latest; for a process that ends soon
-  /// after.
+  /// Caps the deadline of every request, pending or future, at `answerBy`; for a process that is about to
+  /// exit.
   void setAnswerDeadline(TimePoint answerBy);
 
  private:
@@ -95,17 +96,17 @@
   void handle(TimePoint now, const AttemptToAbandon&);
 
   const PolicySettings settings_;
-  const Duration answerSlack_;  ///< An answer so long after its deadline still counts.
+  const Duration answerSlack_;  ///< An answer up to this long after the deadline still counts.
   const bool enforcesDeadlines_;
-  TimePoint now_;  ///< Of the input being handled, for calls of the engine that carry no time.
-  TimePoint answerDeadline_ = TimePoint::max();  ///< Of all requests; see setAnswerDeadline.
+  TimePoint now_;  ///< Time of the input being handled; calls from the engine carry no time.
+  TimePoint answerDeadline_ = TimePoint::max();  ///< For all requests; see setAnswerDeadline.
   NameTables names_;
   DeadlineQueue& deadlines_;
   Transport& transport_;
   RequestTable requests_;
   DeferredEvents deferred_;
   HostDirectory hosts_;
-  DecisionEngine engine_;  ///< Last: the sink is complete before the engine exists.
+  DecisionEngine engine_;  ///< Declared last: the members that the sink uses outlive it.
 };
 
 }  // namespace merlinbridge::core
--- a/src/gateway_core/host_directory.hpp
+++ b/src/gateway_core/host_directory.hpp
@@ -12,59 +12,60 @@
 
 namespace merlinbridge::core {
 
-/// Is notified of what HostDirectory finds while it applies discovery's updates. Called on the core's strand;
-/// an implementation must not call the directory or the core before it returns.
+/// Receives notifications from HostDirectory while it applies updates from discovery. Called on the core's
+/// strand; an implementation must not call the directory or the core before it returns.
 class HostObserver {
  public:
   virtual ~HostObserver() = default;
-  /// The host drains, is gone, has restarted or has a new address: idle connections to it may be closed.
+  /// The host is draining, is gone, has restarted or has a new address: idle connections to it may be closed.
   virtual void hostUnavailable(HostId) = 0;
-  /// A host of the endpoint list is ignored: HostDirectory::kMaxHosts hosts have a number already.
+  /// A host of the endpoint list is ignored because HostDirectory::kMaxHosts hosts already have an id.
   virtual void endpointTableFull(std::string_view hostName) = 0;
 };
 
-/// The hosts that this gateway knows: number (HostId), name, address, incarnation, whether the host is gone,
-/// and how many attempts to it are in flight.
+/// The hosts that this gateway knows: for each its id, name, address, start time, whether it is gone, and how
+/// many attempts to it are in flight.
 ///
-/// Numbers are dense and index tables throughout the engine. The number of a removed host is given to a new
-/// one once no attempt to the removed host is in flight and no request that knew it can still exist, so that
-/// the tables stay bounded while hosts come and go. Without I/O; not thread-safe.
+/// Ids are dense, because tables throughout the engine are indexed by them. The id of a removed host is
+/// reused for a new one once no attempt to the removed host is in flight and no request that knew it can
+/// still exist. The tables therefore stay bounded while hosts come and go. Without I/O; not thread-safe.
 class HostDirectory {
  public:
-  /// How many hosts may have a number at once, gone ones included.
+  /// How many hosts may have an id at once, including removed hosts whose id has not been reused.
   static constexpr std::size_t kMaxHosts = 4096;
-  /// How long the number of a removed host stays reserved, in multiples of the longest request deadline. A
-  /// request that could name the removed host has ended by then.
+  /// How long the id of a removed host stays reserved, in multiples of the longest request deadline. A
+  /// request that could refer to the removed host has ended by then.
   static constexpr int kIdReuseDelayInDeadlines = 2;
 
-  /// `longestDeadline` is that of all methods. The observer must outlive the directory.
+  /// `longestDeadline` is the longest request deadline of any method. The observer must outlive the
+  /// directory.
   HostDirectory(Duration longestDeadline, HostObserver& observer)
       : idReuseDelay_(kIdReuseDelayInDeadlines * longestDeadline), observer_(observer) {}
 
-  /// Applies one entry of an endpoint list. Assigns a number to a host that is new, and notifies the observer
-  /// of a host whose idle connections are of no more use. Returns nothing if the host gets no number: it is
-  /// gone and was never known, or the directory is full (the observer is notified then).
+  /// Applies one entry of an endpoint list. Assigns an id to a new host, and notifies the observer of a host
+  /// whose idle connections can no longer be used. Returns nothing if the host gets no id: it is gone and was
+  /// never known, or the directory is full, in which case the observer is notified.
   std::optional<HostId> update(TimePoint now, const config::Endpoint&);
-  /// Marks every host as gone that `listed`, the hosts of a complete list, does not name, and notifies the
-  /// observer of each that was not gone before, in the order of the numbers.
+  /// Marks all hosts as gone that are not in `listed`, the hosts of a complete list. Notifies the observer of
+  /// each that was not gone before, in ascending order of ids.
   void removeUnlisted(TimePoint now, const std::vector<HostUpdate>& listed);
 
-  /// Counts an attempt to the host as in flight until attemptEnded().
+  /// Counts an attempt to the host as in flight until attemptEnded() is called for it.
   void attemptStarted(HostId host) { ++hosts_[host.value].attemptsInFlight; }
   void attemptEnded(HostId host) { --hosts_[host.value].attemptsInFlight; }
 
-  /// All numbers given out are below this one.
+  /// All assigned ids are below this number.
   std::size_t size() const { return hosts_.size(); }
   /// Address as "10.0.0.4:8080"; empty if discovery named none. Valid until the next update.
   const std::string& addressOf(HostId host) const { return hosts_[host.value].address; }
-  /// Discovery's name of the host. Valid until the next update.
+  /// The host's name in discovery. Valid until the next update.
   const std::string& nameOf(HostId host) const { return names_.nameOf(host); }
 
  private:
   enum class Presence : std::uint8_t { listed, gone };
   struct Host {
     std::string address;
-    Duration startedAt{};  ///< Since the clock's origin; names the incarnation. 0: long ago.
+    Duration startedAt{};  ///< Since the clock's origin; changes with a restart. 0: long ago.
     Presence presence = Presence::listed;
     TimePoint goneAt{};  ///< When `presence` last changed; read only while the host is gone.
     std::uint32_t attemptsInFlight = 0;
@@ -78,7 +79,7 @@
   const Duration idReuseDelay_;
   HostObserver& observer_;
   NameTable<HostId> names_;
-  std::vector<Host> hosts_;  ///< By HostId.
+  std::vector<Host> hosts_;  ///< Indexed by HostId.
 };
 
 }  // namespace merlinbridge::core
--- a/src/gateway_core/request_parser.cpp
+++ b/src/gateway_core/request_parser.cpp
@@ -10,9 +10,9 @@
 namespace merlinbridge::core {
 namespace {
 
-// The largest cost of one request, in units. A client that claims more would distort the counts of its quota.
+// The largest accepted cost of one request, in units. A larger claim would distort the client's quota counts.
 constexpr double kMaxUnits = 1e6;
-constexpr double kDefaultUnits = 1;  // where Quota-Info names none
+constexpr double kDefaultUnits = 1;  // if Quota-Info states no units
 constexpr int kHexBase = 16;
 constexpr std::string_view kUnitsParameter = "units";
 constexpr std::string_view kGatewayCountParameter = "spread";
@@ -51,17 +51,17 @@
   return values;
 }
 
-// Returns false unless the whole text is a number of the type.
+// Returns false unless the whole text is a number that T can hold.
 template <class T, class... Base>
-bool parseNumber(std::string_view text, T& into, Base... base) {
+bool parseNumber(std::string_view text, T& number, Base... base) {
   const char* const textEnd = text.data() + text.size();
-  const auto [end, error] = std::from_chars(text.data(), textEnd, into, base...);
+  const auto [end, error] = std::from_chars(text.data(), textEnd, number, base...);
   return error == std::errc{} && end == textEnd;
 }
 
-// Returns the value of one parameter of a list like "units=2,spread=3"; empty if the list has none of that
-// name.
-std::string_view listParameter(std::string_view list, std::string_view name) {
+// Returns the value of the named parameter of a list like "units=2,spread=3"; empty if the list does not have
+// the parameter.
+std::string_view findParameter(std::string_view list, std::string_view name) {
   while (!list.empty()) {
     const auto comma = std::min(list.find(','), list.size());
     std::string_view parameter = list.substr(0, comma);
@@ -77,7 +77,7 @@
   return parseNumber(text, units) && std::isfinite(units) && units >= 0 && units <= kMaxUnits;
 }
 
-// Each of these sets its part of the request, or returns what is wrong with it.
+// Each of the following functions sets its part of the request, or returns the first error that it finds.
 
 std::optional<RequestError> parseIdentity(const FieldValues& values, const NameTables& names,
                                           Request& request) {
@@ -106,8 +106,8 @@
                                            Request& request) {
   request.units = kDefaultUnits;
   request.gateways = settings.gateways;
-  const auto units = listParameter(values.quotaInfo, kUnitsParameter);
-  const auto gatewayCount = listParameter(values.quotaInfo, kGatewayCountParameter);
+  const auto units = findParameter(values.quotaInfo, kUnitsParameter);
+  const auto gatewayCount = findParameter(values.quotaInfo, kGatewayCountParameter);
   if (!units.empty() && !parseUnits(units, request.units)) return RequestError::unitsInvalid;
   if (!gatewayCount.empty() && !parseNumber(gatewayCount, request.gateways))
     return RequestError::gatewayCountInvalid;
--- a/src/gateway_core/request_parser.hpp
+++ b/src/gateway_core/request_parser.hpp
@@ -10,8 +10,8 @@
 
 namespace merlinbridge::core {
 
-/// The names that clients and discovery use, as dense ids. Methods and plans are those of the configuration;
-/// zones and machines grow as discovery names new ones.
+/// Tables of the names that clients and discovery use. Methods and plans come from the configuration; zones
+/// and machines are added as discovery announces them.
 struct NameTables {
   NameTable<MethodId> methods;
   NameTable<PlanId> plans;
@@ -19,18 +19,18 @@
   NameTable<MachineId> machines;
 };
 
-/// Why a client's message is no request.
+/// Why a client's message is not a valid request.
 enum class RequestError : std::uint8_t {
-  requestIdMissing,    ///< No Req-Id, or an empty one.
-  methodUnknown,       ///< Req-Kind is missing or not a method of the configuration.
-  planUnknown,         ///< Plan is missing or not a plan, while the configuration has plans.
-  customerInvalid,     ///< Account is missing or no hex number of up to 64 bits.
-  deadlineInvalid,     ///< Req-Deadline-Ms is missing or no whole number of up to 32 bits.
-  unitsInvalid,        ///< The units of Quota-Info are no number from 0 to 1,000,000.
-  gatewayCountInvalid  ///< The spread of Quota-Info is no whole number of up to 32 bits.
+  requestIdMissing,    ///< Req-Id is missing or empty.
+  methodUnknown,       ///< Req-Kind is missing or not a configured method.
+  planUnknown,         ///< Plan is missing or not a configured plan, and the configuration has plans.
+  customerInvalid,     ///< Account is missing or not a hexadecimal number of at most 64 bits.
+  deadlineInvalid,     ///< Req-Deadline-Ms is missing or not a whole number of at most 32 bits.
+  unitsInvalid,        ///< The units of Quota-Info are not a number from 0 to 1,000,000.
+  gatewayCountInvalid  ///< The spread of Quota-Info is not a whole number of at most 32 bits.
 };
 
-/// The error as the text that is sent to the client, without a line end.
+/// The error text that is sent to the client, without a line break.
 constexpr std::string_view textOf(RequestError error) {
   switch (error) {
     case RequestError::requestIdMissing:
@@ -51,15 +51,15 @@
   return "Quota-Info has no spread";
 }
 
-/// What a client's message says of its request.
+/// The result of parsing a client's message.
 struct ParsedRequest {
-  std::optional<RequestError> error;  ///< Set: `request` must not be used.
-  Request request;                    ///< Without its id; `deadline` is counted from the arrival.
+  std::optional<RequestError> error;  ///< If set, `request` must not be used.
+  Request request;                    ///< Without its id; `deadline` is `arrivedAt` plus Req-Deadline-Ms.
 };
 
-/// Reads the request from the header fields of a message whose head is complete (see request_fields.hpp). Of
-/// a field that comes more than once, the last counts; of several errors, the first in the order of
-/// RequestError is returned. Does not throw and does not keep the message.
+/// Parses the request from the header fields (see request_fields.hpp) of a message whose head is complete. If
+/// a field is repeated, its last value is used; of several errors, the first in the order of RequestError is
+/// returned. Does not throw and keeps no reference to the message.
 ParsedRequest parseRequest(const http::Message&, const NameTables&, const PolicySettings&,
                            TimePoint arrivedAt);
 
--- a/src/gateway_core/request_table.hpp
+++ b/src/gateway_core/request_table.hpp
@@ -14,24 +14,24 @@
   enum class State : std::uint8_t { inFlight, ended };
   HostId host;
   TimePoint startedAt;
-  SlotRef connection;  ///< Carries the attempt; empty while the transport starts it.
+  SlotRef connection;  ///< Carries the attempt; empty until the transport has started it.
   State state = State::inFlight;
 };
 
-/// A request that has no final answer yet, or still has attempts in flight, and all its attempts so far.
+/// A request that is unanswered or still has attempts in flight, with all its attempts so far.
 struct PendingRequest {
-  /// The one transition is from unanswered to answered, by RequestTable::markAnswered.
+  /// The only transition is from unanswered to answered, made by RequestTable::markAnswered.
   enum class State : std::uint8_t { unanswered, answered };
   SlotRef client;
-  TimePoint deadline;  ///< The core fails the request then if it is still unanswered.
+  TimePoint deadline;  ///< The core fails the request at this time if it is unanswered.
   DeadlineQueue::Handle answerDeadlineTimer;
   State state = State::unanswered;
   std::uint32_t attemptsInFlight = 0;
-  std::vector<Attempt> attempts;  ///< By AttemptNumber.
+  std::vector<Attempt> attempts;  ///< Indexed by AttemptNumber.
 
   /// Adds an attempt in flight and returns its number.
   AttemptNumber addAttempt(HostId, TimePoint now);
-  /// Returns the attempt, or nullptr if there is none of that number or it has ended.
+  /// Returns the attempt, or nullptr if it does not exist or has ended.
   Attempt* findInFlight(AttemptNumber);
   /// Ends an attempt in flight of this request.
   void endAttempt(Attempt&);
@@ -40,12 +40,12 @@
 /// The gateway's pending requests by RequestId; owns them. Not thread-safe.
 class RequestTable {
  public:
-  /// Adds an unanswered request. Its id stays unique after the request is gone.
+  /// Adds an unanswered request. Its id is not used again after the request is dropped.
   RequestId add(SlotRef client, TimePoint deadline);
   /// Returns the request, or nullptr if the table does not contain it. Valid until the request is dropped.
   PendingRequest* find(RequestId requestId) { return requests_.find(SlotRef::unpacked(requestId.value)); }
-  /// Moves an unanswered request to State::answered and returns it; nullptr if it is answered or not found.
-  /// Whoever gets the request sends its one final answer.
+  /// Moves an unanswered request to State::answered and returns it; nullptr if it is already answered or not
+  /// found. The caller that gets the request sends its final answer.
   PendingRequest* markAnswered(RequestId);
   /// Returns the number of attempts of the request so far; 0 if it is not found.
   std::size_t attemptCount(RequestId);
--- a/src/gateway_core/slot_table.hpp
+++ b/src/gateway_core/slot_table.hpp
@@ -8,15 +8,15 @@
 
 namespace merlinbridge::core {
 
-/// Refers to one element of a SlotTable: a numbered slot and the generation of the element in it. A reference
-/// that outlives its element finds nothing, even if the slot has been used again. A default-constructed one
-/// refers to no element.
+/// Refers to an element of a SlotTable by the number of its slot and the element's generation. If the element
+/// has been dropped, the reference is not found, even if the slot has been reused. A default-constructed
+/// reference refers to no element.
 struct SlotRef {
   std::uint32_t slot = 0;
-  std::uint32_t generation = 0;  ///< Counts from 1; 0: no element.
-  /// The reference as one number, for use as an id; 0 only if it refers to no element.
+  std::uint32_t generation = 0;  ///< Counted from 1 for each slot; 0: no element.
+  /// The reference as one number, usable as an id; 0 only if it refers to no element.
   std::uint64_t packed() const { return std::uint64_t{generation} << 32 | slot; }
-  /// The reference that packed() made the number from.
+  /// The reference from which packed() made the number.
   static SlotRef unpacked(std::uint64_t number) {
     return {static_cast<std::uint32_t>(number), static_cast<std::uint32_t>(number >> 32)};
   }
@@ -24,13 +24,13 @@
   bool operator==(const SlotRef&) const = default;
 };
 
-/// A table of elements in numbered slots; owns its elements. An element keeps its address until it is
-/// dropped, while others come and go. Freed slots are used again, the last freed first; memory is kept for
-/// the largest number of elements that there ever were. Not thread-safe.
+/// A table that owns its elements, each in a numbered slot. The address of an element does not change until
+/// it is dropped, whatever other elements are added or dropped. Freed slots are reused, the last freed first.
+/// The table keeps the memory for its largest size so far. Not thread-safe.
 template <class T>
 class SlotTable {
  public:
-  /// Constructs an element from the arguments and returns the reference to it.
+  /// Constructs an element from the arguments and returns a reference to it.
   template <class... Args>
   SlotRef add(Args&&... args) {
     std::uint32_t slot = 0;
@@ -46,13 +46,13 @@
     ++size_;
     return {slot, ++entry.generation};
   }
-  /// Returns the element, which the table owns, or nullptr if it has been dropped.
+  /// Returns the element, which stays owned by the table, or nullptr if it has been dropped.
   T* find(SlotRef ref) {
     if (ref.slot >= slots_.size()) return nullptr;
     Slot& entry = slots_[ref.slot];
     return entry.element && entry.generation == ref.generation ? &*entry.element : nullptr;
   }
-  /// Destroys the element and frees its slot. Has no effect if it has been dropped already.
+  /// Destroys the element and frees its slot. No effect if it has already been dropped.
   void drop(SlotRef ref) {
     if (!find(ref)) return;
     slots_[ref.slot].element.reset();
@@ -73,7 +73,7 @@
 
  private:
   struct Slot {
-    std::uint32_t generation = 0;  ///< Of the element here, or of the last one.
+    std::uint32_t generation = 0;  ///< Of the present element or, in a free slot, the previous one.
     std::optional<T> element;
   };
   std::deque<Slot> slots_;
