--- a/src/util/call_pacer.cpp
+++ b/src/util/call_pacer.cpp
@@ -7,13 +7,13 @@
 CallPacer::CallPacer(double callsPerPeriod, TimePoint now)
     : callsPerPeriod_(callsPerPeriod), refilledAt_(now) {}
 
-void CallPacer::raise(double calls, double most) {
-  callsPerPeriod_ = std::min(callsPerPeriod_ + calls, most);
+void CallPacer::raise(double calls, double maxPace) {
+  callsPerPeriod_ = std::min(callsPerPeriod_ + calls, maxPace);
 }
 
-void CallPacer::cut(double factor, double least, TimePoint now, Duration period) {
+void CallPacer::cut(double factor, double minPace, TimePoint now, Duration period) {
   if (now < cutAt_ + period) return;
-  callsPerPeriod_ = std::max(callsPerPeriod_ * factor, least);
+  callsPerPeriod_ = std::max(callsPerPeriod_ * factor, minPace);
   cutAt_ = now;
 }
 
--- a/src/util/call_pacer.hpp
+++ b/src/util/call_pacer.hpp
@@ -4,34 +4,36 @@
 
 namespace merlinbridge::util {
 
-/// Paces calls: a token bucket that holds one call, or one period's calls where these are more. The caller
-/// raises and cuts the pace, which is in calls per period, and states the period at each use.
+/// Limits the rate of calls with a token bucket that holds the calls of one period, or one call if that is
+/// more. The rate, called pace, is in calls per period. The caller raises and cuts it, and passes the period
+/// to each function that needs it.
 class CallPacer {
  public:
-  /// `callsPerPeriod`: the pace at first, above 0. One call may start at once.
+  /// `callsPerPeriod` is the initial pace, above 0. One call may start immediately.
   CallPacer(double callsPerPeriod, TimePoint now);
 
-  /// The present pace, above 0.
+  /// The current pace, above 0.
   double callsPerPeriod() const { return callsPerPeriod_; }
 
-  /// Raises the pace by so many calls per period, to `most` at most.
-  void raise(double calls, double most);
+  /// Raises the pace by `calls` per period, but not above `maxPace`.
+  void raise(double calls, double maxPace);
 
-  /// Multiplies the pace by `factor`, below 1, to `least` at least. No effect within a period of the last
-  /// cut.
-  void cut(double factor, double least, TimePoint now, Duration period);
+  /// Multiplies the pace by `factor`, which is below 1, but not below `minPace`. No effect if less than one
+  /// period has passed since the last cut.
+  void cut(double factor, double minPace, TimePoint now, Duration period);
 
-  /// Adds the calls that have become due. `periodSeconds`: above 0. Call before mayStart().
+  /// Adds the calls that have become available since the last refill. `periodSeconds` is above 0. Must be
+  /// called before mayStart().
   void refill(TimePoint now, double periodSeconds);
 
   /// Whether a call may start now.
   bool mayStart() const { return tokens_ >= 1; }
 
-  /// A call starts; only where mayStart() is true.
+  /// Records that a call starts. Allowed only while mayStart() is true.
   void start();
 
-  /// Time until the next call may start. A nanosecond at least: a timer that is due at once would fire
-  /// without end.
+  /// Time until the next call may start. At least one nanosecond, because a timer that is due immediately
+  /// would fire in an endless loop.
   Duration untilNext(double periodSeconds) const;
 
  private:
--- a/src/util/decaying_counter.hpp
+++ b/src/util/decaying_counter.hpp
@@ -6,12 +6,12 @@
 
 namespace merlinbridge::util {
 
-/// A sum that decays exponentially: an amount added one time constant ago counts for 1/e of itself. Two
-/// numbers of state, so that a figure by host costs little; the caller therefore states the time constant at
-/// every call, in seconds, above 0 and always the same.
+/// A sum that decays exponentially: an amount added one time constant ago counts for 1/e of itself. It does
+/// not store the time constant, so that counters kept per host stay small; the caller passes the same one to
+/// every call, in seconds, above 0.
 class DecayingCounter {
  public:
-  /// The sum as of now. Times never go back.
+  /// The sum at `now`. Times must not decrease from call to call.
   double read(TimePoint now, double timeConstant) const {
     return sum_ * std::exp(-seconds(now - updatedAt_) / timeConstant);
   }
@@ -22,11 +22,11 @@
     updatedAt_ = now;
   }
 
-  /// Whether a positive amount was ever added.
+  /// Whether a positive amount has ever been added.
   bool hasCounted() const { return sum_ > 0; }
 
  private:
-  double sum_ = 0;  ///< As of the last add.
+  double sum_ = 0;  ///< At `updatedAt_`.
   TimePoint updatedAt_{};
 };
 
--- a/src/util/host_table.hpp
+++ b/src/util/host_table.hpp
@@ -7,32 +7,33 @@
 
 namespace merlinbridge::util {
 
-/// What discovery has announced of the hosts, as parallel arrays by HostId. A host that was announced once
-/// stays in the table; it serves or it does not.
+/// The hosts that discovery has announced, as parallel arrays indexed by HostId. A host is never removed: one
+/// that is gone stays in the table as not serving.
 class HostTable {
  public:
-  /// Takes over one update. Returns true where the host is new, serves again or has restarted: figures seen
-  /// of it before do not hold any more.
+  /// Applies one update. Returns true if the host is new, serves again or has restarted, so that statistics
+  /// collected on it before are no longer valid.
   bool update(const HostUpdate& update);
 
-  /// Takes over that discovery's complete list has these hosts: the others do not serve any more. To be
-  /// followed by update() for each.
+  /// Marks all hosts that are not in `updates`, the complete list from discovery, as not serving. The caller
+  /// then calls update() for each entry.
   void retainOnly(const std::vector<HostUpdate>& updates);
 
-  /// Hosts that were announced, serving or not: their ids are below this number.
+  /// The number of hosts announced so far, serving or not. All host ids are below it.
   std::size_t size() const { return serving_.size(); }
 
   bool serving(HostId host) const { return serving_[host.value] != 0; }
   int servingCount() const { return servingCount_; }
 
-  /// When the host's process started; empty: long ago.
+  /// When the host's process started. Empty: long ago.
   std::optional<TimePoint> startedAt(HostId host) const { return startedAt_[host.value]; }
 
-  /// Whether a repeat at one host is recognized by the other, for a method of that group.
+  /// Whether each of two hosts recognizes repeats of requests sent to the other, for a method with this
+  /// group.
   bool inSameGroup(Group group, HostId first, HostId second) const;
 
  private:
-  /// Extends the arrays to that many hosts.
+  /// Extends the arrays to `size` hosts if they are shorter.
   void extendTo(std::size_t size);
 
   std::vector<char> serving_;  ///< 1 or 0.
@@ -42,7 +43,7 @@
   int servingCount_ = 0;
 };
 
-/// Calls `visit` with the id of every host that was announced, in ascending order.
+/// Calls `visit` with the id of every host in the table, in ascending order.
 template <class Visit>
 void forEachHost(const HostTable& hosts, Visit visit) {
   for (std::uint32_t host = 0; host < hosts.size(); ++host) visit(HostId{host});
--- a/src/util/json_escape.hpp
+++ b/src/util/json_escape.hpp
@@ -7,11 +7,11 @@
 
 namespace merlinbridge::util {
 
-/// Bytes below this one are control characters, which JSON allows in a string only as escapes.
+/// Bytes below this value are control characters, which JSON strings may contain only in escaped form.
 inline constexpr unsigned char kFirstPrintableByte = 0x20;
 
-/// The text as it stands between the quotes of a JSON string: double quotes, backslashes and control
-/// characters are escaped, all other bytes stay as they are. UTF-8 is not checked.
+/// Escapes a text for use between the quotes of a JSON string: double quotes, backslashes and control
+/// characters are escaped, all other bytes are unchanged. UTF-8 is not validated.
 inline std::string escapeJson(std::string_view text) {
   std::string escaped;
   for (const char character : text) {
--- a/src/util/log_event.hpp
+++ b/src/util/log_event.hpp
@@ -6,35 +6,34 @@
 #include <string_view>
 #include <utility>
 
-/// The catalogue of log events: for each its name, level, message and the keys of its fields. It is the only
-/// place that holds these words. docs/on-call.md has one entry for each event, and tests/log_event_test.cpp
-/// compares the page, this table and the calls that log. util/log.hpp makes the lines and
-/// writes them.
+/// The catalogue of log events: the name, level, message and field keys of each. They are defined only here.
+/// docs/on-call.md has one entry for each event; tests/log_event_test.cpp compares that page and the logging
+/// calls with this table. util/log.hpp formats and writes the lines.
 namespace merlinbridge {
 
-/// How urgent a log line is; a log writes the lines of its minimum level and above.
+/// The severity of a log line, lowest first. A log writes the lines of its minimum level and above.
 enum class LogLevel { debug, info, warning, error };
 
-/// The levels as they are called in log lines, in [log] level and in GW_LOG_LEVEL; in the order of LogLevel.
+/// The names of the levels in log lines, in the setting [log] level and in GW_LOG_LEVEL. Indexed by LogLevel.
 inline constexpr std::array<std::pair<std::string_view, LogLevel>, 4> kLogLevelNames{
     {{"debug", LogLevel::debug},
      {"info", LogLevel::info},
      {"warning", LogLevel::warning},
      {"error", LogLevel::error}}};
 
-/// The level's name as it stands in a log line.
+/// The level's name in a log line.
 constexpr std::string_view nameOf(LogLevel level) {
   return kLogLevelNames[static_cast<std::size_t>(level)].first;
 }
 
-/// The level of that name, none for any other text.
+/// The level with this name, or nothing if there is none.
 constexpr std::optional<LogLevel> parseLogLevel(std::string_view text) {
   for (const auto& [name, level] : kLogLevelNames)
     if (name == text) return level;
   return std::nullopt;
 }
 
-/// Every event that a gateway logs. The enumerator is the event's name in camel case.
+/// The events that a gateway logs. Each enumerator is the event's name in camel case.
 enum class LogEvent {
   starting,
   ready,
@@ -73,19 +72,19 @@
   logLinesDropped
 };
 
-/// What every log line of an event has in common.
+/// The catalogue entry of an event: what all its log lines have in common.
 struct LogEventInfo {
   LogEvent event;
-  /// Stays the same from release to release: operators match on it.
+  /// Must not change between releases, because operators match on it.
   std::string_view name;
   LogLevel level;
   /// May change between releases.
   std::string_view message;
-  /// The keys of the line's fields in their order, separated by spaces.
+  /// The keys of the fields, in the order in which they appear in the line, separated by spaces.
   std::string_view fields;
 };
 
-/// Indexed by LogEvent.
+/// The catalogue, indexed by LogEvent.
 inline constexpr std::array kLogEvents{
     LogEventInfo{LogEvent::starting, "starting", LogLevel::info, "configuration read, about to listen",
                  "gateway listen known_hosts"},
@@ -157,7 +156,7 @@
                  "log lines dropped, standard error did not accept them", "count"},
 };
 
-/// Whether the table lists every event once, in the order of the enumeration.
+/// Whether the catalogue has every event exactly once, in the order of LogEvent.
 constexpr bool logEventsAreOrdered() {
   for (std::size_t index = 0; index < kLogEvents.size(); ++index)
     if (static_cast<std::size_t>(kLogEvents[index].event) != index) return false;
@@ -165,7 +164,7 @@
 }
 static_assert(logEventsAreOrdered());
 
-/// The catalogue's entry of an event.
+/// The catalogue entry of an event.
 constexpr const LogEventInfo& infoOf(LogEvent event) {
   return kLogEvents[static_cast<std::size_t>(event)];
 }
--- a/src/util/random_source.hpp
+++ b/src/util/random_source.hpp
@@ -5,17 +5,17 @@
 
 namespace merlinbridge::util {
 
-/// Pseudo-random numbers that depend on the seed alone, on every platform: the standard prescribes the
-/// engine's numbers, and no distribution of the standard library is used, since those differ.
+/// Pseudo-random numbers that depend only on the seed, on every platform: the C++ standard defines the
+/// engine's output, and no standard distribution is used, because their results differ between libraries.
 class RandomSource {
  public:
-  /// Reads the seed's lower 32 bits.
+  /// Uses only the lower 32 bits of the seed.
   explicit RandomSource(std::uint64_t seed) : engine_(static_cast<std::uint32_t>(seed)) {}
 
-  /// Uniform in [0, 1). One draw of the engine.
+  /// A number uniform in [0, 1). Draws once from the engine.
   double uniform01() { return double(engine_()) / (double(engine_.max()) + 1); }
 
-  /// True with the given probability: never at 0 or below, always at 1 or above. One draw in any case.
+  /// True with the given probability: never at 0 or below, always at 1 or above. Always draws once.
   bool bernoulli(double probability) { return probability > uniform01(); }
 
  private:
