--- a/src/emulator/emulated_gateway.cpp
+++ b/src/emulator/emulated_gateway.cpp
@@ -47,7 +47,7 @@
   }
   const std::string& addressOf(HostId host) const override { return core_.addressOf(host); }
   void setAnswerDeadline(TimePoint deadline) override { core_.setAnswerDeadline(deadline); }
-  std::size_t unanswered() const override { return core_.unanswered(); }
+  std::size_t unanswered() const override { return core_.unansweredCount(); }
 
  private:
   core::GatewayCore core_;
@@ -73,11 +73,11 @@
 
   void requestArrived(TimePoint now, SlotRef client, const Request& request) override {
     const auto host = admits(now, request) ? choose(now) : std::nullopt;
-    if (!host) return transport_.answerRejected(client, settings_.connectTimeout);
+    if (!host) return transport_.sendRejection(client, settings_.connectTimeout);
     const RequestId requestId{++lastRequest_};
     const TimePoint abandonAt = std::min(request.deadline, answerDeadline_) - slack_;
     const auto sent = transport_.startAttempt(requestId, {0}, client, *host, {abandonAt, TimePoint::max()});
-    if (std::holds_alternative<Outcome>(sent)) return transport_.answerRejected(client, Duration{0});
+    if (std::holds_alternative<Outcome>(sent)) return transport_.sendRejection(client, Duration{0});
     requests_[requestId.value] = {client, std::get<SlotRef>(sent),
                                   settings_.methods[request.method.value].repeat == Repeat::idempotent};
     byClient_[client.packed()] = requestId.value;
@@ -95,10 +95,10 @@
     const PendingRequest pending = at->second;
     drop(requestId);
     if (outcome == Outcome::ok)
-      return transport_.answerOk(pending.client, response.body, response.contentType);
+      return transport_.sendResponse(pending.client, response.body, response.contentType);
     if (pending.idempotent || outcome == Outcome::rejected || outcome == Outcome::noConnection)
-      return transport_.answerRejected(pending.client, Duration{0});
-    transport_.answerFailed(pending.client);
+      return transport_.sendRejection(pending.client, Duration{0});
+    transport_.sendFailure(pending.client);
   }
   void counterCallEnded(TimePoint, const CounterKey&, CounterCallOutcome, double, Duration) override {}
   void endpointsUpdated(TimePoint, const config::EndpointList& endpoints) override {
@@ -141,7 +141,7 @@
     const PendingRequest pending = at->second;
     drop(requestId);
     transport_.closeAttempt(pending.client, {0}, pending.attempt);
-    if (answering == Answering::failed) transport_.answerFailed(pending.client);
+    if (answering == Answering::failed) transport_.sendFailure(pending.client);
   }
 
   core::DeadlineQueue& deadlines_;
--- a/src/emulator/gateway_process.cpp
+++ b/src/emulator/gateway_process.cpp
@@ -121,15 +121,15 @@
 
 // ---- answers to clients ----
 
-void GatewayProcess::answerOk(SlotRef client, std::string_view, std::string_view) {
+void GatewayProcess::sendResponse(SlotRef client, std::string_view, std::string_view) {
   surroundings_.clients.answerSent(client, Answer::ok, Duration{0});
 }
 
-void GatewayProcess::answerRejected(SlotRef client, Duration retryAfter) {
+void GatewayProcess::sendRejection(SlotRef client, Duration retryAfter) {
   surroundings_.clients.answerSent(client, Answer::rejected, retryAfter);
 }
 
-void GatewayProcess::answerFailed(SlotRef client) {
+void GatewayProcess::sendFailure(SlotRef client) {
   surroundings_.clients.answerSent(client, Answer::failed, Duration{0});
 }
 
--- a/src/emulator/gateway_process.hpp
+++ b/src/emulator/gateway_process.hpp
@@ -80,9 +80,9 @@
   };
 
   // core::Transport, for the gateway inside.
-  void answerOk(core::SlotRef client, std::string_view body, std::string_view type) override;
-  void answerRejected(core::SlotRef client, Duration retryAfter) override;
-  void answerFailed(core::SlotRef client) override;
+  void sendResponse(core::SlotRef client, std::string_view body, std::string_view type) override;
+  void sendRejection(core::SlotRef client, Duration retryAfter) override;
+  void sendFailure(core::SlotRef client) override;
   std::variant<core::SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, core::SlotRef client, HostId,
                                                     AttemptDeadline) override;
   bool closeAttempt(core::SlotRef client, AttemptNumber, core::SlotRef attempt) override;
--- a/src/gateway_core/gateway_core.cpp
+++ b/src/gateway_core/gateway_core.cpp
@@ -54,10 +54,10 @@
   if (!attempt) return;
   request->endAttempt(*attempt);
   hosts_.attemptEnded(attempt->host);
-  const bool hasAnswer = outcome == Outcome::ok || response.answeredByAdapter;
-  const bool isFirstAnswer = hasAnswer && requests_.markAnswered(requestId) != nullptr;
-  if (isFirstAnswer && !response.answeredByAdapter)
-    transport_.answerOk(request->client, response.body, response.contentType);
+  const bool hasResponse = outcome == Outcome::ok || response.forwardedByAdapter;
+  const bool isFirstResponse = hasResponse && requests_.markAnswered(requestId) != nullptr;
+  if (isFirstResponse && !response.forwardedByAdapter)
+    transport_.sendResponse(request->client, response.body, response.contentType);
   const AttemptResult result{
       .requestId = requestId,
       .attemptNumber = attemptNumber,
@@ -111,12 +111,12 @@
 
 void GatewayCore::reject(RequestId requestId, Duration retryAfter) {
   if (const PendingRequest* const request = requests_.markAnswered(requestId))
-    transport_.answerRejected(request->client, retryAfter);
+    transport_.sendRejection(request->client, retryAfter);
 }
 
 void GatewayCore::fail(RequestId requestId) {
   if (const PendingRequest* const request = requests_.markAnswered(requestId))
-    transport_.answerFailed(request->client);
+    transport_.sendFailure(request->client);
 }
 
 // ---- Deadlines ----
@@ -143,7 +143,7 @@
     for (std::uint32_t number = 0; number < requests_.attemptCount(requestId); ++number)
       abandonAttempt(now, requestId, {number}, Outcome::noAnswer);
   if (const PendingRequest* const request = requests_.markAnswered(requestId)) {
-    transport_.answerFailed(request->client);
+    transport_.sendFailure(request->client);
     engine_.clientLeft(now, requestId);
   }
   finishInput(now, requestId);
@@ -186,7 +186,7 @@
   now_ = now;
   const std::vector<HostUpdate> updates = applyEndpoints(now, endpoints.entries);
   if (endpoints.complete) {
-    hosts_.removeUnlisted(now, updates);
+    hosts_.markUnlistedGone(now, updates);
     engine_.allHostsUpdated(now, updates);
   } else {
     engine_.hostsUpdated(now, updates);
--- a/src/gateway_core/gateway_core.hpp
+++ b/src/gateway_core/gateway_core.hpp
@@ -51,7 +51,7 @@
   /// Returns whether the request is still in the table: it is unanswered or has attempts in flight.
   bool contains(RequestId requestId) { return requests_.find(requestId) != nullptr; }
   /// The number of requests without a final answer.
-  std::size_t unanswered() const { return requests_.unanswered(); }
+  std::size_t unansweredCount() const { return requests_.unansweredCount(); }
   /// Returns whether the request is unanswered and its client is still connected.
   bool clientAwaitsAnswer(RequestId);
 
--- a/src/gateway_core/host_directory.cpp
+++ b/src/gateway_core/host_directory.cpp
@@ -18,7 +18,7 @@
   return hostId;
 }
 
-void HostDirectory::removeUnlisted(TimePoint now, const std::vector<HostUpdate>& listed) {
+void HostDirectory::markUnlistedGone(TimePoint now, const std::vector<HostUpdate>& listed) {
   std::vector<bool> isListed(hosts_.size(), false);
   for (const HostUpdate& update : listed) isListed[update.host.value] = true;
   for (std::uint32_t index = 0; index < hosts_.size(); ++index) {
--- a/src/gateway_core/host_directory.hpp
+++ b/src/gateway_core/host_directory.hpp
@@ -48,7 +48,7 @@
   std::optional<HostId> update(TimePoint now, const config::Endpoint&);
   /// Marks all hosts as gone that are not in `listed`, the hosts of a complete list. Notifies the observer of
   /// each that was not gone before, in ascending order of ids.
-  void removeUnlisted(TimePoint now, const std::vector<HostUpdate>& listed);
+  void markUnlistedGone(TimePoint now, const std::vector<HostUpdate>& listed);
 
   /// Counts an attempt to the host as in flight until attemptEnded() is called for it.
   void attemptStarted(HostId host) { ++hosts_[host.value].attemptsInFlight; }
--- a/src/gateway_core/request_table.cpp
+++ b/src/gateway_core/request_table.cpp
@@ -25,7 +25,7 @@
   PendingRequest& request = *requests_.find(ref);
   request.client = client;
   request.deadline = deadline;
-  ++unanswered_;
+  ++unansweredCount_;
   return RequestId{ref.packed()};
 }
 
@@ -33,7 +33,7 @@
   PendingRequest* const request = find(requestId);
   if (!request || request->state == PendingRequest::State::answered) return nullptr;
   request->state = PendingRequest::State::answered;
-  --unanswered_;
+  --unansweredCount_;
   return request;
 }
 
--- a/src/gateway_core/request_table.hpp
+++ b/src/gateway_core/request_table.hpp
@@ -51,7 +51,7 @@
   std::size_t attemptCount(RequestId);
   void drop(RequestId requestId) { requests_.drop(SlotRef::unpacked(requestId.value)); }
   /// The number of requests without a final answer.
-  std::size_t unanswered() const { return unanswered_; }
+  std::size_t unansweredCount() const { return unansweredCount_; }
   /// Calls `visitor(RequestId, PendingRequest&)` for each request. The visitor must not add or drop requests.
   template <class Visitor>
   void forEach(Visitor visitor) {
@@ -61,7 +61,7 @@
 
  private:
   SlotTable<PendingRequest> requests_;
-  std::size_t unanswered_ = 0;
+  std::size_t unansweredCount_ = 0;
 };
 
 }  // namespace merlinbridge::core
--- a/src/gateway_core/transport.hpp
+++ b/src/gateway_core/transport.hpp
@@ -23,12 +23,12 @@
 class Transport : public HostObserver {
  public:
   /// Sends the host's answer to the client with status 200. `type` is the Content-Type; empty: none is sent.
-  virtual void answerOk(SlotRef client, std::string_view body, std::string_view type) = 0;
+  virtual void sendResponse(SlotRef client, std::string_view body, std::string_view type) = 0;
   /// Tells the client that the request was rejected and may be repeated after `retryAfter`. 0: no Retry-After
   /// is sent.
-  virtual void answerRejected(SlotRef client, Duration retryAfter) = 0;
+  virtual void sendRejection(SlotRef client, Duration retryAfter) = 0;
   /// Tells the client that the request failed; it may nevertheless have taken effect.
-  virtual void answerFailed(SlotRef client) = 0;
+  virtual void sendFailure(SlotRef client) = 0;
   /// Writes the client's request to the host. Either returns the Outcome of an attempt that ended
   /// immediately, or reports the end of the attempt later through GatewayCore::attemptEnded.
   virtual AttemptStartResult startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
@@ -56,7 +56,7 @@
   double trueUnits = 0;          ///< True cost of the request in units; 0: the host did not state it.
   LoadReport load{};             ///< The host's load as reported by the host.
   std::optional<Duration> duration = {};  ///< Of the attempt, if the adapter measures it itself.
-  bool answeredByAdapter = false;         ///< The adapter has already forwarded the answer to the client.
+  bool forwardedByAdapter = false;        ///< The adapter has already forwarded the answer to the client.
 };
 
 }  // namespace merlinbridge::core
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -69,14 +69,14 @@
   clients_.drain(answerBy);
 }
 
-void Server::answerOk(SlotRef ref, std::string_view body, std::string_view type) {
+void Server::sendResponse(SlotRef ref, std::string_view body, std::string_view type) {
   ClientConnection* const client = loop_.find<ClientConnection>(ref);
   if (!client) return;
   if (type.empty() || type.size() > kMaxContentTypeBytes) return client->answer(kStatusOk, "", body);
   client->answer(kStatusOk, fmt::format(FMT_COMPILE("Content-Type: {}\r\n"), type), body);
 }
 
-void Server::answerRejected(SlotRef ref, Duration retryAfter) {
+void Server::sendRejection(SlotRef ref, Duration retryAfter) {
   ClientConnection* const client = loop_.find<ClientConnection>(ref);
   if (!client) return;
   if (loop_.log.enabled(LogEvent::requestRejected))
@@ -87,7 +87,7 @@
                  "");
 }
 
-void Server::answerFailed(SlotRef ref) {
+void Server::sendFailure(SlotRef ref) {
   ClientConnection* const client = loop_.find<ClientConnection>(ref);
   if (!client) return;
   if (loop_.log.enabled(LogEvent::requestFailed))
--- a/src/net/server.hpp
+++ b/src/net/server.hpp
@@ -39,16 +39,16 @@
   /// Drops unread data of all clients, so that the exit of the process resets no connection.
   void discardUnread() { clients_.discardUnread(); }
   /// Requests that the core has not answered yet.
-  std::size_t unanswered() const { return core_.unanswered(); }
+  std::size_t unanswered() const { return core_.unansweredCount(); }
   /// Whether no request is unanswered, and no client is in the middle of a request or of an answer.
   bool allAnswered() { return unanswered() == 0 && clients_.allIdle(); }
   /// Whether the connections of all clients have closed.
   bool allClosed() { return clients_.allClosed(); }
 
  private:
-  void answerOk(SlotRef client, std::string_view body, std::string_view type) override;
-  void answerRejected(SlotRef client, Duration retryAfter) override;
-  void answerFailed(SlotRef client) override;
+  void sendResponse(SlotRef client, std::string_view body, std::string_view type) override;
+  void sendRejection(SlotRef client, Duration retryAfter) override;
+  void sendFailure(SlotRef client) override;
   std::variant<SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, SlotRef client, HostId,
                                               AttemptDeadline) override;
   bool closeAttempt(SlotRef client, AttemptNumber, SlotRef connection) override;
--- a/src/policy/decision_engine.cpp
+++ b/src/policy/decision_engine.cpp
@@ -24,7 +24,7 @@
 }
 
 void DecisionEngine::Impl::updateAllHosts(const std::vector<HostUpdate>& updates) {
-  hosts_.retainOnly(updates);
+  hosts_.markUnlistedNotServing(updates);
   updateHosts(updates);
 }
 
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -53,7 +53,7 @@
 
 bool RetryPolicy::recognizes(HostId host, const Attempt& attempt, const Method& method) const {
   const bool withinWindow = context_.now < attempt.startedAt() + method.window;
-  return withinWindow && hosts_.inSameGroup(method.group, attempt.host(), host);
+  return withinWindow && hosts_.inSameDeduplicationScope(method.group, attempt.host(), host);
 }
 
 TimePoint RetryPolicy::writeDeadline(const RequestInFlight& request) const {
--- a/src/simulator_adapter/gateway_instance.cpp
+++ b/src/simulator_adapter/gateway_instance.cpp
@@ -74,7 +74,7 @@
   response.trueUnits = end.trueUnits;
   response.load = end.load;
   response.duration = end.took;
-  response.answeredByAdapter = end.clientAnswered;
+  response.forwardedByAdapter = end.clientAnswered;
   core_.attemptEnded(now, request->second, end.attempt, end.outcome, response);
   forgetIfEnded(request);
 }
@@ -100,13 +100,13 @@
 }
 
 // The simulator hands a host's answer to the client itself.
-void GatewayInstance::answerOk(SlotRef, std::string_view, std::string_view) {}
+void GatewayInstance::sendResponse(SlotRef, std::string_view, std::string_view) {}
 
-void GatewayInstance::answerRejected(SlotRef client, Duration retryAfter) {
+void GatewayInstance::sendRejection(SlotRef client, Duration retryAfter) {
   writer_.reject(wireIdOf(client), retryAfter);
 }
 
-void GatewayInstance::answerFailed(SlotRef client) {
+void GatewayInstance::sendFailure(SlotRef client) {
   writer_.fail(wireIdOf(client));
 }
 
--- a/src/simulator_adapter/gateway_instance.hpp
+++ b/src/simulator_adapter/gateway_instance.hpp
@@ -31,9 +31,9 @@
   using RequestIds = std::unordered_map<WireRequestId, RequestId, WireRequestIdHash>;
 
   // core::Transport
-  void answerOk(core::SlotRef, std::string_view, std::string_view) override;
-  void answerRejected(core::SlotRef client, Duration retryAfter) override;
-  void answerFailed(core::SlotRef client) override;
+  void sendResponse(core::SlotRef, std::string_view, std::string_view) override;
+  void sendRejection(core::SlotRef client, Duration retryAfter) override;
+  void sendFailure(core::SlotRef client) override;
   std::variant<core::SlotRef, Outcome> startAttempt(RequestId, AttemptNumber, core::SlotRef client, HostId,
                                                     AttemptDeadline) override;
   bool closeAttempt(core::SlotRef client, AttemptNumber, core::SlotRef connection) override;
--- a/src/util/host_table.cpp
+++ b/src/util/host_table.cpp
@@ -16,16 +16,16 @@
   const std::size_t host = update.host.value;
   extendTo(host + 1);
   const bool restarted = update.startedAt != startedAt_[host];
-  const bool isFresh = restarted || !serving_[host];
+  const bool mustResetStatistics = restarted || !serving_[host];
   servingCount_ += int{update.serving} - serving_[host];
   serving_[host] = update.serving;
   zone_[host] = update.zone;
   cell_[host] = update.cell;
   startedAt_[host] = update.startedAt;
-  return isFresh;
+  return mustResetStatistics;
 }
 
-void HostTable::retainOnly(const std::vector<HostUpdate>& updates) {
+void HostTable::markUnlistedNotServing(const std::vector<HostUpdate>& updates) {
   std::vector<char> isListed(serving_.size(), 0);
   for (const HostUpdate& update : updates)
     if (update.host.value < isListed.size()) isListed[update.host.value] = 1;
@@ -33,8 +33,8 @@
     if (!isListed[host]) servingCount_ -= std::exchange(serving_[host], 0);
 }
 
-bool HostTable::inSameGroup(Group group, HostId first, HostId second) const {
-  switch (group) {
+bool HostTable::inSameDeduplicationScope(Group scope, HostId first, HostId second) const {
+  switch (scope) {
     case Group::all:
       return true;
     case Group::zone:
--- a/src/util/host_table.hpp
+++ b/src/util/host_table.hpp
@@ -17,7 +17,7 @@
 
   /// Marks all hosts that are not in `updates`, the complete list from discovery, as not serving. The caller
   /// then calls update() for each entry.
-  void retainOnly(const std::vector<HostUpdate>& updates);
+  void markUnlistedNotServing(const std::vector<HostUpdate>& updates);
 
   /// The number of hosts announced so far, serving or not. All host ids are below it.
   std::size_t size() const { return serving_.size(); }
@@ -30,7 +30,7 @@
 
   /// Whether each of two hosts recognizes repeats of requests sent to the other, for a method with this
   /// group.
-  bool inSameGroup(Group group, HostId first, HostId second) const;
+  bool inSameDeduplicationScope(Group scope, HostId first, HostId second) const;
 
  private:
   /// Extends the arrays to `size` hosts if they are shorter.
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -74,7 +74,7 @@
       if (line.serving) hosts_.push_back(line.address);
   }
   void requestArrived(TimePoint now, SlotRef client, const Request& a) override {
-    if (hosts_.empty()) return transport_.answerRejected(client, Duration{0});
+    if (hosts_.empty()) return transport_.sendRejection(client, Duration{0});
     if (rule_ == Invariant::lost && ++lost_ % 10 == 0) return;  // never answered
     const RequestId requestId{++last_};
     // The ceiling rule is broken by letting all in, the drain and cold rules by staying with what was first
@@ -91,7 +91,7 @@
       const Held held = at->second;
       requests_.erase(at);
       transport_.closeAttempt(held.client, {held.no}, held.link);
-      transport_.answerFailed(held.client);
+      transport_.sendFailure(held.client);
     });
   }
   void clientLeft(TimePoint, SlotRef) override {}
@@ -103,8 +103,8 @@
     if (outcome == Outcome::ok) {
       const SlotRef client = held.client;
       requests_.erase(at);
-      transport_.answerOk(client, response.body, response.contentType);
-      if (rule_ == Invariant::lost && last_ % 7 == 0) transport_.answerFailed(client);  // and once more
+      transport_.sendResponse(client, response.body, response.contentType);
+      if (rule_ == Invariant::lost && last_ % 7 == 0) transport_.sendFailure(client);  // and once more
       return;
     }
     if (rule_ == Invariant::duplicate && held.no == 0) {  // whatever the method
@@ -115,8 +115,8 @@
     }
     const SlotRef client = held.client;
     requests_.erase(at);
-    outcome == Outcome::rejected ? transport_.answerRejected(client, Duration{0})
-                                 : transport_.answerFailed(client);
+    outcome == Outcome::rejected ? transport_.sendRejection(client, Duration{0})
+                                 : transport_.sendFailure(client);
   }
   void counterCallEnded(TimePoint, const CounterKey&, CounterCallOutcome, double, Duration) override {}
   void endpointsUpdated(TimePoint, const config::EndpointList& endpoints) override {
--- a/tests/gateway_core/host_directory_test.cpp
+++ b/tests/gateway_core/host_directory_test.cpp
@@ -87,8 +87,8 @@
   for (const char* name : {"a", "b", "c"}) fixture.hosts.update(fixture.now, servingEndpoint(name));
   HostUpdate listed{};
   listed.host = {1};
-  fixture.hosts.removeUnlisted(fixture.now, {listed});
-  fixture.hosts.removeUnlisted(fixture.now, {listed});
+  fixture.hosts.markUnlistedGone(fixture.now, {listed});
+  fixture.hosts.markUnlistedGone(fixture.now, {listed});
   CHECK(fixture.observer.unavailable == std::vector<std::uint32_t>{0, 2});
 }
 
--- a/tests/gateway_core/tables_test.cpp
+++ b/tests/gateway_core/tables_test.cpp
@@ -58,12 +58,12 @@
 TEST_CASE("RequestTable hands a request out for its final answer only once") {
   core::RequestTable table;
   const RequestId requestId = table.add({3, 1}, TimePoint{1s});
-  CHECK(table.unanswered() == 1);
+  CHECK(table.unansweredCount() == 1);
   const core::PendingRequest* const request = table.markAnswered(requestId);
   REQUIRE(request != nullptr);
   CHECK(request->client == core::SlotRef{3, 1});
   CHECK(table.markAnswered(requestId) == nullptr);
-  CHECK(table.unanswered() == 0);
+  CHECK(table.unansweredCount() == 0);
   table.drop(requestId);
   CHECK(table.find(requestId) == nullptr);
   CHECK(table.attemptCount(requestId) == 0);
--- a/tests/gateway_core_test.cpp
+++ b/tests/gateway_core_test.cpp
@@ -13,11 +13,11 @@
 
 // Records what the core does. Attempts get connections numbered from 1.
 struct RecordingTransport final : core::Transport {
-  void answerOk(SlotRef, std::string_view body, std::string_view) override {
+  void sendResponse(SlotRef, std::string_view body, std::string_view) override {
     answers.push_back("ok " + std::string(body));
   }
-  void answerRejected(SlotRef, Duration) override { answers.emplace_back("rejected"); }
-  void answerFailed(SlotRef) override { answers.emplace_back("failed"); }
+  void sendRejection(SlotRef, Duration) override { answers.emplace_back("rejected"); }
+  void sendFailure(SlotRef) override { answers.emplace_back("failed"); }
   core::AttemptStartResult startAttempt(RequestId requestId, AttemptNumber attemptNumber, SlotRef,
                                         HostId host, AttemptDeadline deadline) override {
     startedAttempts.push_back({requestId, attemptNumber, host, deadline});
@@ -96,7 +96,7 @@
   fixture.core.clientDisconnected(fixture.now, requestId);
   fixture.advance(2s);
   CHECK(fixture.transport.answers == std::vector<std::string>{"ok body"});
-  CHECK(fixture.core.unanswered() == 0);
+  CHECK(fixture.core.unansweredCount() == 0);
 }
 
 TEST_CASE("a late answer to an earlier request in the same slot is ignored") {
@@ -107,7 +107,7 @@
   CHECK((first.value & 0xffffffff) == (second.value & 0xffffffff));
   fixture.core.attemptEnded(fixture.now, first, {0}, Outcome::ok, {"late", {}, 0, {}});
   CHECK(fixture.transport.answers.size() == 1);
-  CHECK(fixture.core.unanswered() == 1);
+  CHECK(fixture.core.unansweredCount() == 1);
 }
 
 TEST_CASE("at its deadline a request is answered before its client gives up, and its attempts are closed") {
@@ -152,7 +152,7 @@
   fixture.requestArrives(3);  // non-idempotent, but none of its attempts ran
   CHECK(fixture.transport.startedAttempts.size() == 2);
   CHECK(fixture.transport.answers == std::vector<std::string>{"rejected"});
-  CHECK(fixture.core.unanswered() == 0);
+  CHECK(fixture.core.unansweredCount() == 0);
 }
 
 TEST_CASE("a request whose client has left gets no answer and no retry") {
@@ -246,7 +246,7 @@
   CHECK(fixture.transport.answers.size() == 1);
   fixture.advance(300ms);
   CHECK(fixture.transport.answers == std::vector<std::string>{"failed", "failed", "failed"});
-  CHECK(fixture.core.unanswered() == 0);
+  CHECK(fixture.core.unansweredCount() == 0);
 }
 
 TEST_CASE(
@@ -393,5 +393,5 @@
   CHECK(started >= whileConnected);
   CHECK((started > whileConnected) == staysConnected);
   if (!staysConnected && kind == Kind::retry) CHECK_FALSE(fixture.core.contains(requestId));
-  CHECK(fixture.core.unanswered() == (staysConnected ? 1u : 0u));
+  CHECK(fixture.core.unansweredCount() == (staysConnected ? 1u : 0u));
 }
