--- a/src/gateway_core/request_table.hpp
+++ b/src/gateway_core/request_table.hpp
@@ -20,7 +20,8 @@
 
 /// A request that is unanswered or still has attempts in flight, with all its attempts so far.
 struct PendingRequest {
-  /// The only transition is from unanswered to answered, made by RequestTable::markAnswered.
+  /// A request whose client has disconnected also counts as answered. The only transition is from unanswered
+  /// to answered, made by RequestTable::markAnswered.
   enum class State : std::uint8_t { unanswered, answered };
   SlotRef client;
   TimePoint deadline;  ///< The core fails the request at this time if it is unanswered.
--- a/src/gateway_core/transport.hpp
+++ b/src/gateway_core/transport.hpp
@@ -22,8 +22,8 @@
 /// exists. String views are valid only during the call. The transport must outlive the core.
 class Transport : public HostObserver {
  public:
-  /// Sends the host's answer to the client with status 200. `type` is the Content-Type; empty: none is sent.
-  virtual void sendResponse(SlotRef client, std::string_view body, std::string_view type) = 0;
+  /// Sends the host's response to the client with status 200. An empty `contentType` is not sent.
+  virtual void sendResponse(SlotRef client, std::string_view body, std::string_view contentType) = 0;
   /// Tells the client that the request was rejected and may be repeated after `retryAfter`. 0: no Retry-After
   /// is sent.
   virtual void sendRejection(SlotRef client, Duration retryAfter) = 0;
@@ -48,15 +48,15 @@
   virtual void report(EngineEvent) = 0;
 };
 
-/// What is known of a host's answer besides the outcome. The string views belong to the caller of
+/// What is known of a host's response besides the outcome. The string views belong to the caller of
 /// GatewayCore::attemptEnded and are read only during that call.
 struct UpstreamResponse {
   std::string_view body;
-  std::string_view contentType;  ///< Content-Type; empty: none was sent.
+  std::string_view contentType;  ///< Content-Type; empty if the host sent none.
   double trueUnits = 0;          ///< True cost of the request in units; 0: the host did not state it.
   LoadReport load{};             ///< The host's load as reported by the host.
   std::optional<Duration> duration = {};  ///< Of the attempt, if the adapter measures it itself.
-  bool forwardedByAdapter = false;        ///< The adapter has already forwarded the answer to the client.
+  bool forwardedByAdapter = false;        ///< The adapter has already forwarded the response to the client.
 };
 
 }  // namespace merlinbridge::core
--- a/tests/gateway_core/host_directory_test.cpp
+++ b/tests/gateway_core/host_directory_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr Duration kLongestDeadline = 2s;
 
-// Records what the directory reports.
+// Records the notifications of the directory.
 struct RecordingObserver final : core::HostObserver {
   void hostUnavailable(HostId host) override { unavailable.push_back(host.value); }
   void endpointTableFull(std::string_view hostName) override { ignored.emplace_back(hostName); }
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-TEST_CASE("HostDirectory numbers hosts from 0 and finds them by number") {
+TEST_CASE("HostDirectory assigns ids from 0 and finds hosts by id") {
   Fixture fixture;
   CHECK(fixture.hosts.update(fixture.now, servingEndpoint("a")) == HostId{0});
   CHECK(fixture.hosts.update(fixture.now, servingEndpoint("b", "10.0.0.2:80")) == HostId{1});
@@ -53,7 +53,7 @@
 }
 
 TEST_CASE(
-    "HostDirectory gives no number to a host that is gone and was never "
+    "HostDirectory assigns no id to a host that is gone and was never "
     "known") {
   Fixture fixture;
   CHECK_FALSE(fixture.hosts.update(fixture.now, goneEndpoint("a")));
@@ -61,8 +61,8 @@
 }
 
 TEST_CASE(
-    "HostDirectory reports a host that drains, restarts or moves to "
-    "another address") {
+    "HostDirectory reports a host that drains, restarts or changes its "
+    "address") {
   Fixture fixture;
   fixture.hosts.update(fixture.now, servingEndpoint("a"));
   config::Endpoint changed = servingEndpoint("a");
@@ -72,7 +72,7 @@
   SECTION("restarts") {
     changed.started = 5s;
   }
-  SECTION("moves") {
+  SECTION("changes its address") {
     changed.address = "10.0.0.9:80";
   }
   fixture.hosts.update(fixture.now, changed);
@@ -82,7 +82,7 @@
 
 TEST_CASE(
     "HostDirectory reports hosts missing from a complete list once, in "
-    "the order of their numbers") {
+    "the order of their ids") {
   Fixture fixture;
   for (const char* name : {"a", "b", "c"}) fixture.hosts.update(fixture.now, servingEndpoint(name));
   HostUpdate listed{};
@@ -93,7 +93,7 @@
 }
 
 TEST_CASE(
-    "HostDirectory reuses a removed host's number after twice the "
+    "HostDirectory reuses a removed host's id after twice the "
     "longest deadline, not before") {
   Fixture fixture;
   fixture.hosts.update(fixture.now, servingEndpoint("old"));
@@ -107,7 +107,7 @@
 }
 
 TEST_CASE(
-    "HostDirectory keeps a removed host's number while an attempt to the "
+    "HostDirectory does not reuse a removed host's id while an attempt to the "
     "host is in flight") {
   Fixture fixture;
   fixture.hosts.update(fixture.now, servingEndpoint("old"));
--- a/tests/gateway_core/tables_test.cpp
+++ b/tests/gateway_core/tables_test.cpp
@@ -10,7 +10,7 @@
 using namespace merlinbridge;
 using namespace std::chrono_literals;
 
-TEST_CASE("SlotTable finds nothing by a reference whose element was dropped, though its slot is used again") {
+TEST_CASE("SlotTable does not find a dropped element by its reference, even after its slot is reused") {
   core::SlotTable<std::string> table;
   const core::SlotRef first = table.add("first");
   table.drop(first);
@@ -25,7 +25,7 @@
   CHECK(table.find(core::SlotRef{}) == nullptr);
 }
 
-TEST_CASE("SlotTable keeps elements at their addresses and visits them in the order of the slots") {
+TEST_CASE("SlotTable does not move its elements and visits them in the order of their slots") {
   core::SlotTable<std::string> table;
   const core::SlotRef first = table.add("0");
   const std::string* const address = table.find(first);
@@ -43,7 +43,7 @@
   CHECK(visited[50] == "51");
 }
 
-TEST_CASE("NameTable forgets a name whose id is given to another one") {
+TEST_CASE("NameTable removes a name when its id is reassigned to another name") {
   core::NameTable<HostId> table;
   CHECK(table.findOrAdd("a") == HostId{0});
   CHECK(table.findOrAdd("b") == HostId{1});
@@ -55,7 +55,7 @@
   CHECK(table.size() == 2);
 }
 
-TEST_CASE("RequestTable hands a request out for its final answer only once") {
+TEST_CASE("RequestTable::markAnswered returns each request only once") {
   core::RequestTable table;
   const RequestId requestId = table.add({3, 1}, TimePoint{1s});
   CHECK(table.unansweredCount() == 1);
@@ -84,7 +84,7 @@
   CHECK(request.attemptsInFlight == 1);
 }
 
-TEST_CASE("DeferredEvents handles events in order, those that the handler adds included") {
+TEST_CASE("DeferredEvents handles events in order, including those that the handler adds") {
   core::DeferredEvents events;
   std::vector<std::uint64_t> handled;
   events.add(core::ClientDisconnected{{1}});
@@ -93,7 +93,7 @@
     handled.push_back(event.requestId.value);
     if (event.requestId.value == 1) {
       events.add(core::ClientDisconnected{{3}});
-      events.drain([&](const auto&) { handled.push_back(0); });  // returns at once: the outer drain goes on
+      events.drain([&](const auto&) { handled.push_back(0); });  // no effect: the outer drain goes on
     }
   };
   events.drain(handler);
--- a/tests/gateway_core_test.cpp
+++ b/tests/gateway_core_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Records what the core does. Attempts get connections numbered from 1.
+// Records the calls that the core makes. Attempts get connections in slots numbered from 1.
 struct RecordingTransport final : core::Transport {
   void sendResponse(SlotRef, std::string_view body, std::string_view) override {
     answers.push_back("ok " + std::string(body));
@@ -88,7 +88,7 @@
 
 }  // namespace
 
-TEST_CASE("the client gets a host's answer once, whatever is reported after it") {
+TEST_CASE("the client gets a host's response only once, whatever is reported afterwards") {
   Fixture fixture;
   const RequestId requestId = fixture.requestArrives(0);
   fixture.core.attemptEnded(fixture.now, requestId, {0}, Outcome::ok, {"body", {}, 0, {}});
@@ -99,7 +99,7 @@
   CHECK(fixture.core.unansweredCount() == 0);
 }
 
-TEST_CASE("a late answer to an earlier request in the same slot is ignored") {
+TEST_CASE("a late response to an earlier request in the same slot is ignored") {
   Fixture fixture;
   const RequestId first = fixture.requestArrives(0);
   fixture.core.attemptEnded(fixture.now, first, {0}, Outcome::ok, {"one", {}, 0, {}});
@@ -110,12 +110,12 @@
   CHECK(fixture.core.unansweredCount() == 1);
 }
 
-TEST_CASE("at its deadline a request is answered before its client gives up, and its attempts are closed") {
+TEST_CASE("a request is answered one answer slack before its deadline, and its attempts are closed") {
   Fixture fixture;
   fixture.requestArrives(3);
   fixture.advance(983ms);
   CHECK(fixture.transport.answers.empty());
-  fixture.advance(1ms);  // the slack before the deadline
+  fixture.advance(1ms);  // the answer slack, 16 ms, before the deadline
   CHECK(fixture.transport.answers == std::vector<std::string>{"failed"});
   CHECK(fixture.transport.closedConnections == std::vector<std::uint32_t>{1});
 }
@@ -129,10 +129,10 @@
   CHECK(fixture.transport.answers == std::vector<std::string>{"failed"});
 }
 
-TEST_CASE("a stall of the event loop that still lasts shortens the deadline of a new request") {
+TEST_CASE("an event loop stall that has not ended yet shortens the deadline of a new request") {
   Fixture fixture;
   fixture.deadlines.add(fixture.now + 10ms, [](TimePoint) {});
-  fixture.now += 510ms;  // the request may have waited as long
+  fixture.now += 510ms;  // the request may have waited that long
   fixture.requestArrives(3);
   fixture.advance(485ms);
   CHECK(fixture.transport.answers == std::vector<std::string>{"failed"});
@@ -146,7 +146,7 @@
   CHECK(fixture.transport.unavailableHosts == std::vector<std::uint32_t>{1});
 }
 
-TEST_CASE("an attempt that ends while it is started is reported to the engine afterwards") {
+TEST_CASE("an attempt that ends while the engine starts it is reported to the engine afterwards") {
   Fixture fixture;
   fixture.transport.immediateOutcome = Outcome::noConnection;
   fixture.requestArrives(3);  // non-idempotent, but none of its attempts ran
@@ -155,7 +155,7 @@
   CHECK(fixture.core.unansweredCount() == 0);
 }
 
-TEST_CASE("a request whose client has left gets no answer and no retry") {
+TEST_CASE("a request whose client has disconnected gets no answer and no retry") {
   Fixture fixture;
   const RequestId requestId = fixture.requestArrives(0);
   fixture.core.clientDisconnected(fixture.now, requestId);
@@ -175,7 +175,7 @@
                     [](const auto& attempt) { return attempt.host.value == 2; }));
 }
 
-TEST_CASE("host numbers stay below the limit while hosts come and go") {
+TEST_CASE("host ids stay below the limit while hosts come and go") {
   Fixture fixture(1);
   for (int round = 0; round < 9000; ++round) {
     fixture.core.endpointsUpdated(fixture.now, {2, false, {endpoint("n" + std::to_string(round))}});
@@ -189,7 +189,7 @@
   CHECK(fixture.transport.events.empty());
 }
 
-TEST_CASE("a new host that reuses the number of a removed one inherits none of its connections") {
+TEST_CASE("a new host that reuses the id of a removed host does not reuse its connections") {
   Fixture fixture;
   for (int round = 0; round < 300; ++round) {
     fixture.core.endpointsUpdated(fixture.now, {2, false, {endpoint("n" + std::to_string(round))}});
@@ -201,13 +201,13 @@
   fixture.core.endpointsUpdated(fixture.now, {4, true, {endpoint("last")}});
   fixture.requestArrives(0);
   REQUIRE(fixture.transport.startedAttempts.size() == 1);
-  const std::uint32_t number = fixture.transport.startedAttempts[0].host.value;
-  CHECK(number < 10);
+  const std::uint32_t host = fixture.transport.startedAttempts[0].host.value;
+  CHECK(host < 10);
   CHECK(std::count(fixture.transport.unavailableHosts.begin(), fixture.transport.unavailableHosts.end(),
-                   number) == 1);  // its idle connections may be closed
+                   host) == 1);  // its idle connections may be closed
 }
 
-TEST_CASE("a thousand hosts are served, and so are a thousand others that replace them at once") {
+TEST_CASE("1,024 hosts that replace 1,024 others in one update share the requests") {
   config::GatewayConfig config = plainConfig(1024);
   config.settings.gateways = 1024;
   RecordingTransport transport;
@@ -231,12 +231,12 @@
   }
   std::sort(usedHosts.begin(), usedHosts.end());
   CHECK(std::unique(usedHosts.begin(), usedHosts.end()) - usedHosts.begin() >
-        150);  // the load is spread over the hosts
+        150);  // the load is spread over most hosts
   CHECK(transport.ignoredHosts.empty());
   CHECK(transport.events.empty());
 }
 
-TEST_CASE("after setAnswerDeadline every request is answered by then, earlier ones included") {
+TEST_CASE("after setAnswerDeadline, pending and new requests are answered by that time") {
   Fixture fixture;
   fixture.requestArrives(3, 10s);
   fixture.core.setAnswerDeadline(fixture.now + 1s);
@@ -274,7 +274,7 @@
   const auto config = plainConfig(1);
   const core::NameTables names{
       core::NameTable<MethodId>(config.methods), core::NameTable<PlanId>(config.plans), {}, {}};
-  const std::string good =
+  const std::string validText =
       "GET /look HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: book\r\nPlan: open\r\nAccount: 00000000b4d65521\r\n"
       "Req-Deadline-Ms: 480\r\nQuota-Info: units=2, spread=3,first=1\r\n\r\n";
   const auto [original, replacement, errorText] = GENERATE(table<std::string, std::string, std::string>({
@@ -291,7 +291,7 @@
       {"units=2", "units=1e300", "Quota-Info has no number of units"},
       {"spread=3", "spread=x", "Quota-Info has no spread"},
   }));
-  std::string text = good;
+  std::string text = validText;
   if (!original.empty()) text.replace(text.find(original), original.size(), replacement);
   http::Message message(http::Message::Kind::request);
   REQUIRE(message.advance(text.data(), text.size()) == http::Message::Stage::done);
@@ -320,10 +320,11 @@
   CHECK(fixture.transport.startedAttempts.size() == (mayHaveRun && !hasKey ? 1 : 2));
   if (mayHaveRun && !hasKey)
     CHECK(fixture.transport.answers ==
-          std::vector<std::string>{"failed"});  // a rejection would invite the client to repeat it
+          std::vector<std::string>{"failed"});  // after a rejection the client would repeat the request
 }
 
-TEST_CASE("when a client leaves, its unsent attempts are closed and its sent ones run to their end") {
+TEST_CASE(
+    "when a client disconnects, its unsent attempts are closed and its sent attempts run to completion") {
   const bool isUnsent = GENERATE(true, false);
   Fixture fixture;
   const RequestId requestId = fixture.requestArrives(0);
@@ -335,11 +336,11 @@
   CHECK(fixture.transport.startedAttempts.size() == 1);
 }
 
-TEST_CASE("unsent attempts to a host that begins to drain are retried at another host") {
+TEST_CASE("unsent attempts to a host that begins to drain are retried on another host") {
   const bool isUnsent = GENERATE(true, false);
   const bool isComplete = GENERATE(true, false);
   Fixture fixture;
-  fixture.requestArrives(3);  // non-idempotent: never retried once it was sent
+  fixture.requestArrives(3);  // non-idempotent: not retried once it has been sent
   const std::uint32_t drained = fixture.transport.startedAttempts[0].host.value;
   if (isUnsent) fixture.transport.unsentConnections.insert(1);
   config::EndpointList endpoints{2, isComplete, {}};
@@ -377,7 +378,7 @@
   config::GatewayConfig config = plainConfig(3);
   config.settings.allowHedging = true;
   Fixture fixture(config);
-  for (int round = 0; round < 5; ++round) {  // answers from which the engine learns when to hedge
+  for (int round = 0; round < 5; ++round) {  // responses from which the engine learns when to hedge
     const RequestId requestId = fixture.requestArrives(0);
     fixture.advance(10ms);
     fixture.core.attemptEnded(fixture.now, requestId, {0}, Outcome::ok);
@@ -389,9 +390,9 @@
   if (kind == Kind::retry) fixture.core.attemptEnded(fixture.now, requestId, {0}, Outcome::rejected);
   for (int round = 0; kind == Kind::hedge && round < 30; ++round) fixture.advance(10ms);
   const std::size_t started = fixture.transport.startedAttempts.size() - startedBefore;
-  const std::size_t whileConnected = kind == Kind::first ? 0 : 1;
-  CHECK(started >= whileConnected);
-  CHECK((started > whileConnected) == staysConnected);
+  const std::size_t startedWhileConnected = kind == Kind::first ? 0 : 1;
+  CHECK(started >= startedWhileConnected);
+  CHECK((started > startedWhileConnected) == staysConnected);
   if (!staysConnected && kind == Kind::retry) CHECK_FALSE(fixture.core.contains(requestId));
   CHECK(fixture.core.unansweredCount() == (staysConnected ? 1u : 0u));
 }
--- a/tests/log_event_test.cpp
+++ b/tests/log_event_test.cpp
@@ -1,4 +1,4 @@
-// The catalogue of log events against the lines that are made of it, the on-call page and the calls that log.
+// Compares the catalogue of log events with the formatted lines, the on-call page and the logging calls.
 #include "util/log_event.hpp"
 
 #include <catch2/catch.hpp>
@@ -24,7 +24,7 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-/// The enumerator of an event, as it stands in the sources: configReloaded for config_reloaded.
+/// The enumerator of an event as written in the sources: configReloaded for config_reloaded.
 std::string enumeratorOf(std::string_view name) {
   std::string enumerator;
   bool upper = false;
@@ -35,7 +35,7 @@
   return enumerator;
 }
 
-/// All matches of the pattern's first group.
+/// The text of the pattern's first group in each of its matches.
 std::vector<std::string> matchesOf(const std::string& text, const std::string& pattern) {
   const std::regex expression(pattern);
   std::vector<std::string> found;
@@ -45,7 +45,7 @@
   return found;
 }
 
-/// One entry of the on-call page: its heading, quoted message and labelled items.
+/// An entry of the on-call page: name and level from its heading, the quoted message and the items by label.
 struct PageEntry {
   std::string name;
   std::string level;
@@ -53,7 +53,7 @@
   std::map<std::string, std::string> items;
 };
 
-/// The entries of the on-call page. An item goes on to the next item or blank line.
+/// Reads the entries of the on-call page. An item extends to the next item or blank line.
 std::vector<PageEntry> readPage() {
   std::istringstream page(contentOf(kSourceTree / "docs/on-call.md"));
   const std::regex heading("### `([a-z_]+)` \\(([a-z]+)\\)");
@@ -77,7 +77,7 @@
   return entries;
 }
 
-/// The keys that a call which logs passes, for each event that it names, over all sources.
+/// For each event, the space-separated field keys of every logging call in the sources.
 std::map<std::string, std::set<std::string>> fieldsInSources() {
   std::map<std::string, std::set<std::string>> fields;
   const std::regex call("(?:log_?|formatLogLine)\\(([^;]*?LogEvent::[^;]*?)\\);");
@@ -86,7 +86,7 @@
     const std::string text = contentOf(file.path());
     for (auto match = std::sregex_iterator(text.begin(), text.end(), call); match != std::sregex_iterator();
          ++match) {
-      if (match->str(1).find("infoOf(") != std::string::npos) continue;  // a message without a line of ours
+      if (match->str(1).find("infoOf(") != std::string::npos) continue;  // not a logging call
       std::string keys;
       for (const std::string& key : matchesOf(match->str(1), "LogField\\{\"([a-z_]+)\""))
         keys += (keys.empty() ? "" : " ") + key;
@@ -97,14 +97,14 @@
   return fields;
 }
 
-/// The titles of the test cases of a file, also those that are written in pieces over several lines.
+/// The titles of the test cases in a file, including titles split over several lines.
 std::set<std::string> titlesIn(const std::filesystem::path& path) {
   const std::string joined = std::regex_replace(contentOf(path), std::regex("\"\\s*\\n\\s*\""), "");
   const std::vector<std::string> titles = matchesOf(joined, "TEST_CASE\\(\\s*\"([^\"]+)\"");
   return {titles.begin(), titles.end()};
 }
 
-/// The files that an item names in backticks.
+/// The files that an item lists in backticks.
 std::vector<std::string> filesIn(const std::string& item) {
   return matchesOf(item, "`([a-z_/]+\\.[a-z]+)`");
 }
@@ -135,7 +135,7 @@
         "previous one error=\\\"no \\\"listen\\\"\\\" retry=2\"}\n");
 }
 
-TEST_CASE("values that are empty or hold spaces or quotes stand in double quotes") {
+TEST_CASE("values that are empty or contain spaces or quotes are put in double quotes") {
   std::string text;
   appendLogField(text, "plain", "127.0.0.1:80");
   appendLogField(text, "empty", "");
@@ -143,7 +143,7 @@
   CHECK(text == " plain=127.0.0.1:80 empty=\"\" spaced=\"timed out\"");
 }
 
-TEST_CASE("levels and forms are found by their names alone") {
+TEST_CASE("levels are parsed from their exact names only") {
   for (const auto& [name, level] : kLogLevelNames) {
     CHECK(parseLogLevel(name) == level);
     CHECK(nameOf(level) == name);
@@ -183,10 +183,10 @@
       CHECK(entries[name].items["Fields"].find("`" + field + "`") != std::string::npos);
     if (info.fields.empty()) CHECK(entries[name].items["Fields"] == "none");
   }
-  CHECK(onPage == std::set<std::string>{});  // entries of events that do not exist
+  CHECK(onPage == std::set<std::string>{});  // the page has no entry for an unknown event
 }
 
-TEST_CASE("files and tests that the on-call page names exist, and the file holds the event") {
+TEST_CASE("files and tests that the on-call page names exist, and the file uses the event") {
   for (const PageEntry& entry : readPage()) {
     INFO(entry.name);
     const std::vector<std::string> sources = filesIn(entry.items.at("File"));
@@ -203,7 +203,7 @@
   }
 }
 
-TEST_CASE("every call that logs an event passes the fields of the catalogue, in its order") {
+TEST_CASE("every logging call passes the fields of the catalogue in their order") {
   const std::map<std::string, std::set<std::string>> fields = fieldsInSources();
   std::size_t checked = 0;
   for (const LogEventInfo& info : kLogEvents) {
--- a/tests/util_test.cpp
+++ b/tests/util_test.cpp
@@ -61,7 +61,7 @@
   CHECK(fired == 11);
 }
 
-TEST_CASE("call pacer: calls start at its pace, and unused calls add up to a bounded burst") {
+TEST_CASE("call pacer: calls start at the pace, and unused calls accumulate to a bounded burst") {
   CallPacer pacer(2, kStart);
   const auto started = [&pacer](TimePoint now) {
     pacer.refill(now, 1);
@@ -73,10 +73,10 @@
   CHECK(started(kStart + 100ms) == 0);
   CHECK(pacer.untilNext(1) > 0ns);
   CHECK(started(kStart + 100ms + pacer.untilNext(1) + 1us) == 1);
-  CHECK(started(kStart + 60s) == 2);  // one period's calls at most
+  CHECK(started(kStart + 60s) == 2);  // at most the calls of one period
 }
 
-TEST_CASE("call pacer: the pace is cut once in a period at most and stays between its bounds") {
+TEST_CASE("call pacer: the pace is cut at most once per period and stays within its bounds") {
   CallPacer pacer(8, kStart);
   pacer.cut(0.5, 1, kStart, 1s);
   pacer.cut(0.5, 1, kStart + 500ms, 1s);
@@ -89,7 +89,8 @@
   CHECK(pacer.callsPerPeriod() == 10);
 }
 
-TEST_CASE("host table: it follows updates and complete lists and knows which hosts share a group") {
+TEST_CASE(
+    "host table: it applies updates and complete lists and compares the deduplication scopes of hosts") {
   HostTable hosts;
   CHECK(hosts.update(servingHost(0, {}, 1)));
   CHECK(hosts.update(servingHost(1, {}, 1)));
@@ -103,17 +104,17 @@
   hosts.markUnlistedNotServing({servingHost(1, {}, 1)});
   CHECK(hosts.servingCount() == 1);
   CHECK_FALSE(hosts.serving({0}));
-  CHECK(hosts.update(servingHost(0, kStart, 1)));  // back
+  CHECK(hosts.update(servingHost(0, kStart, 1)));  // serves again
 }
 
-TEST_CASE("state notice: a condition's begin and end are reported once each, once in an interval at most") {
+TEST_CASE("state notice: the start and end of a condition are reported once each, at most one per interval") {
   RecordingSink sink;
   policy::StateNotice notice(EngineEvent::loadSheddingStarted, EngineEvent::loadSheddingStopped, 10s);
   notice.set(false, kStart, sink);
   CHECK(sink.events.empty());
   notice.set(true, kStart, sink);
   notice.set(true, kStart + 1s, sink);
-  notice.set(false, kStart + 2s, sink);  // too soon
+  notice.set(false, kStart + 2s, sink);  // less than one interval after the last report
   CHECK(sink.events == std::vector{EngineEvent::loadSheddingStarted});
   CHECK(notice.active());
   notice.set(false, kStart + 10s, sink);
