--- a/tests/log_event_test.cpp
+++ b/tests/log_event_test.cpp
@@ -86,7 +86,7 @@
     const std::string text = contentOf(file.path());
     for (auto match = std::sregex_iterator(text.begin(), text.end(), call); match != std::sregex_iterator();
          ++match) {
-      if (match->str(1).find("infoOf(") != std::string::npos) continue;  // not a logging call
+      if (match->str(1).find("infoOf(") != std::string::npos) continue;  // the message alone
       std::string keys;
       for (const std::string& key : matchesOf(match->str(1), "LogField\\{\"([a-z_]+)\""))
         keys += (keys.empty() ? "" : " ") + key;
