--- a/src/gateway_core/gateway_core.cpp
+++ b/src/gateway_core/gateway_core.cpp
@@ -5,10 +5,10 @@
 namespace merlinbridge::core {
 
 GatewayCore::GatewayCore(const config::GatewayConfig& config, TimePoint now, DeadlineQueue& deadlines,
-                         Transport& transport, DeadlineEnforcer timekeeper)
+                         Transport& transport, DeadlineEnforcer deadlineEnforcer)
     : settings_(config.settings),
       answerSlack_(config.answerSlack),
-      enforcesDeadlines_(timekeeper == DeadlineEnforcer::core),
+      enforcesDeadlines_(deadlineEnforcer == DeadlineEnforcer::core),
       now_(now),
       names_{NameTable<MethodId>(config.methods), NameTable<PlanId>(config.plans),
              NameTable<ZoneId>(config.zones), NameTable<MachineId>(config.machines)},
@@ -25,8 +25,8 @@
 
 RequestId GatewayCore::requestArrived(TimePoint now, SlotRef client, Request request) {
   now_ = now;
-  // The answer must reach the client while it still waits: the slack that the rules allow and the event
-  // loop's own delay come off the deadline.
+  // The answer must reach the client before the client gives up, so the deadline is brought forward by the
+  // answer slack and by the event loop's present lateness.
   if (enforcesDeadlines_)
     request.deadline = std::max(now, request.deadline - answerSlack_ - deadlines_.lateness(now));
   request.deadline = std::min(request.deadline, answerDeadline_);
@@ -39,7 +39,7 @@
   return requestId;
 }
 
-void GatewayCore::clientLeft(TimePoint now, RequestId requestId) {
+void GatewayCore::clientDisconnected(TimePoint now, RequestId requestId) {
   now_ = now;
   if (!requests_.markAnswered(requestId)) return;
   engine_.clientLeft(now, requestId);
@@ -54,17 +54,17 @@
   if (!attempt) return;
   request->endAttempt(*attempt);
   hosts_.attemptEnded(attempt->host);
-  const bool hasAnswer = outcome == Outcome::ok || response.answeredByAdapter;
-  const bool isFirstAnswer = hasAnswer && requests_.markAnswered(requestId) != nullptr;
-  if (isFirstAnswer && !response.answeredByAdapter)
-    transport_.answerOk(request->client, response.body, response.contentType);
+  const bool hasResponse = outcome == Outcome::ok || response.forwardedByAdapter;
+  const bool isFirstResponse = hasResponse && requests_.markAnswered(requestId) != nullptr;
+  if (isFirstResponse && !response.forwardedByAdapter)
+    transport_.sendResponse(request->client, response.body, response.contentType);
   const AttemptResult result{
       .requestId = requestId,
       .attemptNumber = attemptNumber,
       .host = attempt->host,
       .outcome = outcome,
       .requestAnswered = request->state == PendingRequest::State::answered,
-      .duration = response.took.value_or(now - attempt->startedAt),
+      .duration = response.duration.value_or(now - attempt->startedAt),
       .trueUnits = outcome == Outcome::ok ? response.trueUnits : 0,
       .load = response.load,
   };
@@ -72,7 +72,7 @@
   finishInput(now, requestId);
 }
 
-bool GatewayCore::isPending(RequestId requestId) {
+bool GatewayCore::clientAwaitsAnswer(RequestId requestId) {
   const PendingRequest* const request = requests_.find(requestId);
   return request && request->state == PendingRequest::State::unanswered &&
          transport_.clientConnected(request->client);
@@ -83,22 +83,22 @@
 void GatewayCore::startAttempt(RequestId requestId, HostId host, AttemptDeadline deadline) {
   PendingRequest* const request = requests_.find(requestId);
   if (!request) return;
-  // A client may have hung up although the event loop, running late, has not handled the hang-up yet. The
-  // engine still gets an attempt that ends, as not sent, but no host works for a client that is gone.
-  const bool clientGone = !isPending(requestId);
-  if (clientGone) deferred_.add(ClientGone{requestId});
+  // A client may have disconnected before a late event loop has handled the disconnection. The engine is then
+  // told that the attempt ended as not sent, and no host does work for a disconnected client.
+  const bool clientIsDisconnected = !clientAwaitsAnswer(requestId);
+  if (clientIsDisconnected) deferred_.add(ClientDisconnected{requestId});
   const AttemptNumber attemptNumber = request->addAttempt(host, now_);
   hosts_.attemptStarted(host);
   deadline.abandonAt = std::min(deadline.abandonAt, request->deadline);
-  AttemptStart started = Outcome::notSent;
-  if (!clientGone)
+  AttemptStartResult started = Outcome::notSent;
+  if (!clientIsDisconnected)
     started = transport_.startAttempt(requestId, attemptNumber, request->client, host, deadline);
   if (const Outcome* const outcome = std::get_if<Outcome>(&started)) {
-    deferred_.add(AttemptEndedAtOnce{requestId, attemptNumber, *outcome});
+    deferred_.add(AttemptEndedImmediately{requestId, attemptNumber, *outcome});
     return;
   }
   request->attempts[attemptNumber.value].connection = std::get<SlotRef>(started);
-  // At the request's own deadline its timer gives up all attempts.
+  // At the request's own deadline, the request's timer abandons all its attempts.
   if (enforcesDeadlines_ && deadline.abandonAt < request->deadline)
     deadlines_.add(deadline.abandonAt, [this, requestId, attemptNumber](TimePoint now) {
       abandonAttempt(now, requestId, attemptNumber, Outcome::noAnswer);
@@ -106,17 +106,17 @@
 }
 
 void GatewayCore::cancel(RequestId requestId, AttemptNumber attemptNumber) {
-  deferred_.add(AttemptAbandoned{requestId, attemptNumber, Outcome::cancelled});
+  deferred_.add(AttemptToAbandon{requestId, attemptNumber, Outcome::cancelled});
 }
 
 void GatewayCore::reject(RequestId requestId, Duration retryAfter) {
   if (const PendingRequest* const request = requests_.markAnswered(requestId))
-    transport_.answerRejected(request->client, retryAfter);
+    transport_.sendRejection(request->client, retryAfter);
 }
 
 void GatewayCore::fail(RequestId requestId) {
   if (const PendingRequest* const request = requests_.markAnswered(requestId))
-    transport_.answerFailed(request->client);
+    transport_.sendFailure(request->client);
 }
 
 // ---- Deadlines ----
@@ -131,19 +131,19 @@
   });
 }
 
-DeadlineQueue::Ticket GatewayCore::addAnswerDeadlineTimer(TimePoint deadline, RequestId requestId) {
+DeadlineQueue::Handle GatewayCore::addAnswerDeadlineTimer(TimePoint deadline, RequestId requestId) {
   return deadlines_.add(deadline,
                         [this, requestId](TimePoint now) { answerDeadlineReached(now, requestId); });
 }
 
-// Gives up the attempts in flight, upon which the engine answers. Fails a request that the engine leaves
-// unanswered all the same, so that no request is lost.
+// Abandons the attempts in flight, after which the engine normally answers the request. Fails the request if
+// the engine has not, so that every request gets an answer.
 void GatewayCore::answerDeadlineReached(TimePoint now, RequestId requestId) {
   if (enforcesDeadlines_)
     for (std::uint32_t number = 0; number < requests_.attemptCount(requestId); ++number)
       abandonAttempt(now, requestId, {number}, Outcome::noAnswer);
   if (const PendingRequest* const request = requests_.markAnswered(requestId)) {
-    transport_.answerFailed(request->client);
+    transport_.sendFailure(request->client);
     engine_.clientLeft(now, requestId);
   }
   finishInput(now, requestId);
@@ -166,9 +166,9 @@
 }
 
 void GatewayCore::counterCallEnded(TimePoint now, const CounterKey& counter, CounterCallOutcome outcome,
-                                   double total, Duration took) {
+                                   double total, Duration duration) {
   now_ = now;
-  engine_.counterCallEnded(now, counter, outcome, total, took);
+  engine_.counterCallEnded(now, counter, outcome, total, duration);
   finishInput(now, std::nullopt);
 }
 
@@ -186,7 +186,7 @@
   now_ = now;
   const std::vector<HostUpdate> updates = applyEndpoints(now, endpoints.entries);
   if (endpoints.complete) {
-    hosts_.removeUnlisted(now, updates);
+    hosts_.markUnlistedGone(now, updates);
     engine_.allHostsUpdated(now, updates);
   } else {
     engine_.hostsUpdated(now, updates);
@@ -213,7 +213,7 @@
   return updates;
 }
 
-// By HostId: false for a host that the list names as not serving, or that a complete list does not name.
+// Indexed by HostId: false for a host that the list marks as not serving or that a complete list omits.
 std::vector<bool> GatewayCore::servingHosts(const config::EndpointList& endpoints,
                                             const std::vector<HostUpdate>& updates) const {
   std::vector<bool> isServing(hosts_.size(), !endpoints.complete);
@@ -221,23 +221,23 @@
   return isServing;
 }
 
-// An attempt whose connection is still being set up would reach its host only after the host began to drain,
-// and a draining host takes no new requests.
+// Abandons attempts that are still unsent to hosts that no longer serve: they would reach the host after it
+// began to drain, and a draining host accepts no new requests.
 void GatewayCore::deferAbandoningUnsent(const std::vector<bool>& isServing) {
   requests_.forEach([&](RequestId requestId, const PendingRequest& request) {
     for (std::uint32_t number = 0; number < request.attempts.size(); ++number) {
       const Attempt& attempt = request.attempts[number];
       if (attempt.state != Attempt::State::inFlight || isServing[attempt.host.value]) continue;
       if (transport_.isUnsent(attempt.connection))
-        deferred_.add(AttemptAbandoned{requestId, {number}, Outcome::notSent});
+        deferred_.add(AttemptToAbandon{requestId, {number}, Outcome::notSent});
     }
   });
 }
 
 // ---- The end of each input ----
 
-// Runs after every call of the engine: handles what was deferred meanwhile, in order, and drops the request
-// that the input was about once it is answered and has no attempt in flight.
+// Runs after every call to the engine: handles the deferred events in order, then drops the request that the
+// input concerned if it is answered and has no attempt in flight.
 void GatewayCore::finishInput(TimePoint now, std::optional<RequestId> requestId) {
   deferred_.drain([this, now](const auto& event) { handle(now, event); });
   if (!requestId) return;
@@ -248,8 +248,8 @@
   requests_.drop(*requestId);
 }
 
-// Gives up the unsent attempts of a request that has its answer or whose client has left: their results would
-// be discarded. Attempts that are already sent run to their end.
+// Abandons the unsent attempts of a request that is answered or whose client has disconnected, because their
+// results would be discarded. Attempts that are already sent run to completion.
 void GatewayCore::abandonAttemptsOfAnswered(TimePoint now, RequestId requestId) {
   for (std::uint32_t number = 0; number < requests_.attemptCount(requestId); ++number) {
     PendingRequest& request = *requests_.find(requestId);
@@ -260,15 +260,15 @@
   }
 }
 
-void GatewayCore::handle(TimePoint now, const ClientGone& event) {
-  clientLeft(now, event.requestId);
+void GatewayCore::handle(TimePoint now, const ClientDisconnected& event) {
+  clientDisconnected(now, event.requestId);
 }
 
-void GatewayCore::handle(TimePoint now, const AttemptEndedAtOnce& event) {
+void GatewayCore::handle(TimePoint now, const AttemptEndedImmediately& event) {
   attemptEnded(now, event.requestId, event.attemptNumber, event.outcome);
 }
 
-void GatewayCore::handle(TimePoint now, const AttemptAbandoned& event) {
+void GatewayCore::handle(TimePoint now, const AttemptToAbandon& event) {
   abandonAttempt(now, event.requestId, event.attemptNumber, event.outcome);
 }
 
--- a/src/simulator_adapter/gateway_instance.cpp
+++ b/src/simulator_adapter/gateway_instance.cpp
@@ -61,7 +61,7 @@
 void GatewayInstance::handleClientLeft(WireRequestId id, TimePoint now) {
   const auto request = requestIds_.find(id);
   if (request == requestIds_.end()) return;
-  core_.clientLeft(now, request->second);
+  core_.clientDisconnected(now, request->second);
   forgetIfEnded(request);
 }
 
@@ -73,8 +73,8 @@
   core::UpstreamResponse response;
   response.trueUnits = end.trueUnits;
   response.load = end.load;
-  response.took = end.took;
-  response.answeredByAdapter = end.clientAnswered;
+  response.duration = end.took;
+  response.forwardedByAdapter = end.clientAnswered;
   core_.attemptEnded(now, request->second, end.attempt, end.outcome, response);
   forgetIfEnded(request);
 }
@@ -100,13 +100,13 @@
 }
 
 // The simulator hands a host's answer to the client itself.
-void GatewayInstance::answerOk(SlotRef, std::string_view, std::string_view) {}
+void GatewayInstance::sendResponse(SlotRef, std::string_view, std::string_view) {}
 
-void GatewayInstance::answerRejected(SlotRef client, Duration retryAfter) {
+void GatewayInstance::sendRejection(SlotRef client, Duration retryAfter) {
   writer_.reject(wireIdOf(client), retryAfter);
 }
 
-void GatewayInstance::answerFailed(SlotRef client) {
+void GatewayInstance::sendFailure(SlotRef client) {
   writer_.fail(wireIdOf(client));
 }
 
