--- a/src/config/policy_settings_reader.cpp
+++ b/src/config/policy_settings_reader.cpp
@@ -10,14 +10,14 @@
 
 constexpr double kMillisecondsPerSecond = 1000;
 
-Repeat repeatNamed(std::string_view effect) {
-  if (effect == "free") return Repeat::idempotent;
-  return effect == "guarded" ? Repeat::deduplicated : Repeat::nonIdempotent;
+Idempotency repeatNamed(std::string_view effect) {
+  if (effect == "free") return Idempotency::idempotent;
+  return effect == "guarded" ? Idempotency::deduplicated : Idempotency::nonIdempotent;
 }
 
-Group groupNamed(std::string_view group) {
-  if (group == "all") return Group::all;
-  return group == "zone" ? Group::zone : Group::cell;
+DeduplicationScope groupNamed(std::string_view group) {
+  if (group == "all") return DeduplicationScope::all;
+  return group == "zone" ? DeduplicationScope::zone : DeduplicationScope::cell;
 }
 
 Method readMethod(const Fields& method) {
@@ -96,7 +96,7 @@
   if (name == "outstanding" || name == "inflight") load.inFlight = value;
   if (name == "backlog" || name == "queue") load.queued = value;
   if (name == "recent_ms" || name == "latency_ms") load.serviceSeconds = value / kMillisecondsPerSecond;
-  if (name == "throughput" || name == "qps") load.answersPerSecond = value;
+  if (name == "throughput" || name == "qps") load.responsesPerSecond = value;
   if (name == "utilization" || name == "util") load.utilization = value;
 }
 
--- a/src/config/toml_table.hpp
+++ b/src/config/toml_table.hpp
@@ -74,7 +74,7 @@
                           [](const toml::node& node) -> std::optional<Duration> {
                             const auto value = secondsOf(node);
                             if (!value) return {};
-                            return durationOf(*value);
+                            return durationFromSeconds(*value);
                           });
   }
   /// Seconds, either one time or the least and the most.
--- a/src/emulator/client_population.cpp
+++ b/src/emulator/client_population.cpp
@@ -59,7 +59,7 @@
   const Scenario& scenario = run_.scenario();
   const double rate = scenario.rate * faults_.factor(FaultKind::loadBurst);
   const Duration gap =
-      rate > 0 ? durationOf(std::min(kMaxArrivalGap, arrivals_.exponential(1 / rate))) : kIdlePoll;
+      rate > 0 ? durationFromSeconds(std::min(kMaxArrivalGap, arrivals_.exponential(1 / rate))) : kIdlePoll;
   const TimePoint at = run_.now() + gap;
   if (at > kRunStart + scenario.length) return;
   run_.events().at(at, [this, rate] {
@@ -166,9 +166,9 @@
 // Whether a client may send a request again that may have been served: it must have no second effect.
 ClientPopulation::Retry ClientPopulation::retryAfterFailure(const ClientRequest& request) const {
   const ScenarioMethod& method = run_.scenario().methods[request.method];
-  const bool deduplicated = method.repeat == Repeat::deduplicated && method.group == Group::all &&
+  const bool deduplicated = method.repeat == Idempotency::deduplicated && method.group == DeduplicationScope::all &&
                             run_.now() < request.startedAt + method.window;
-  return method.repeat == Repeat::idempotent || deduplicated ? Retry::allowed : Retry::forbidden;
+  return method.repeat == Idempotency::idempotent || deduplicated ? Retry::allowed : Retry::forbidden;
 }
 
 void ClientPopulation::countFailure() {
--- a/src/emulator/host_fleet.cpp
+++ b/src/emulator/host_fleet.cpp
@@ -63,7 +63,7 @@
   LoadReport load;
   load.inFlight = at.running + double(at.queue.size());
   load.queued = double(at.queue.size());
-  load.answersPerSecond = at.recentAnswers;
+  load.responsesPerSecond = at.recentAnswers;
   return load;
 }
 
--- a/src/emulator/invariant_checker.cpp
+++ b/src/emulator/invariant_checker.cpp
@@ -92,8 +92,8 @@
     violation(now, Invariant::lost, attemptId, "an answer that no host has made");
   if (how == Answer::rejected && mayHaveRun(*open)) {
     const ScenarioMethod& method = scenario_.methods[open->asked.method];
-    if (method.repeat == Repeat::nonIdempotent ||
-        (method.repeat == Repeat::deduplicated && method.group != Group::all))
+    if (method.repeat == Idempotency::nonIdempotent ||
+        (method.repeat == Idempotency::deduplicated && method.group != DeduplicationScope::all))
       violation(now, Invariant::duplicate, attemptId, "rejected though it may have run");
   }
   close(attemptId);
@@ -125,12 +125,12 @@
 bool InvariantChecker::mayRepeat(TimePoint now, const OpenRequest& open, std::uint32_t zone,
                                  std::int64_t cell) const {
   const ScenarioMethod& method = scenario_.methods[open.asked.method];
-  if (method.repeat == Repeat::idempotent) return true;
+  if (method.repeat == Idempotency::idempotent) return true;
   return std::all_of(open.attempts.begin(), open.attempts.end(), [&](const Attempt& attempt) {
     if (attempt.proven) return true;
-    if (method.repeat == Repeat::nonIdempotent || now >= attempt.sentAt + method.window) return false;
-    return method.group == Group::all ||
-           (method.group == Group::zone ? attempt.zone == zone : attempt.cell == cell);
+    if (method.repeat == Idempotency::nonIdempotent || now >= attempt.sentAt + method.window) return false;
+    return method.group == DeduplicationScope::all ||
+           (method.group == DeduplicationScope::zone ? attempt.zone == zone : attempt.cell == cell);
   });
 }
 
@@ -162,10 +162,10 @@
   const ScenarioMethod& method = scenario_.methods[open->asked.method];
   // Beside what the table allows: did the same effect really come twice?
   for (const Attempt& attempt : open->attempts) {
-    if (!attempt.ran || method.repeat == Repeat::idempotent) continue;
-    const bool dropped = method.repeat == Repeat::deduplicated && now < attempt.sentAt + method.window &&
-                         (method.group == Group::all ||
-                          (method.group == Group::zone ? attempt.zone == zone : attempt.cell == cell));
+    if (!attempt.ran || method.repeat == Idempotency::idempotent) continue;
+    const bool dropped = method.repeat == Idempotency::deduplicated && now < attempt.sentAt + method.window &&
+                         (method.group == DeduplicationScope::all ||
+                          (method.group == DeduplicationScope::zone ? attempt.zone == zone : attempt.cell == cell));
     if (dropped) return;
     ++runsTwice_;
     violation(now, Invariant::duplicate, attemptId, "its effect came twice");
--- a/src/emulator/scenario.hpp
+++ b/src/emulator/scenario.hpp
@@ -56,8 +56,8 @@
 /// A method that clients call.
 struct ScenarioMethod {
   std::string name;
-  Repeat repeat{};
-  Group group{};        ///< The hosts that discard repeats of a deduplicated request,
+  Idempotency repeat{};
+  DeduplicationScope group{};        ///< The hosts that discard repeats of a deduplicated request,
   Duration window{};    ///< and for how long.
   Duration soft{};      ///< Soft deadline: an answer after it is worth less.
   Duration deadline{};  ///< How long a client waits.
--- a/src/emulator/scenario_reader.cpp
+++ b/src/emulator/scenario_reader.cpp
@@ -59,8 +59,8 @@
 ScenarioMethod readMethod(TomlTable& table) {
   ScenarioMethod method{};
   method.name = table.text("name");
-  method.repeat = table.oneOf<Repeat>("repeat", Repeat::idempotent, kRepeats);
-  method.group = table.oneOf<Group>("group", Group::all, kGroups);
+  method.repeat = table.oneOf<Idempotency>("repeat", Idempotency::idempotent, kRepeats);
+  method.group = table.oneOf<DeduplicationScope>("group", DeduplicationScope::all, kGroups);
   method.window = table.duration("window", milliseconds(4000));
   method.soft = table.duration("soft", milliseconds(500));
   method.deadline = table.duration("deadline", milliseconds(2000));
--- a/src/gateway_core/gateway_core.cpp
+++ b/src/gateway_core/gateway_core.cpp
@@ -42,7 +42,7 @@
 void GatewayCore::clientLeft(TimePoint now, RequestId requestId) {
   now_ = now;
   if (!requests_.markAnswered(requestId)) return;
-  engine_.clientLeft(now, requestId);
+  engine_.clientDisconnected(now, requestId);
   finishInput(now, requestId);
 }
 
@@ -101,7 +101,7 @@
   // At the request's own deadline its timer gives up all attempts.
   if (enforcesDeadlines_ && deadline.abandonAt < request->deadline)
     deadlines_.add(deadline.abandonAt, [this, requestId, attemptNumber](TimePoint now) {
-      abandonAttempt(now, requestId, attemptNumber, Outcome::noAnswer);
+      abandonAttempt(now, requestId, attemptNumber, Outcome::noResponse);
     });
 }
 
@@ -141,10 +141,10 @@
 void GatewayCore::answerDeadlineReached(TimePoint now, RequestId requestId) {
   if (enforcesDeadlines_)
     for (std::uint32_t number = 0; number < requests_.attemptCount(requestId); ++number)
-      abandonAttempt(now, requestId, {number}, Outcome::noAnswer);
+      abandonAttempt(now, requestId, {number}, Outcome::noResponse);
   if (const PendingRequest* const request = requests_.markAnswered(requestId)) {
     transport_.answerFailed(request->client);
-    engine_.clientLeft(now, requestId);
+    engine_.clientDisconnected(now, requestId);
   }
   finishInput(now, requestId);
 }
@@ -172,7 +172,7 @@
   finishInput(now, std::nullopt);
 }
 
-void GatewayCore::wakeAt(TimePoint dueAt, TimerId timer) {
+void GatewayCore::setTimer(TimePoint dueAt, TimerId timer) {
   deadlines_.add(dueAt, [this, timer](TimePoint now) {
     now_ = now;
     engine_.timerFired(now, timer);
--- a/src/gateway_core/gateway_core.hpp
+++ b/src/gateway_core/gateway_core.hpp
@@ -78,7 +78,7 @@
   void reject(RequestId, Duration retryAfter) override;
   void fail(RequestId) override;
   void addToCounter(const CounterKey&, double units, Duration keepFor) override;
-  void wakeAt(TimePoint, TimerId) override;
+  void setTimer(TimePoint, TimerId) override;
   void report(EngineEvent event) override { transport_.report(event); }
 
   DeadlineQueue::Ticket addAnswerDeadlineTimer(TimePoint, RequestId);
--- a/src/lab/scenario_shrinker.cpp
+++ b/src/lab/scenario_shrinker.cpp
@@ -59,7 +59,7 @@
     double lastStart = 0;
     for (const Fault& fault : scenario_.faults) lastStart = std::max(lastStart, fault.from.most);
     const Duration shorter =
-        std::max({scaled(scenario_.length, 0.5), durationOf(lastStart + kSecondsAfterLastFault), kMinLength});
+        std::max({scaled(scenario_.length, 0.5), durationFromSeconds(lastStart + kSecondsAfterLastFault), kMinLength});
     if (shorter < scenario_.length) smaller_.emplace_back(scenario_).length = shorter;
   }
   void startFaultsEarlier() {
--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -35,7 +35,7 @@
 void CounterClient::addToCounter(const CounterKey& key, double units, Duration keepFor) {
   CounterConnection& connection = leastBusyConnection();
   const auto keepMs = std::chrono::duration_cast<std::chrono::milliseconds>(keepFor).count();
-  const char kind = key.kind == CounterKey::Kind::quotaUse ? kQuotaUseLetter : kInFlightTimeLetter;
+  const char kind = key.kind == CounterKey::Kind::quotaUsage ? kQuotaUseLetter : kInFlightTimeLetter;
   std::array<char, kMaxCallBytes> message{};
   const auto end = fmt::format_to_n(
       message.data(), message.size(),
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -124,7 +124,7 @@
   // If the host's machine has vanished, its idle connections are dead, too, though nothing has been heard of
   // it.
   if (!isUp()) owner_.closeIdle(host_);
-  finish(isUp() ? Outcome::noAnswer : Outcome::noConnection);
+  finish(isUp() ? Outcome::noResponse : Outcome::noConnection);
 }
 
 }  // namespace merlinbridge::net
--- a/src/net/upstream/upstream_outcome.cpp
+++ b/src/net/upstream/upstream_outcome.cpp
@@ -62,7 +62,7 @@
       return "error";
     case Outcome::rejected:
       return "rejected";
-    case Outcome::noAnswer:
+    case Outcome::noResponse:
       return "no answer";
     case Outcome::noConnection:
       return "no connection";
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /// Attempts that each gateway may have in flight while it does not know the other gateways' usage.
-constexpr double kMinDividedSlots = 1.0;
+constexpr double kMinDividedLimit = 1.0;
 
 }  // namespace
 
@@ -18,15 +18,15 @@
   return hasLimit && !hasQuota;
 }
 
-double ConcurrencyLimit::freeSlots(double limitFraction, double othersRate) const {
-  if (limitFraction < 1) return std::max(kMinDividedSlots, plan_.maxInFlight / gateways_) - inFlight_;
+double ConcurrencyLimit::remainingAttempts(double limitFraction, double othersRate) const {
+  if (limitFraction < 1) return std::max(kMinDividedLimit, plan_.maxInFlight / gateways_) - inFlight_;
   const double othersInFlight = publishesUsage(plan_) ? othersRate : 0;
   return plan_.maxInFlight - inFlight_ - othersInFlight;
 }
 
 bool ConcurrencyLimit::admits(double limitFraction, double othersRate, util::RandomSource& random) const {
   if (plan_.maxInFlight <= 0) return true;
-  return random.bernoulli(freeSlots(limitFraction, othersRate));
+  return random.bernoulli(remainingAttempts(limitFraction, othersRate));
 }
 
 void ConcurrencyLimit::attemptStarted() {
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -32,7 +32,7 @@
 
  private:
   /// Attempts that may start now; below 0 where too many are in flight.
-  double freeSlots(double limitFraction, double othersRate) const;
+  double remainingAttempts(double limitFraction, double othersRate) const;
 
   const Plan& plan_;
   const double gateways_;
--- a/src/policy/counter_exchange.cpp
+++ b/src/policy/counter_exchange.cpp
@@ -14,31 +14,32 @@
 constexpr double kMinTimeoutSeconds = 1e-3;
 
 // The pace of all gateways together, in calls per counter timeout; each gateway has an even part.
-constexpr double kInitialCalls = 12.0;  ///< At the start of a gateway.
-constexpr double kMaxCalls = 120.0;     ///< Upper bound.
-constexpr double kMinCalls = 0.6;       ///< Lower bound: calls that find out whether the service is back.
+constexpr double kInitialCallsPerTimeout = 12.0;  ///< At the start of a gateway.
+constexpr double kMaxCallsPerTimeout = 120.0;     ///< Upper bound.
+constexpr double kMinCallsPerTimeout =
+    0.6;  ///< Lower bound: calls that find out whether the service is back.
 
 /// An answer is late from this fraction of the counter timeout on; a call without an answer is late as well.
-constexpr double kLateAnswer = 0.5;
+constexpr double kLateResponseFraction = 0.5;
 
 /// Factor by which a late answer cuts the pace, once in a counter timeout at most.
-constexpr double kPaceCut = 0.7;
+constexpr double kPaceCutFactor = 0.7;
 
 /// An answer is quick below this fraction of the counter timeout.
-constexpr double kQuickAnswer = 0.25;
+constexpr double kQuickResponseFraction = 0.25;
 
 /// Calls per counter timeout by which a quick answer raises the pace; of the pace itself where that is
 /// below 1.
-constexpr double kPaceGain = 0.1;
+constexpr double kPaceIncrease = 0.1;
 
 }  // namespace
 
 CounterExchange::CounterExchange(EngineContext& context)
     : context_(context),
-      pacer_(kInitialCalls / context.settings.gateways, context.startedAt),
+      pacer_(kInitialCallsPerTimeout / context.settings.gateways, context.startedAt),
       health_(context) {}
 
-double CounterExchange::lookBack(const PolicySettings& settings) {
+double CounterExchange::lookBackSeconds(const PolicySettings& settings) {
   return kLookBackRounds * seconds(CounterHealth::roundLength(settings));
 }
 
@@ -46,7 +47,7 @@
   return customer.round.state == CounterRound::State::idle;
 }
 
-double CounterExchange::paceSeconds() const {
+double CounterExchange::pacePeriodSeconds() const {
   return std::max(kMinTimeoutSeconds, seconds(context_.settings.counterTimeout));
 }
 
@@ -56,7 +57,7 @@
   customer.ceiling.refill(context_.now);
 }
 
-void CounterExchange::schedule(CustomerState& customer) {
+void CounterExchange::scheduleCall(CustomerState& customer) {
   const bool hasQuota = customer.plan.rate > 0;
   const bool publishes = hasQuota || ConcurrencyLimit::publishesUsage(customer.plan);
   if (!context_.settings.hasCounter || !publishes) return;
@@ -74,11 +75,11 @@
 }
 
 void CounterExchange::drainQueue() {
-  pacer_.refill(context_.now, paceSeconds());
+  pacer_.refill(context_.now, pacePeriodSeconds());
   startDueCalls();
   if (queue_.empty() || drainScheduled_) return;
   drainScheduled_ = true;
-  context_.runAt(context_.now + pacer_.untilNext(paceSeconds()), [this] {
+  context_.runAt(context_.now + pacer_.untilNext(pacePeriodSeconds()), [this] {
     drainScheduled_ = false;
     drainQueue();
   });
@@ -98,7 +99,7 @@
   customer.round.requestedSinceCall = false;
   if (customer.bucket.isDivided()) refill(customer);
   const double units = customer.bucket.takeUnpublished();
-  const CounterKey key{CounterKey::Kind::quotaUse, customer.id, slotAt(context_.now)};
+  const CounterKey key{CounterKey::Kind::quotaUsage, customer.id, slotAt(context_.now)};
   pacer_.start();
   callsInFlight_.insert_or_assign(key, CallInFlight{&customer, units});
   context_.sink.addToCounter(key, units, countRetention());
@@ -121,30 +122,31 @@
   customer.round.state = CounterRound::State::idle;
   if (outcome != CounterCallOutcome::ok) {
     customer.bucket.returnUnpublished(call.units);
-    ++customer.round.failedInRow;
-    if (CounterHealth::unreachableAfter(customer.round.failedInRow)) customer.bucket.divide();
-    return schedule(customer);
+    ++customer.round.consecutiveFailures;
+    if (CounterHealth::unreachableAfter(customer.round.consecutiveFailures)) customer.bucket.divide();
+    return scheduleCall(customer);
   }
   refill(customer);
   customer.bucket.applyTotal(context_.now, slot, call.units, total);
-  customer.round.failedInRow = 0;
-  if (customer.round.requestedSinceCall) schedule(customer);
+  customer.round.consecutiveFailures = 0;
+  if (customer.round.requestedSinceCall) scheduleCall(customer);
 }
 
 void CounterExchange::adjustPace(CounterCallOutcome outcome, Duration duration) {
   const double gateways = context_.settings.gateways;
   const double pace = pacer_.callsPerPeriod();
   const bool answered = outcome == CounterCallOutcome::ok;
-  const double timeoutFraction = answered ? seconds(duration) / paceSeconds() : 1;
-  const bool isLate = timeoutFraction >= kLateAnswer;
-  const bool isQuick = timeoutFraction < kQuickAnswer;
+  const double timeoutFraction = answered ? seconds(duration) / pacePeriodSeconds() : 1;
+  const bool isLate = timeoutFraction >= kLateResponseFraction;
+  const bool isQuick = timeoutFraction < kQuickResponseFraction;
   // All gateways together make less than one call per timeout: the pace grows with any answer that is not
   // late.
   const bool paceIsLow = pace < 1.0 / gateways;
   if (isQuick || (!isLate && paceIsLow))
-    pacer_.raise(kPaceGain * std::min(1.0, pace), kMaxCalls / gateways);
+    pacer_.raise(kPaceIncrease * std::min(1.0, pace), kMaxCallsPerTimeout / gateways);
   else if (isLate)
-    pacer_.cut(kPaceCut, kMinCalls / gateways, context_.now, context_.settings.counterTimeout);
+    pacer_.cut(kPaceCutFactor, kMinCallsPerTimeout / gateways, context_.now,
+               context_.settings.counterTimeout);
 }
 
 }  // namespace merlinbridge::policy
--- a/src/policy/counter_exchange.hpp
+++ b/src/policy/counter_exchange.hpp
@@ -20,7 +20,7 @@
   explicit CounterExchange(EngineContext& context);
 
   /// Seconds over which a customer's use is remembered.
-  static double lookBack(const PolicySettings& settings);
+  static double lookBackSeconds(const PolicySettings& settings);
 
   /// Brings the customer's quota bucket and ceiling up to now, and divides the quota while the service is
   /// unreachable.
@@ -28,7 +28,7 @@
 
   /// A request of the customer has arrived: its units are exchanged now, or when the customer's last round is
   /// over. The customer must not be destroyed before idle() is true.
-  void schedule(CustomerState& customer);
+  void scheduleCall(CustomerState& customer);
 
   /// A call has ended. `total`: of the count after the call, where `outcome` is ok. `duration`: of the call.
   void callEnded(const CounterKey& key, CounterCallOutcome outcome, double total, Duration duration);
@@ -58,7 +58,7 @@
   /// Raises the pace after a quick answer, and cuts it after a late one or none.
   void adjustPace(CounterCallOutcome outcome, Duration duration);
   /// The counter timeout in seconds, above 0: the period that the pace counts calls in.
-  double paceSeconds() const;
+  double pacePeriodSeconds() const;
 
   EngineContext& context_;
   std::map<CounterKey, CallInFlight> callsInFlight_;
--- a/src/policy/counter_health.cpp
+++ b/src/policy/counter_health.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /// Length of a round, in counter timeouts.
-constexpr double kRoundTimeouts = 2.0;
+constexpr double kTimeoutsPerRound = 2.0;
 
 /// Rounds, and calls in a row, that must have failed. The source design's value.
 constexpr int kUnreachableAfterFailures = 3;
@@ -19,7 +19,7 @@
       notice_(EngineEvent::counterUnreachable, EngineEvent::counterRestored, slotLength()) {}
 
 Duration CounterHealth::roundLength(const PolicySettings& settings) {
-  return scaled(settings.counterTimeout, kRoundTimeouts);
+  return scaled(settings.counterTimeout, kTimeoutsPerRound);
 }
 
 bool CounterHealth::unreachableAfter(int failedRounds) {
@@ -28,17 +28,17 @@
 
 void CounterHealth::recordCall(CounterCallOutcome outcome) {
   if (outcome == CounterCallOutcome::ok) {
-    failuresInRow_ = 0;
+    consecutiveFailures_ = 0;
     lastSuccessAt_ = context_.now;
   } else {
-    ++failuresInRow_;
+    ++consecutiveFailures_;
   }
   notice_.set(unreachable(), context_.now, context_.sink);
 }
 
 bool CounterHealth::unreachable() const {
   const Duration sinceSuccess = context_.now - lastSuccessAt_;
-  return failuresInRow_ >= kUnreachableAfterFailures &&
+  return consecutiveFailures_ >= kUnreachableAfterFailures &&
          sinceSuccess > kUnreachableAfterFailures * roundLength(context_.settings);
 }
 
--- a/src/policy/counter_health.hpp
+++ b/src/policy/counter_health.hpp
@@ -27,8 +27,8 @@
 
  private:
   EngineContext& context_;
-  TimePoint lastSuccessAt_;  ///< Start of the process before the first success.
-  int failuresInRow_ = 0;    ///< Calls of any customer.
+  TimePoint lastSuccessAt_;      ///< Start of the process before the first success.
+  int consecutiveFailures_ = 0;  ///< Calls of any customer.
   StateNotice notice_;
 };
 
--- a/src/policy/customer_state.cpp
+++ b/src/policy/customer_state.cpp
@@ -8,8 +8,8 @@
                              const EngineContext& context)
     : id(customerId),
       plan(customerPlan),
-      bucket(customerPlan, gateways, context.settings.maxUnits, CounterExchange::lookBack(context.settings),
-             context.now),
+      bucket(customerPlan, gateways, context.settings.maxUnits,
+             CounterExchange::lookBackSeconds(context.settings), context.now),
       ceiling(customerPlan, gateways, context.startedAt),
       concurrency(customerPlan, gateways) {}
 
--- a/src/policy/customer_state.hpp
+++ b/src/policy/customer_state.hpp
@@ -20,7 +20,7 @@
 
   State state = State::idle;
   bool requestedSinceCall = false;  ///< Whether the customer has sent requests since the last call started.
-  int failedInRow = 0;              ///< Rounds whose call failed, since the last one that did not.
+  int consecutiveFailures = 0;      ///< Rounds whose call failed, since the last one that did not.
   TimePoint startedAt{};            ///< Start of the round: of its call.
 };
 
@@ -38,7 +38,7 @@
   HardCeiling ceiling;
   ConcurrencyLimit concurrency;
   CounterRound round;
-  TimePoint lastSeen{};  ///< Arrival of the customer's last request.
+  TimePoint lastRequestAt{};  ///< Arrival of the customer's last request.
 };
 
 }  // namespace merlinbridge::policy
--- a/src/policy/customer_table.hpp
+++ b/src/policy/customer_table.hpp
@@ -17,17 +17,17 @@
   explicit CustomerTable(const EngineContext& context) : context_(context) {}
 
   /// The state of the request's customer, made where there is none; marks the customer as seen now.
-  CustomerState& customerOf(const Request& request);
+  CustomerState& findOrCreate(const Request& request);
 
   /// Forgets idle customers, once in a slot of time at most.
   void sweep();
 
  private:
-  bool forgettable(const CustomerState& customer) const;
+  bool isExpired(const CustomerState& customer) const;
 
   const EngineContext& context_;
   std::map<CustomerId, CustomerState> customers_;
-  TimePoint sweptAt_{};
+  TimePoint lastSweepAt_{};
 };
 
 }  // namespace merlinbridge::policy
--- a/src/policy/decision_engine.cpp
+++ b/src/policy/decision_engine.cpp
@@ -33,22 +33,22 @@
 }
 
 void DecisionEngine::Impl::updateHost(const HostUpdate& update) {
-  const bool isFresh = hosts_.update(update);
+  const bool needsReset = hosts_.update(update);
   statistics_.add(update.host);
   outliers_.add(update.host);
   slowStart_.add(update.host);
   selection_.add(update.host);
-  if (!isFresh) return;
+  if (!needsReset) return;
   statistics_.reset(update.host);
   outliers_.reset(update.host);
   selection_.reset(update.host);
 }
 
 void DecisionEngine::Impl::admit(const Request& request) {
-  CustomerState& customer = customers_.customerOf(request);
+  CustomerState& customer = customers_.findOrCreate(request);
   exchange_.refill(customer);
-  exchange_.schedule(customer);
-  if (const auto retryAfter = exceededLimit(request, customer)) return reject(request, *retryAfter);
+  exchange_.scheduleCall(customer);
+  if (const auto retryAfter = retryAfterIfLimited(request, customer)) return reject(request, *retryAfter);
   if (!shedding_.admits(request)) return shed(request, statistics_.meanLatency());
   RequestInFlight& added = requests_.add(request, context_.now, customer);
   if (!startAttempt(added)) {
@@ -60,8 +60,8 @@
   customer.bucket.spend(request.units);
 }
 
-std::optional<double> DecisionEngine::Impl::exceededLimit(const Request& request,
-                                                          const CustomerState& customer) {
+std::optional<double> DecisionEngine::Impl::retryAfterIfLimited(const Request& request,
+                                                                const CustomerState& customer) {
   const QuotaBucket& bucket = customer.bucket;
   if (!bucket.admits(context_.now, request.units, context_.random)) return bucket.secondsUntil(request.units);
   if (!customer.concurrency.admits(bucket.quotaFraction(), bucket.othersRate(), context_.random))
@@ -72,7 +72,8 @@
 
 void DecisionEngine::Impl::reject(const Request& request, double retryAfterSeconds) {
   const PolicySettings& settings = context_.settings;
-  const Duration retryAfter = std::clamp(durationOf(retryAfterSeconds), Duration{0}, settings.maxRetryAfter);
+  const Duration retryAfter =
+      std::clamp(durationFromSeconds(retryAfterSeconds), Duration{0}, settings.maxRetryAfter);
   context_.sink.reject(request.requestId, settings.allowRetryAfter ? retryAfter : Duration{0});
 }
 
@@ -84,8 +85,8 @@
 
 std::optional<HostId> DecisionEngine::Impl::selectHost(const RequestInFlight& request) {
   return selection_.select(request.request, [&](HostId candidate) {
-    const bool sameAgain = !request.attempts.empty() && request.attempts.back().host() == candidate;
-    return !sameAgain && retries_.allowsHost(request, candidate);
+    const bool isPreviousHost = !request.attempts.empty() && request.attempts.back().host() == candidate;
+    return !isPreviousHost && retries_.allowsHost(request, candidate);
   });
 }
 
@@ -116,44 +117,44 @@
   request.attempts[result.attemptNumber.value].end(result.outcome);
   request.customer->concurrency.attemptEnded();
   statistics_.attemptEnded(result.host);
-  learnFrom(result, request);
-  account(result, request);
+  recordResult(result, request);
+  recordUsage(result, request);
   request.answered = request.answered || result.requestAnswered;
   const bool retried = !request.answered && retries_.allowsRetry(request) && startAttempt(request);
   if (request.hasAttemptInFlight()) return;
-  if (!request.answered && !retried) giveUp(request);
+  if (!request.answered && !retried) rejectOrFail(request);
   requests_.remove(request.request.requestId);
 }
 
-void DecisionEngine::Impl::learnFrom(const AttemptResult& result, const RequestInFlight& request) {
+void DecisionEngine::Impl::recordResult(const AttemptResult& result, const RequestInFlight& request) {
   if (result.outcome == Outcome::cancelled || result.outcome == Outcome::notSent) return;
   statistics_.recordOutcome(request.request, result);
   if (result.outcome == Outcome::noConnection || result.outcome == Outcome::lost)
     outliers_.recordUnreachable(result.host);
   if (result.outcome != Outcome::ok) return;
-  outliers_.recordAnswer(result.host);
+  outliers_.recordResponse(result.host);
   if (const auto load = usableLoad(result.load)) {
     const Method& method = context_.settings.methods[request.request.method.value];
     shedding_.recordLoad(*load, method);
     outliers_.recordLoad(result.host, *load, method);
   }
-  slowStart_.recordAnswer(result.host, request.request.units);
+  slowStart_.recordResponse(result.host, request.request.units);
 }
 
-void DecisionEngine::Impl::account(const AttemptResult& result, const RequestInFlight& request) {
+void DecisionEngine::Impl::recordUsage(const AttemptResult& result, const RequestInFlight& request) {
   CustomerState& customer = *request.customer;
-  if (ConcurrencyLimit::publishesUsage(customer.plan)) customer.bucket.recordUse(seconds(result.duration));
-  const bool statesTrueUnits = result.outcome == Outcome::ok && result.trueUnits > 0;
-  if (statesTrueUnits) customer.bucket.correct(result.trueUnits - request.request.units);
+  if (ConcurrencyLimit::publishesUsage(customer.plan)) customer.bucket.recordUsage(seconds(result.duration));
+  const bool hasTrueUnits = result.outcome == Outcome::ok && result.trueUnits > 0;
+  if (hasTrueUnits) customer.bucket.correct(result.trueUnits - request.request.units);
 }
 
-void DecisionEngine::Impl::giveUp(RequestInFlight& request) {
+void DecisionEngine::Impl::rejectOrFail(RequestInFlight& request) {
   request.answered = true;
-  if (retries_.clientMayRepeat(request)) return reject(request.request, 0);
+  if (retries_.clientMayRetry(request)) return reject(request.request, 0);
   context_.sink.fail(request.request.requestId);
 }
 
-void DecisionEngine::Impl::endClient(RequestId id) {
+void DecisionEngine::Impl::markAnswered(RequestId id) {
   if (RequestInFlight* const request = requests_.find(id)) request->answered = true;
 }
 
@@ -162,7 +163,7 @@
   exchange_.callEnded(key, outcome, total, duration);
 }
 
-void DecisionEngine::Impl::fire(TimerId timer) {
+void DecisionEngine::Impl::fireTimer(TimerId timer) {
   context_.timers.fire(timer);
 }
 
@@ -183,11 +184,11 @@
   if (statistics_.inFlight() > 0 || shedding_.active()) scheduleSweep();
 }
 
-RequestTable::Check DecisionEngine::Impl::checkAttempt(RequestInFlight& request, AttemptNumber number) {
+RequestTable::CheckResult DecisionEngine::Impl::checkAttempt(RequestInFlight& request, AttemptNumber number) {
   const Attempt& attempt = request.attempts[number.value];
-  if (!statistics_.overdue(attempt.host(), attempt.startedAt())) return RequestTable::Check::again;
+  if (!statistics_.overdue(attempt.host(), attempt.startedAt())) return RequestTable::CheckResult::again;
   handleOverdue(request, number);
-  return RequestTable::Check::done;
+  return RequestTable::CheckResult::done;
 }
 
 void DecisionEngine::Impl::handleOverdue(RequestInFlight& request, AttemptNumber number) {
--- a/src/policy/engine_context.cpp
+++ b/src/policy/engine_context.cpp
@@ -15,7 +15,7 @@
 
 void EngineContext::runAt(TimePoint at, util::TimerTable::Callback callback) {
   const TimerId timer = timers.add(std::move(callback));
-  sink.wakeAt(std::max(at, now), timer);
+  sink.setTimer(std::max(at, now), timer);
 }
 
 }  // namespace merlinbridge::policy
--- a/src/policy/engine_impl.hpp
+++ b/src/policy/engine_impl.hpp
@@ -30,16 +30,16 @@
   /// Ignores the result of an attempt that is unknown or has ended.
   void endAttempt(const AttemptResult& result);
   /// Marks the request as answered, so that nothing further is started for it. Ignores an unknown request.
-  void endClient(RequestId id);
+  void markAnswered(RequestId id);
   void endCounterCall(const CounterKey& key, CounterCallOutcome outcome, double total, Duration duration);
-  void fire(TimerId timer);
+  void fireTimer(TimerId timer);
 
  private:
   void updateHost(const HostUpdate& update);
 
   /// Checks the customer's limits, quota first, then those that need no counter service. Returns the seconds
   /// until the request may be repeated where one of them rejects it, empty where all admit it.
-  std::optional<double> exceededLimit(const Request& request, const policy::CustomerState& customer);
+  std::optional<double> retryAfterIfLimited(const Request& request, const policy::CustomerState& customer);
   void reject(const Request& request, double retryAfterSeconds);
   /// Rejects the request for lack of capacity.
   void shed(const Request& request, double retryAfterSeconds);
@@ -50,11 +50,11 @@
   /// Starts a retry where the attempt's end calls for one, and removes the request with its last attempt.
   void finishAttempt(policy::RequestInFlight& request, const AttemptResult& result);
   /// Hands the result on to what learns about hosts.
-  void learnFrom(const AttemptResult& result, const policy::RequestInFlight& request);
+  void recordResult(const AttemptResult& result, const policy::RequestInFlight& request);
   /// Corrects the customer's use by what the result states.
-  static void account(const AttemptResult& result, const policy::RequestInFlight& request);
+  static void recordUsage(const AttemptResult& result, const policy::RequestInFlight& request);
   /// Gives the request its final answer, after its last attempt has ended without one.
-  void giveUp(policy::RequestInFlight& request);
+  void rejectOrFail(policy::RequestInFlight& request);
 
   /// Deals with an attempt whose answer is not expected any more, whatever swallowed it: hedges the request
   /// where two attempts may be in flight, else cancels the attempt, whose end then leads to a retry. The cost
@@ -66,7 +66,7 @@
   /// Checks what only time brings about: overdue attempts, changed capacity, idle customers. Repeated while
   /// attempts are in flight or load is shed.
   void sweep();
-  policy::RequestTable::Check checkAttempt(policy::RequestInFlight& request, AttemptNumber number);
+  policy::RequestTable::CheckResult checkAttempt(policy::RequestInFlight& request, AttemptNumber number);
 
   policy::EngineContext context_;
   util::HostTable hosts_;
--- a/src/policy/host_selection.cpp
+++ b/src/policy/host_selection.cpp
@@ -8,7 +8,7 @@
 
 /// Bound of the factor by which a host's relative speed, squared, counts in its weight: from 1 / this to
 /// this.
-constexpr double kMaxSpeedWeight = 4.0;
+constexpr double kMaxSpeedFactor = 4.0;
 
 }  // namespace
 
@@ -20,17 +20,17 @@
 void HostSelection::add(HostId host) {
   if (host.value < credit_.size()) return;
   credit_.resize(host.value + 1);
-  unplaced_.resize(host.value + 1);
+  needsInitialCredit_.resize(host.value + 1);
 }
 
 void HostSelection::reset(HostId host) {
-  unplaced_[host.value] = 1;
+  needsInitialCredit_[host.value] = 1;
 }
 
 double HostSelection::weight(HostId host) const {
   const double ramp = slowStart_.rampFactor(host);
   const double speed = statistics_.relativeSpeed(host);
-  return ramp * ramp * std::clamp(speed * speed, 1 / kMaxSpeedWeight, kMaxSpeedWeight);
+  return ramp * ramp * std::clamp(speed * speed, 1 / kMaxSpeedFactor, kMaxSpeedFactor);
 }
 
 bool HostSelection::hasFreeCapacity(HostId host, const Method& method) const {
@@ -38,19 +38,19 @@
   return statistics_.inFlight(host) + 1 <= capacity;
 }
 
-bool HostSelection::available(HostId host, const Request& request) {
+bool HostSelection::isAvailable(HostId host, const Request& request) {
   const Method& method = context_.settings.methods[request.method.value];
   if (outliers_.ejected(host) || statistics_.unresponsive(host)) return false;
   if (!hasFreeCapacity(host, method)) return false;
-  const double trusted = statistics_.successFraction(host, request.method, request.plan);
-  return trusted >= 1 || context_.random.bernoulli(trusted);
+  const double sendProbability = statistics_.successFraction(host, request.method, request.plan);
+  return sendProbability >= 1 || context_.random.bernoulli(sendProbability);
 }
 
 void HostSelection::addCandidate(HostId host) {
   const double hostWeight = weight(host);
   double& credit = credit_[host.value];
-  const bool isUnplaced = std::exchange(unplaced_[host.value], 0) != 0;
-  if (isUnplaced) credit = -hosts_.servingCount() * context_.random.uniform01();
+  const bool needsInitialCredit = std::exchange(needsInitialCredit_[host.value], 0) != 0;
+  if (needsInitialCredit) credit = -hosts_.servingCount() * context_.random.uniform01();
   credit += hostWeight;
   totalWeight_ += hostWeight;
   candidates_.push_back(host);
@@ -61,9 +61,9 @@
   totalWeight_ = 0;
   slowStart_.countRampedUpHosts();
   forEachHost(hosts_, [&](HostId host) {
-    if (hosts_.serving(host) && allowed(host) && available(host, request)) addCandidate(host);
+    if (hosts_.serving(host) && allowed(host) && isAvailable(host, request)) addCandidate(host);
   });
-  return takeTurn(request.units);
+  return chooseCandidate(request.units);
 }
 
 std::vector<HostId>::iterator HostSelection::highestCredit() {
@@ -71,7 +71,7 @@
                           [this](HostId a, HostId b) { return credit_[a.value] < credit_[b.value]; });
 }
 
-std::optional<HostId> HostSelection::takeTurn(double units) {
+std::optional<HostId> HostSelection::chooseCandidate(double units) {
   while (!candidates_.empty()) {
     const auto next = highestCredit();
     const HostId host = *next;
--- a/src/policy/host_selection.hpp
+++ b/src/policy/host_selection.hpp
@@ -41,7 +41,7 @@
   /// Whether the host may be sent the request now: not where it is ejected, unresponsive or full, and by
   /// chance not where it fails this kind of request. Draws at random for a host that has failed this kind of
   /// request.
-  bool available(HostId host, const Request& request);
+  bool isAvailable(HostId host, const Request& request);
   bool hasFreeCapacity(HostId host, const Method& method) const;
   /// Makes the host a candidate and adds its weight to its credit. Its place in the rotation is drawn the
   /// first time, so that many gateways do not give one host its turn at once: this gateway may just have
@@ -49,7 +49,7 @@
   void addCandidate(HostId host);
   /// Chooses the candidate with the highest credit that slow start admits. A host that warms up and has no
   /// budget left keeps its credit, and so its turn, until it has.
-  std::optional<HostId> takeTurn(double units);
+  std::optional<HostId> chooseCandidate(double units);
   std::vector<HostId>::iterator highestCredit();
 
   EngineContext& context_;
@@ -57,10 +57,10 @@
   const HostStatistics& statistics_;
   const OutlierDetection& outliers_;
   SlowStart& slowStart_;
-  std::vector<double> credit_;      ///< By HostId, in units of weight; the highest has the next turn.
-  std::vector<char> unplaced_;      ///< By HostId; 1: has had no turn since it came.
-  std::vector<HostId> candidates_;  ///< Of the present selection, in ascending order.
-  double totalWeight_ = 0;          ///< Of the candidates.
+  std::vector<double> credit_;            ///< By HostId, in units of weight; the highest has the next turn.
+  std::vector<char> needsInitialCredit_;  ///< By HostId; 1: has had no turn since it came.
+  std::vector<HostId> candidates_;        ///< Of the present selection, in ascending order.
+  double totalWeight_ = 0;                ///< Of the candidates.
 };
 
 }  // namespace merlinbridge::policy
--- a/src/policy/host_statistics.cpp
+++ b/src/policy/host_statistics.cpp
@@ -7,25 +7,25 @@
 namespace {
 
 /// Least weight of one answer in its host's latency, 0 to 1.
-constexpr double kLatencyGain = 0.06;
+constexpr double kMinLatencyGain = 0.06;
 
 /// Greatest weight of one answer in its host's latency, 0 to 1. Reached where the last answer is long ago.
 constexpr double kMaxLatencyGain = 0.3;
 
 /// Time constant, in seconds, by which the weight of an answer grows with the time since the last one.
-constexpr double kLatencySeconds = 10.0;
+constexpr double kLatencyDecaySeconds = 10.0;
 
 /// Weight of one answer in the mean latency of all hosts, 0 to 1.
-constexpr double kMeanLatencyGain = kLatencyGain / 4;
+constexpr double kMeanLatencyGain = kMinLatencyGain / 4;
 
 /// Time constant, in seconds, of the outcomes of one kind of request at a host.
-constexpr double kOutcomeSeconds = 20.0;
+constexpr double kOutcomeDecaySeconds = 20.0;
 
 /// Successes that are counted beside those seen, so that a host that only failed is tried again.
 constexpr double kOutcomePrior = 0.1;
 
 /// Time constant, in seconds, of the answers that are counted for a host's capacity.
-constexpr double kAnswerSeconds = 4.5;
+constexpr double kResponseDecaySeconds = 4.5;
 
 /// Least capacity of a host from its answers: attempts in flight, of all gateways together.
 constexpr double kMinCapacity = 3.0;
@@ -34,14 +34,14 @@
 constexpr double kSpareCapacity = 2.0;
 
 /// Time for which a request may wait at a host, as a fraction of the method's soft deadline.
-constexpr double kQueueTime = 0.2;
+constexpr double kQueueTimeFraction = 0.2;
 
 /// Mean latencies without a sign of a host that owes an answer, after which the host is unresponsive.
-constexpr double kUnresponsiveAfter = 5.0;
+constexpr double kUnresponsiveLatencies = 5.0;
 
 /// The silence of a host after which what it owes may be overdue, as a multiple of that until it is
 /// unresponsive.
-constexpr double kOverdueLimits = 2.0;
+constexpr double kOverdueFactor = 2.0;
 
 }  // namespace
 
@@ -51,8 +51,8 @@
   const std::size_t kinds = context_.settings.methods.size() + context_.settings.plans.size();
   latency_.resize(size);
   inFlight_.resize(size);
-  heardAt_.resize(size);
-  answers_.resize(size);
+  lastReceivedAt_.resize(size);
+  responses_.resize(size);
   outcomes_.resize(size, std::vector<Outcomes>(kinds));
 }
 
@@ -60,11 +60,11 @@
   std::vector<Outcomes>& outcomes = outcomes_[host.value];
   std::fill(outcomes.begin(), outcomes.end(), Outcomes{});
   latency_[host.value] = 0;
-  answers_[host.value] = {};
+  responses_[host.value] = {};
 }
 
 void HostStatistics::attemptStarted(HostId host) {
-  if (inFlight_[host.value] == 0) heardAt_[host.value] = context_.now;
+  if (inFlight_[host.value] == 0) lastReceivedAt_[host.value] = context_.now;
   ++inFlight_[host.value];
   ++totalInFlight_;
 }
@@ -80,32 +80,32 @@
   const bool ok = outcome == Outcome::ok;
   const bool rejected = outcome == Outcome::rejected;
   // A rejection goes by the plan, an error or a missing answer by the method.
-  if (ok || outcome == Outcome::error || outcome == Outcome::noAnswer)
-    recordKind(outcomesOf(host, request.method), ok);
-  if (ok || rejected) recordKind(outcomesOf(host, request.plan), ok);
-  const TimePoint heardBefore = heardAt_[host.value];
-  const bool hostWasHeard = outcome != Outcome::noAnswer && outcome != Outcome::noConnection;
-  if (hostWasHeard) heardAt_[host.value] = context_.now;
+  if (ok || outcome == Outcome::error || outcome == Outcome::noResponse)
+    countOutcome(outcomesOf(host, request.method), ok);
+  if (ok || rejected) countOutcome(outcomesOf(host, request.plan), ok);
+  const TimePoint previouslyReceivedAt = lastReceivedAt_[host.value];
+  const bool receivedFromHost = outcome != Outcome::noResponse && outcome != Outcome::noConnection;
+  if (receivedFromHost) lastReceivedAt_[host.value] = context_.now;
   if (!ok) return;
-  recordLatency(host, seconds(result.duration), heardBefore);
-  answers_[host.value].add(context_.now, kAnswerSeconds, 1);
-  allAnswers_.add(context_.now, kAnswerSeconds, 1);
+  recordLatency(host, seconds(result.duration), previouslyReceivedAt);
+  responses_[host.value].add(context_.now, kResponseDecaySeconds, 1);
+  allResponses_.add(context_.now, kResponseDecaySeconds, 1);
 }
 
-void HostStatistics::recordKind(Outcomes& outcomes, bool succeeded) const {
+void HostStatistics::countOutcome(Outcomes& outcomes, bool succeeded) const {
   util::DecayingCounter& counter = succeeded ? outcomes.succeeded : outcomes.failed;
-  counter.add(context_.now, kOutcomeSeconds, 1);
+  counter.add(context_.now, kOutcomeDecaySeconds, 1);
 }
 
 void HostStatistics::recordOverdue(HostId host, Duration elapsed) {
   recordLatency(host, seconds(elapsed), TimePoint{});
 }
 
-void HostStatistics::recordLatency(HostId host, double latencySeconds, TimePoint heardBefore) {
+void HostStatistics::recordLatency(HostId host, double latencySeconds, TimePoint previouslyReceivedAt) {
   double& latency = latency_[host.value];
   if (latency <= 0) latency = meanLatency_ > 0 ? meanLatency_ : latencySeconds;
-  const double age = seconds(context_.now - heardBefore);
-  const double gain = std::clamp(1 - std::exp(-age / kLatencySeconds), kLatencyGain, kMaxLatencyGain);
+  const double age = seconds(context_.now - previouslyReceivedAt);
+  const double gain = std::clamp(1 - std::exp(-age / kLatencyDecaySeconds), kMinLatencyGain, kMaxLatencyGain);
   latency += gain * (latencySeconds - latency);
   if (meanLatency_ <= 0) meanLatency_ = latencySeconds;
   meanLatency_ += kMeanLatencyGain * (latencySeconds - meanLatency_);
@@ -116,10 +116,11 @@
   return latency > 0 && meanLatency_ > 0 ? meanLatency_ / latency : 1;
 }
 
-bool HostStatistics::silentFor(HostId host, double limits) const {
-  const bool owesAnswer = inFlight_[host.value] > 0;
-  return owesAnswer && meanLatency_ > 0 &&
-         seconds(context_.now - heardAt_[host.value]) > limits * kUnresponsiveAfter * meanLatency_;
+bool HostStatistics::silentFor(HostId host, double limitFactor) const {
+  const bool awaitsResponse = inFlight_[host.value] > 0;
+  return awaitsResponse && meanLatency_ > 0 &&
+         seconds(context_.now - lastReceivedAt_[host.value]) >
+             limitFactor * kUnresponsiveLatencies * meanLatency_;
 }
 
 bool HostStatistics::unresponsive(HostId host) const {
@@ -128,10 +129,10 @@
 
 bool HostStatistics::overdue(HostId host, TimePoint startedAt) const {
   const double elapsed = seconds(context_.now - startedAt);
-  return silentFor(host, kOverdueLimits) && elapsed > kUnresponsiveAfter * meanLatency_;
+  return silentFor(host, kOverdueFactor) && elapsed > kUnresponsiveLatencies * meanLatency_;
 }
 
-std::size_t HostStatistics::indexOf(PlanId plan) const {
+std::size_t HostStatistics::outcomeIndex(PlanId plan) const {
   return context_.settings.methods.size() + plan.value;
 }
 
@@ -140,37 +141,40 @@
 }
 
 HostStatistics::Outcomes& HostStatistics::outcomesOf(HostId host, PlanId plan) {
-  return outcomes_[host.value][indexOf(plan)];
+  return outcomes_[host.value][outcomeIndex(plan)];
 }
 
 double HostStatistics::successFraction(const Outcomes& outcomes) const {
   if (!outcomes.failed.hasCounted()) return 1;
-  const double succeeded = outcomes.succeeded.read(context_.now, kOutcomeSeconds) + kOutcomePrior;
-  return succeeded / (succeeded + outcomes.failed.read(context_.now, kOutcomeSeconds));
+  const double succeeded = outcomes.succeeded.read(context_.now, kOutcomeDecaySeconds) + kOutcomePrior;
+  return succeeded / (succeeded + outcomes.failed.read(context_.now, kOutcomeDecaySeconds));
 }
 
 double HostStatistics::successFraction(HostId host, MethodId method, PlanId plan) const {
   const std::vector<Outcomes>& outcomes = outcomes_[host.value];
-  const double fraction = successFraction(outcomes[method.value]) * successFraction(outcomes[indexOf(plan)]);
+  const double fraction =
+      successFraction(outcomes[method.value]) * successFraction(outcomes[outcomeIndex(plan)]);
   // Squared: trust falls faster than successes do.
   return fraction * fraction;
 }
 
 double HostStatistics::capacity(HostId host, const Method& method) const {
   const double gateways = context_.settings.gateways;
-  const double answersPerSecond = answers_[host.value].read(context_.now, kAnswerSeconds) / kAnswerSeconds;
-  const double answeredInQueueTime = answersPerSecond * kQueueTime * seconds(method.softDeadline);
-  return std::max(kMinCapacity / gateways, answeredInQueueTime) + kSpareCapacity / gateways;
+  const double responsesPerSecond =
+      responses_[host.value].read(context_.now, kResponseDecaySeconds) / kResponseDecaySeconds;
+  const double responsesInQueueTime = responsesPerSecond * kQueueTimeFraction * seconds(method.softDeadline);
+  return std::max(kMinCapacity / gateways, responsesInQueueTime) + kSpareCapacity / gateways;
 }
 
 double HostStatistics::totalCapacity(const Method& method, double hosts) const {
-  const double queueTime = kQueueTime * seconds(method.softDeadline);
-  const double answersPerSecond = allAnswers_.read(context_.now, kAnswerSeconds) / kAnswerSeconds;
-  return std::max(kMinCapacity * hosts, answersPerSecond * queueTime) + kSpareCapacity * hosts;
+  const double queueTime = kQueueTimeFraction * seconds(method.softDeadline);
+  const double responsesPerSecond =
+      allResponses_.read(context_.now, kResponseDecaySeconds) / kResponseDecaySeconds;
+  return std::max(kMinCapacity * hosts, responsesPerSecond * queueTime) + kSpareCapacity * hosts;
 }
 
-double HostStatistics::reportedCapacity(double answersPerSecond, const Method& method) {
-  return answersPerSecond * kQueueTime * seconds(method.softDeadline) + kSpareCapacity;
+double HostStatistics::reportedCapacity(double responsesPerSecond, const Method& method) {
+  return responsesPerSecond * kQueueTimeFraction * seconds(method.softDeadline) + kSpareCapacity;
 }
 
 }  // namespace merlinbridge::policy
--- a/src/policy/host_statistics.hpp
+++ b/src/policy/host_statistics.hpp
@@ -50,9 +50,9 @@
   /// Whether an attempt that started at that time is likely lost, rather than queued at a slow host.
   bool overdue(HostId host, TimePoint startedAt) const;
 
-  /// Probability with which the host is trusted with a request of that method and plan: 1 where nothing went
-  /// wrong. A host may fail, leave unanswered or reject one method or one plan while it serves the rest. The
-  /// cost is that a host that is seen seldom loses some requests after one chance error.
+  /// Probability with which the host is sendProbability with a request of that method and plan: 1 where
+  /// nothing went wrong. A host may fail, leave unanswered or reject one method or one plan while it serves
+  /// the rest. The cost is that a host that is seen seldom loses some requests after one chance error.
   double successFraction(HostId host, MethodId method, PlanId plan) const;
 
   /// Attempts that this gateway may have in flight at the host, so that answers come within the method's soft
@@ -65,7 +65,7 @@
   double totalCapacity(const Method& method, double hosts) const;
 
   /// Requests that a host may have in flight from all gateways, if it answers so many per second.
-  static double reportedCapacity(double answersPerSecond, const Method& method);
+  static double reportedCapacity(double responsesPerSecond, const Method& method);
 
  private:
   /// Outcomes of one kind of request at one host, decaying.
@@ -75,26 +75,27 @@
   };
 
   /// Whether the host owes an answer and has sent nothing for so many times the limit of unresponsive().
-  bool silentFor(HostId host, double limits) const;
-  /// `heardBefore`: when the host last sent anything before this latency was measured.
-  void recordLatency(HostId host, double latencySeconds, TimePoint heardBefore);
-  void recordKind(Outcomes& outcomes, bool succeeded) const;
+  bool silentFor(HostId host, double limitFactor) const;
+  /// `previouslyReceivedAt`: when the host last sent anything before this latency was measured.
+  void recordLatency(HostId host, double latencySeconds, TimePoint previouslyReceivedAt);
+  void countOutcome(Outcomes& outcomes, bool succeeded) const;
   Outcomes& outcomesOf(HostId host, MethodId method);
   Outcomes& outcomesOf(HostId host, PlanId plan);
   /// Where a plan's outcomes are among those of a host.
-  std::size_t indexOf(PlanId plan) const;
+  std::size_t outcomeIndex(PlanId plan) const;
   /// The probability that one kind of request succeeds, 1 where none failed.
   double successFraction(const Outcomes& outcomes) const;
 
   const EngineContext& context_;
-  std::vector<double> latency_;     ///< By HostId, in seconds, smoothed; 0: unknown.
-  std::vector<int> inFlight_;       ///< By HostId, attempts.
-  std::vector<TimePoint> heardAt_;  ///< By HostId: last sign of the host, or the start of what it owes.
-  std::vector<util::DecayingCounter> answers_;   ///< By HostId.
-  std::vector<std::vector<Outcomes>> outcomes_;  ///< By HostId: by method, then by plan.
-  util::DecayingCounter allAnswers_;             ///< Of all hosts.
-  double meanLatency_ = 0;                       ///< Of all hosts, in seconds, smoothed; 0: unknown.
-  int totalInFlight_ = 0;                        ///< Attempts at all hosts.
+  std::vector<double> latency_;  ///< By HostId, in seconds, smoothed; 0: unknown.
+  std::vector<int> inFlight_;    ///< By HostId, attempts.
+  std::vector<TimePoint>
+      lastReceivedAt_;  ///< By HostId: last sign of the host, or the start of what it owes.
+  std::vector<util::DecayingCounter> responses_;  ///< By HostId.
+  std::vector<std::vector<Outcomes>> outcomes_;   ///< By HostId: by method, then by plan.
+  util::DecayingCounter allResponses_;            ///< Of all hosts.
+  double meanLatency_ = 0;                        ///< Of all hosts, in seconds, smoothed; 0: unknown.
+  int totalInFlight_ = 0;                         ///< Attempts at all hosts.
 };
 
 }  // namespace merlinbridge::policy
--- a/src/policy/load_shedding.cpp
+++ b/src/policy/load_shedding.cpp
@@ -9,16 +9,16 @@
 namespace {
 
 /// Utilization from which requests of priority 0 are rejected; those of priority 1 are from utilization 1.
-constexpr double kShedFrom = 0.6;
+constexpr double kSheddingThreshold = 0.6;
 
 /// Time constant, in seconds, of load reports.
-constexpr double kReportSeconds = 4.5;
+constexpr double kReportDecaySeconds = 4.5;
 
 /// Weight of the hosts' reports in the utilization, against 1 for what this gateway sees itself.
 constexpr double kReportWeight = 2.0;
 
 /// Utilization that one report counts for at most.
-constexpr double kMaxReported = 2.0;
+constexpr double kMaxReportedUtilization = 2.0;
 
 }  // namespace
 
@@ -33,15 +33,17 @@
 double LoadShedding::ownUtilization(MethodId method) const {
   const double hosts = hosts_.servingCount() / double(context_.settings.gateways);
   const double total = statistics_.totalCapacity(context_.settings.methods[method.value], hosts);
-  const double capacity = capacity_.empty() ? total : std::min(total, capacity_[method.value]);
+  const double capacity =
+      capacityByMethod_.empty() ? total : std::min(total, capacityByMethod_[method.value]);
   return capacity > 0 ? statistics_.inFlight() / capacity : 0;
 }
 
 double LoadShedding::utilization(MethodId method) const {
   const double own = ownUtilization(method);
-  const double reports = reports_.read(context_.now, kReportSeconds);
+  const double reports = reportCount_.read(context_.now, kReportDecaySeconds);
   if (reports < 1) return own;
-  const double weightedReported = kReportWeight * reportedLoad_.read(context_.now, kReportSeconds) / reports;
+  const double weightedReported =
+      kReportWeight * reportedUtilization_.read(context_.now, kReportDecaySeconds) / reports;
   return (own + weightedReported) / (1 + kReportWeight);
 }
 
@@ -60,7 +62,7 @@
 }
 
 bool LoadShedding::admits(const Request& request) const {
-  const double admittedBelow = kShedFrom + (1 - kShedFrom) * priority(request);
+  const double admittedBelow = kSheddingThreshold + (1 - kSheddingThreshold) * priority(request);
   return utilization(request.method) < admittedBelow;
 }
 
@@ -69,11 +71,12 @@
   notice_.set(true, context_.now, context_.sink);
 }
 
-void LoadShedding::recordLoad(const ReportedLoad& load, const Method& method) {
+void LoadShedding::recordLoad(const UsableLoad& load, const Method& method) {
   const double reportedUtilization =
-      load.inFlight / HostStatistics::reportedCapacity(load.answersPerSecond, method);
-  reports_.add(context_.now, kReportSeconds, 1);
-  reportedLoad_.add(context_.now, kReportSeconds, std::min(kMaxReported, reportedUtilization));
+      load.inFlight / HostStatistics::reportedCapacity(load.responsesPerSecond, method);
+  reportCount_.add(context_.now, kReportDecaySeconds, 1);
+  reportedUtilization_.add(context_.now, kReportDecaySeconds,
+                           std::min(kMaxReportedUtilization, reportedUtilization));
 }
 
 double LoadShedding::capacityOfHosts(const Method& method) const {
@@ -86,8 +89,8 @@
 }
 
 void LoadShedding::sweep() {
-  capacity_.clear();
-  for (const Method& method : context_.settings.methods) capacity_.push_back(capacityOfHosts(method));
+  capacityByMethod_.clear();
+  for (const Method& method : context_.settings.methods) capacityByMethod_.push_back(capacityOfHosts(method));
   const bool shedLately = context_.now - lastShedAt_ <= slotLength();
   if (!shedLately) notice_.set(false, context_.now, context_.sink);
 }
--- a/src/policy/load_shedding.hpp
+++ b/src/policy/load_shedding.hpp
@@ -29,7 +29,7 @@
 
   /// A host has stated its load with an answer. What one report counts for is bounded, so that a few
   /// overloaded hosts do not make all look full.
-  void recordLoad(const ReportedLoad& load, const Method& method);
+  void recordLoad(const UsableLoad& load, const Method& method);
 
   /// Counts the hosts' capacity anew, and reports the end of load shedding where nothing was rejected lately.
   /// To be called at intervals while active() or while attempts are in flight.
@@ -55,9 +55,10 @@
   const util::HostTable& hosts_;
   const HostStatistics& statistics_;
   const OutlierDetection& outliers_;
-  std::vector<double> capacity_;        ///< By MethodId: attempts at all hosts. Empty before the first sweep.
-  util::DecayingCounter reports_;       ///< Load reports.
-  util::DecayingCounter reportedLoad_;  ///< Sum of the utilization in them, 1 for a full host.
+  std::vector<double>
+      capacityByMethod_;               ///< By MethodId: attempts at all hosts. Empty before the first sweep.
+  util::DecayingCounter reportCount_;  ///< Load reports.
+  util::DecayingCounter reportedUtilization_;  ///< Sum of the utilization in them, 1 for a full host.
   TimePoint lastShedAt_{};
   StateNotice notice_;
 };
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -9,46 +9,46 @@
 namespace {
 
 /// First ejection of an unreachable host, in connect timeouts. It doubles at each failure in a row.
-constexpr double kEjectionTimeouts = 4.0;
+constexpr double kFirstEjectionTimeouts = 4.0;
 
 /// The longest ejection of an unreachable host, as a multiple of the first.
 constexpr double kMaxEjectionFactor = 32.0;
 
 /// An ejection is drawn from this factor to this factor plus 1 of its length, so that gateways do not come
 /// back at once.
-constexpr double kMinJitter = 0.5;
+constexpr double kMinJitterFactor = 0.5;
 
 }  // namespace
 
 void OutlierDetection::add(HostId host) {
   if (host.value < ejectedUntil_.size()) return;
   ejectedUntil_.resize(host.value + 1);
-  unreachableInRow_.resize(host.value + 1);
+  consecutiveFailures_.resize(host.value + 1);
 }
 
 void OutlierDetection::reset(HostId host) {
   ejectedUntil_[host.value] = TimePoint{};
-  unreachableInRow_[host.value] = 0;
+  consecutiveFailures_[host.value] = 0;
 }
 
 void OutlierDetection::recordUnreachable(HostId host) {
-  int& failures = unreachableInRow_[host.value];
+  int& failures = consecutiveFailures_[host.value];
   const double backoff = std::min(kMaxEjectionFactor, std::exp2(failures));
   ++failures;
-  const double factor = backoff * (kMinJitter + context_.random.uniform01());
-  eject(host, scaled(context_.settings.connectTimeout, kEjectionTimeouts * factor));
+  const double factor = backoff * (kMinJitterFactor + context_.random.uniform01());
+  eject(host, scaled(context_.settings.connectTimeout, kFirstEjectionTimeouts * factor));
 }
 
-void OutlierDetection::recordAnswer(HostId host) {
-  unreachableInRow_[host.value] = 0;
+void OutlierDetection::recordResponse(HostId host) {
+  consecutiveFailures_[host.value] = 0;
 }
 
-void OutlierDetection::recordLoad(HostId host, const ReportedLoad& load, const Method& method) {
-  const double answeredInTime = load.answersPerSecond * seconds(method.softDeadline);
-  if (load.queued <= 0 || load.inFlight <= answeredInTime) return;
-  const double answersToWaitFor = std::max(load.inFlight, double(context_.settings.gateways));
+void OutlierDetection::recordLoad(HostId host, const UsableLoad& load, const Method& method) {
+  const double responsesInTime = load.responsesPerSecond * seconds(method.softDeadline);
+  if (load.queued <= 0 || load.inFlight <= responsesInTime) return;
+  const double responsesToWaitFor = std::max(load.inFlight, double(context_.settings.gateways));
   const double longest = seconds(countRetention());
-  eject(host, durationOf(std::min(longest, answersToWaitFor / load.answersPerSecond)));
+  eject(host, durationFromSeconds(std::min(longest, responsesToWaitFor / load.responsesPerSecond)));
 }
 
 void OutlierDetection::eject(HostId host, Duration time) {
--- a/src/policy/outlier_detection.hpp
+++ b/src/policy/outlier_detection.hpp
@@ -32,21 +32,21 @@
   void recordUnreachable(HostId host);
 
   /// The host has answered: the next ejection starts from the shortest.
-  void recordAnswer(HostId host);
+  void recordResponse(HostId host);
 
   /// The host has stated its load with an answer.
   /// A queue need not be found out by each gateway: a host that has more in flight than it answers within the
   /// soft deadline is ejected until that is done and its rate has this gateway's turn. The cost is that a
   /// host that recovers early stays ejected.
-  void recordLoad(HostId host, const ReportedLoad& load, const Method& method);
+  void recordLoad(HostId host, const UsableLoad& load, const Method& method);
 
  private:
   /// Ejects the host for at least that time from now.
   void eject(HostId host, Duration time);
 
   EngineContext& context_;
-  std::vector<TimePoint> ejectedUntil_;  ///< By HostId; in the past: not ejected.
-  std::vector<int> unreachableInRow_;    ///< By HostId: failures since the last answer.
+  std::vector<TimePoint> ejectedUntil_;   ///< By HostId; in the past: not ejected.
+  std::vector<int> consecutiveFailures_;  ///< By HostId: failures since the last answer.
 };
 
 }  // namespace merlinbridge::policy
--- a/src/policy/quota_bucket.cpp
+++ b/src/policy/quota_bucket.cpp
@@ -11,64 +11,67 @@
 
 /// Weight of this gateway's share of the customer's use in its slice, 0 to 1; the rest of the slice is an
 /// even share.
-constexpr double kUseWeight = 0.3;
+constexpr double kOwnShareWeight = 0.3;
 
 /// The fraction of what the other gateways used per second that is taken off the copy before the next total.
 constexpr double kAnticipatedFraction = 0.5;
 
 /// Units by which a total may be below what this gateway added itself before the count is taken to be lost.
 /// Covers rounding of sums.
-constexpr double kTotalTolerance = 1e-3;
+constexpr double kTotalToleranceUnits = 1e-3;
 
 /// Seconds that a round is taken to have lasted at least, as a divisor.
 constexpr double kMinRoundSeconds = 1e-3;
 
 }  // namespace
 
-QuotaBucket::QuotaBucket(const Plan& plan, double gateways, double maxUnits, double lookBack, TimePoint now)
+QuotaBucket::QuotaBucket(const Plan& plan, double gateways, double maxUnits, double lookBackSeconds,
+                         TimePoint now)
     : plan_(plan),
       gateways_(gateways),
       maxUnits_(maxUnits),
-      lookBack_(lookBack),
+      lookBackSeconds_(lookBackSeconds),
       level_(plan.burst / gateways),
       refilledAt_(now),
-      roundAt_(now) {}
+      lastRoundAt_(now) {}
 
 double QuotaBucket::quotaFraction() const {
-  return copy_ == Copy::shared ? 1 : 1 / gateways_;
+  return copyState_ == CopyState::shared ? 1 : 1 / gateways_;
 }
 
 void QuotaBucket::refill(TimePoint now) {
   const double elapsed = seconds(now - refilledAt_);
-  const double slicePart = sliceFraction(now);
-  const double sliceRate = plan_.rate * slicePart;
-  const double anticipatedRate = std::min(plan_.rate * (1 - slicePart), kAnticipatedFraction * othersRate_);
-  const double anticipatedUse = quotaFraction() < 1 ? 0 : anticipatedRate * elapsed;
+  const double ownFraction = sliceFraction(now);
+  const double sliceRate = plan_.rate * ownFraction;
+  const double anticipatedRate = std::min(plan_.rate * (1 - ownFraction), kAnticipatedFraction * othersRate_);
+  const double anticipatedUsage = quotaFraction() < 1 ? 0 : anticipatedRate * elapsed;
   // A part of the bucket holds the largest request, though it fills no faster for it.
   const double capacity = std::max(plan_.burst * quotaFraction(), std::min(plan_.burst, maxUnits_));
-  level_ = std::min(capacity, level_ + plan_.rate * quotaFraction() * elapsed - anticipatedUse);
-  slice_ = std::min(plan_.burst * slicePart, slice_ + sliceRate * elapsed);
-  anticipated_ += anticipatedUse;
+  level_ = std::min(capacity, level_ + plan_.rate * quotaFraction() * elapsed - anticipatedUsage);
+  slice_ = std::min(plan_.burst * ownFraction, slice_ + sliceRate * elapsed);
+  anticipated_ += anticipatedUsage;
   refilledAt_ = now;
 }
 
 double QuotaBucket::sliceFraction(TimePoint now) const {
-  const double ownRate = (ownRate_ * lookBack_ + ownUse_) / (lookBack_ + seconds(now - roundAt_));
+  const double ownRate =
+      (ownRate_ * lookBackSeconds_ + ownUsage_) / (lookBackSeconds_ + seconds(now - lastRoundAt_));
   const double totalRate = ownRate + othersRate_;
   const double evenFraction = 1 / gateways_;
-  return totalRate > 0 ? kUseWeight * ownRate / totalRate + (1 - kUseWeight) * evenFraction : evenFraction;
+  return totalRate > 0 ? kOwnShareWeight * ownRate / totalRate + (1 - kOwnShareWeight) * evenFraction
+                       : evenFraction;
 }
 
 bool QuotaBucket::admits(TimePoint now, double units, util::RandomSource& random) const {
   if (plan_.rate <= 0) return true;
   // A new customer's first request passes, also while the counter service is unreachable: its burst, divided
   // by many gateways, may not hold one request.
-  if (copy_ != Copy::shared && !admittedInRound_) return units <= plan_.burst;
+  if (copyState_ != CopyState::shared && !admittedInRound_) return units <= plan_.burst;
   if (level_ >= units) return !admittedInRound_ || quotaFraction() < 1 || units <= slice_;
   // Where parts are smaller than a request and many gateways see a customer seldom: once the others may have
   // used more than this request since the last total, it passes by the fraction of it that is left.
-  const double othersMayHaveUsed = seconds(now - roundAt_) * std::min(othersRate_, plan_.rate);
-  const bool levelIsUncertain = quotaFraction() < 1 || othersMayHaveUsed >= units;
+  const double othersPossibleUsage = seconds(now - lastRoundAt_) * std::min(othersRate_, plan_.rate);
+  const bool levelIsUncertain = quotaFraction() < 1 || othersPossibleUsage >= units;
   return levelIsUncertain && random.bernoulli(level_ / units);
 }
 
@@ -76,7 +79,7 @@
   if (plan_.rate <= 0) return;
   level_ -= units;
   slice_ -= units;
-  recordUse(units);
+  recordUsage(units);
   admittedInRound_ = true;
 }
 
@@ -86,9 +89,9 @@
   unpublished_ += extraUnits;
 }
 
-void QuotaBucket::recordUse(double units) {
+void QuotaBucket::recordUsage(double units) {
   unpublished_ += units;
-  ownUse_ += units;
+  ownUsage_ += units;
 }
 
 double QuotaBucket::secondsUntil(double units) const {
@@ -97,16 +100,16 @@
 }
 
 void QuotaBucket::divide() {
-  if (copy_ == Copy::divided) return;
-  if (copy_ == Copy::shared) level_ /= gateways_;
-  copy_ = Copy::divided;
+  if (copyState_ == CopyState::divided) return;
+  if (copyState_ == CopyState::shared) level_ /= gateways_;
+  copyState_ = CopyState::divided;
 }
 
 double QuotaBucket::takeUnpublished() {
   // What the bucket has refilled since it was divided is not owed any more.
-  if (copy_ == Copy::divided) {
-    const double owed = std::max(0.0, plan_.burst / gateways_ - level_);
-    unpublished_ = std::min(unpublished_, owed);
+  if (copyState_ == CopyState::divided) {
+    const double notRefilled = std::max(0.0, plan_.burst / gateways_ - level_);
+    unpublished_ = std::min(unpublished_, notRefilled);
   }
   return std::exchange(unpublished_, 0);
 }
@@ -116,7 +119,7 @@
 }
 
 void QuotaBucket::applyTotal(TimePoint now, SlotId slot, double units, double total) {
-  if (copy_ == Copy::shared)
+  if (copyState_ == CopyState::shared)
     applyNextTotal(now, slot, units, total);
   else
     applyFirstTotal(now, slot, units, total);
@@ -126,60 +129,60 @@
 void QuotaBucket::applyNextTotal(TimePoint now, SlotId slot, double units, double total) {
   if (slot_ != slot) enterSlot(now, slot);
   ownInSlot_ += units;
-  const bool countWasLost = total < ownInSlot_ - kTotalTolerance;
+  const bool countWasLost = total < ownInSlot_ - kTotalToleranceUnits;
   if (countWasLost) {
     ownInSlot_ = units;
     othersInSlot_ = 0;
   }
   const double othersTotal = std::max(0.0, total - ownInSlot_);
-  const double othersNewUse = std::max(0.0, othersTotal - othersInSlot_);
+  const double othersNewUsage = std::max(0.0, othersTotal - othersInSlot_);
   othersInSlot_ = othersTotal;
-  level_ = std::clamp(level_ + anticipated_ - othersNewUse, -maxUnits_, plan_.burst);
+  level_ = std::clamp(level_ + anticipated_ - othersNewUsage, -maxUnits_, plan_.burst);
   anticipated_ = 0;
-  othersUse_ += othersNewUse;
+  othersUsage_ += othersNewUsage;
 }
 
 void QuotaBucket::enterSlot(TimePoint now, SlotId slot) {
   // What the other gateways added to the last slot after its last total is never read: it is taken to be as
   // much as was anticipated, which therefore stays off the level.
-  const double roundSeconds = std::max(kMinRoundSeconds, seconds(now - roundAt_));
+  const double roundSeconds = std::max(kMinRoundSeconds, seconds(now - lastRoundAt_));
   const double unreadSeconds = std::max(0.0, roundSeconds - secondsIntoSlot(now, slot));
   slot_ = slot;
   ownInSlot_ = 0;
   othersInSlot_ = 0;
   anticipated_ *= 1 - unreadSeconds / roundSeconds;
-  othersUse_ += othersRate_ * unreadSeconds;
+  othersUsage_ += othersRate_ * unreadSeconds;
 }
 
 void QuotaBucket::applyFirstTotal(TimePoint now, SlotId slot, double units, double total) {
   const double slotSeconds = secondsIntoSlot(now, slot);
   const double levelOfAllGateways =
       std::clamp(plan_.burst - total + plan_.rate * slotSeconds, 0.0, plan_.burst);
-  const double left = levelOfAllGateways - unpublished_;
-  level_ = copy_ == Copy::divided ? std::min(left, level_ * gateways_) : left;
-  copy_ = Copy::shared;
+  const double remainingUnits = levelOfAllGateways - unpublished_;
+  level_ = copyState_ == CopyState::divided ? std::min(remainingUnits, level_ * gateways_) : remainingUnits;
+  copyState_ = CopyState::shared;
   slot_ = slot;
   ownInSlot_ = units;
   othersInSlot_ = std::max(0.0, total - units);
   anticipated_ = 0;
-  othersUse_ = 0;
+  othersUsage_ = 0;
   // The bucket is taken to have been full when the slot began.
-  const double secondsOfUse = slotSeconds + (plan_.rate > 0 ? plan_.burst / plan_.rate : 0);
-  ownRate_ = ownUse_ / secondsOfUse;
-  othersRate_ = othersInSlot_ / secondsOfUse;
-  ownUse_ = 0;
-  roundAt_ = now;
+  const double usageSeconds = slotSeconds + (plan_.rate > 0 ? plan_.burst / plan_.rate : 0);
+  ownRate_ = ownUsage_ / usageSeconds;
+  othersRate_ = othersInSlot_ / usageSeconds;
+  ownUsage_ = 0;
+  lastRoundAt_ = now;
 }
 
 void QuotaBucket::endRound(TimePoint now) {
-  if (const double elapsed = seconds(now - roundAt_); elapsed > 0) {
-    const double gain = 1 - std::exp(-elapsed / lookBack_);
-    ownRate_ += gain * (ownUse_ / elapsed - ownRate_);
-    othersRate_ += gain * (othersUse_ / elapsed - othersRate_);
+  if (const double elapsed = seconds(now - lastRoundAt_); elapsed > 0) {
+    const double gain = 1 - std::exp(-elapsed / lookBackSeconds_);
+    ownRate_ += gain * (ownUsage_ / elapsed - ownRate_);
+    othersRate_ += gain * (othersUsage_ / elapsed - othersRate_);
   }
-  ownUse_ = 0;
-  othersUse_ = 0;
-  roundAt_ = now;
+  ownUsage_ = 0;
+  othersUsage_ = 0;
+  lastRoundAt_ = now;
   slice_ = sliceFraction(now) * std::max(0.0, level_);
   admittedInRound_ = false;
 }
--- a/src/policy/quota_bucket.hpp
+++ b/src/policy/quota_bucket.hpp
@@ -17,8 +17,9 @@
 class QuotaBucket {
  public:
   /// `gateways`: how many the customer's requests come through, at least 1. `maxUnits`: the largest cost of a
-  /// request. `lookBack`: seconds over which use is remembered, above 0. The plan must outlive this object.
-  QuotaBucket(const Plan& plan, double gateways, double maxUnits, double lookBack, TimePoint now);
+  /// request. `lookBackSeconds`: seconds over which use is remembered, above 0. The plan must outlive this
+  /// object.
+  QuotaBucket(const Plan& plan, double gateways, double maxUnits, double lookBackSeconds, TimePoint now);
 
   /// Brings level and slice up to that time. Call before any decision.
   /// Between rounds the copy refills by what the other gateways are likely to leave: a bucket that they drain
@@ -36,7 +37,7 @@
   void correct(double extraUnits);
 
   /// Publishes use with the next call, without spending it from this bucket.
-  void recordUse(double units);
+  void recordUsage(double units);
 
   /// Seconds until the copy holds so many units; 0 for a plan without a quota.
   double secondsUntil(double units) const;
@@ -48,7 +49,7 @@
   double othersRate() const { return othersRate_; }
 
   /// Whether this gateway keeps to its even part because the counter service is unreachable.
-  bool isDivided() const { return copy_ == Copy::divided; }
+  bool isDivided() const { return copyState_ == CopyState::divided; }
 
   /// The counter service is unreachable: from now on this gateway keeps to its even part. No effect where
   /// divided.
@@ -68,7 +69,7 @@
  private:
   /// What the copy stands for. unknown -> shared by applyTotal; unknown, shared -> divided by divide;
   /// divided -> shared by applyTotal.
-  enum class Copy {
+  enum class CopyState {
     unknown,  ///< No total of the counter service has come yet: an even part of the quota.
     shared,   ///< The whole quota; the use at all gateways is known as of the last total.
     divided   ///< An even part of the quota, since the counter service is unreachable.
@@ -85,22 +86,22 @@
 
   const Plan& plan_;
   const double gateways_;
-  const double maxUnits_;  ///< The largest cost of a request.
-  const double lookBack_;  ///< Seconds over which use is remembered.
+  const double maxUnits_;         ///< The largest cost of a request.
+  const double lookBackSeconds_;  ///< Seconds over which use is remembered.
 
-  Copy copy_ = Copy::unknown;
+  CopyState copyState_ = CopyState::unknown;
   double level_;  ///< Units left in the copy; below 0 after use that came to light late.
   TimePoint refilledAt_;
   double unpublished_ = 0;  ///< Units admitted here that no call has published.
 
-  TimePoint roundAt_;             ///< End of the last round.
+  TimePoint lastRoundAt_;         ///< End of the last round.
   double slice_ = 0;              ///< Units that this gateway may still admit in this round.
   bool admittedInRound_ = false;  ///< Whether a request was admitted since the last round.
 
   double ownRate_ = 0;      ///< Units per second used here, over the look-back.
-  double ownUse_ = 0;       ///< Units used here since the last round.
+  double ownUsage_ = 0;     ///< Units used here since the last round.
   double othersRate_ = 0;   ///< Units per second used at the other gateways, over the look-back.
-  double othersUse_ = 0;    ///< Units that came to light in this round as used there.
+  double othersUsage_ = 0;  ///< Units that came to light in this round as used there.
   double anticipated_ = 0;  ///< Units that refill() took off the level for use there in this round.
 
   SlotId slot_{-1};          ///< The slot of the last total.
--- a/src/policy/request_table.cpp
+++ b/src/policy/request_table.cpp
@@ -19,16 +19,16 @@
 
 void RequestTable::attemptStarted(const RequestInFlight& request) {
   const auto last = static_cast<std::uint32_t>(request.attempts.size() - 1);
-  toCheck_.push_back({request.request.requestId, {last}});
+  attemptsToCheck_.push_back({request.request.requestId, {last}});
 }
 
 void RequestTable::sweepAttempts(const CheckAttempt& check) {
-  for (std::size_t left = toCheck_.size(); left > 0; --left) {
-    const AttemptRef attempt = toCheck_.front();
-    toCheck_.pop_front();
+  for (std::size_t remaining = attemptsToCheck_.size(); remaining > 0; --remaining) {
+    const AttemptRef attempt = attemptsToCheck_.front();
+    attemptsToCheck_.pop_front();
     RequestInFlight* const request = find(attempt.request);
     if (request == nullptr || !request->attempts[attempt.number.value].inFlight()) continue;
-    if (check(*request, attempt.number) == Check::again) toCheck_.push_back(attempt);
+    if (check(*request, attempt.number) == CheckResult::again) attemptsToCheck_.push_back(attempt);
   }
 }
 
--- a/src/policy/request_table.hpp
+++ b/src/policy/request_table.hpp
@@ -16,13 +16,13 @@
 class RequestTable {
  public:
   /// What becomes of an attempt that was checked.
-  enum class Check {
+  enum class CheckResult {
     again,  ///< It is checked at the next sweep too.
     done    ///< It is not checked any more.
   };
   /// Checks one attempt in flight. May start attempts, which are first checked at the next sweep; must not
   /// remove a request.
-  using CheckAttempt = std::function<Check(RequestInFlight&, AttemptNumber)>;
+  using CheckAttempt = std::function<CheckResult(RequestInFlight&, AttemptNumber)>;
 
   /// Adds a request that was admitted. The id must not be in use. The customer must outlive the request.
   RequestInFlight& add(const Request& request, TimePoint arrivedAt, CustomerState& customer);
@@ -47,7 +47,7 @@
   };
 
   std::unordered_map<std::uint64_t, RequestInFlight> requests_;  ///< By the value of the id; never iterated.
-  std::deque<AttemptRef> toCheck_;  ///< Those of ended attempts leave at a sweep.
+  std::deque<AttemptRef> attemptsToCheck_;  ///< Those of ended attempts leave at a sweep.
 };
 
 }  // namespace merlinbridge::policy
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /// Retries and hedged requests that each first attempt adds to the budget.
-constexpr double kRetryFraction = 0.1;
+constexpr double kRetriesPerFirstAttempt = 0.1;
 
 /// The budget's upper bound, and its level at start: retries and hedged requests at once.
 constexpr double kMaxBudget = 10.0;
@@ -20,14 +20,14 @@
   return context_.settings.methods[request.request.method.value];
 }
 
-Repeat RetryPolicy::repeatOf(const RequestInFlight& request) const {
-  const Repeat repeat = methodOf(request).repeat;
-  const bool needsKey = repeat == Repeat::deduplicated;
-  return needsKey && !request.request.hasIdempotencyKey ? Repeat::nonIdempotent : repeat;
+Idempotency RetryPolicy::idempotencyOf(const RequestInFlight& request) const {
+  const Idempotency idempotency = methodOf(request).idempotency;
+  const bool needsKey = idempotency == Idempotency::deduplicated;
+  return needsKey && !request.request.hasIdempotencyKey ? Idempotency::nonIdempotent : idempotency;
 }
 
 void RetryPolicy::attemptStarted(AttemptKind kind) {
-  const double change = kind == AttemptKind::first ? kRetryFraction : -1;
+  const double change = kind == AttemptKind::first ? kRetriesPerFirstAttempt : -1;
   budget_ = std::min(kMaxBudget, budget_ + change);
 }
 
@@ -38,28 +38,28 @@
 }
 
 bool RetryPolicy::allowsHedge(const RequestInFlight& request) const {
-  return repeatOf(request) != Repeat::nonIdempotent && allowsRetry(request);
+  return idempotencyOf(request) != Idempotency::nonIdempotent && allowsRetry(request);
 }
 
 bool RetryPolicy::allowsHost(const RequestInFlight& request, HostId host) const {
-  const Repeat repeat = repeatOf(request);
-  if (repeat == Repeat::idempotent) return true;
+  const Idempotency idempotency = idempotencyOf(request);
+  if (idempotency == Idempotency::idempotent) return true;
   const Method& method = methodOf(request);
   return std::all_of(request.attempts.begin(), request.attempts.end(), [&](const Attempt& attempt) {
     if (!attempt.mayTakeEffect()) return true;
-    return repeat == Repeat::deduplicated && recognizes(host, attempt, method);
+    return idempotency == Idempotency::deduplicated && deduplicates(host, attempt, method);
   });
 }
 
-bool RetryPolicy::recognizes(HostId host, const Attempt& attempt, const Method& method) const {
-  const bool withinWindow = context_.now < attempt.startedAt() + method.window;
-  return withinWindow && hosts_.inSameGroup(method.group, attempt.host(), host);
+bool RetryPolicy::deduplicates(HostId host, const Attempt& attempt, const Method& method) const {
+  const bool withinWindow = context_.now < attempt.startedAt() + method.deduplicationWindow;
+  return withinWindow && hosts_.inSameGroup(method.deduplicationScope, attempt.host(), host);
 }
 
 TimePoint RetryPolicy::writeDeadline(const RequestInFlight& request) const {
   TimePoint deadline = TimePoint::max();
-  if (repeatOf(request) != Repeat::deduplicated) return deadline;
-  const Duration window = methodOf(request).window;
+  if (idempotencyOf(request) != Idempotency::deduplicated) return deadline;
+  const Duration window = methodOf(request).deduplicationWindow;
   for (const Attempt& attempt : request.attempts) {
     const bool isLast = &attempt == &request.attempts.back();
     if (!isLast && attempt.mayTakeEffect()) deadline = std::min(deadline, attempt.startedAt() + window);
@@ -67,14 +67,14 @@
   return deadline;
 }
 
-bool RetryPolicy::clientMayRepeat(const RequestInFlight& request) const {
-  switch (repeatOf(request)) {
-    case Repeat::idempotent:
+bool RetryPolicy::clientMayRetry(const RequestInFlight& request) const {
+  switch (idempotencyOf(request)) {
+    case Idempotency::idempotent:
       return true;
-    case Repeat::deduplicated:
+    case Idempotency::deduplicated:
       // The client's repeat may reach any host.
-      return !request.mayTakeEffect() || methodOf(request).group == Group::all;
-    case Repeat::nonIdempotent:
+      return !request.mayTakeEffect() || methodOf(request).deduplicationScope == DeduplicationScope::all;
+    case Idempotency::nonIdempotent:
       break;
   }
   return !request.mayTakeEffect();
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -41,16 +41,16 @@
   TimePoint writeDeadline(const RequestInFlight& request) const;
 
   /// Whether a request that is given up may be rejected, so that its client may repeat it at once.
-  bool clientMayRepeat(const RequestInFlight& request) const;
+  bool clientMayRetry(const RequestInFlight& request) const;
 
  private:
   const Method& methodOf(const RequestInFlight& request) const;
   /// The method's repeat rule, as it holds for this request: without its idempotency key no host can
   /// recognize the repeat of a deduplicated request.
-  Repeat repeatOf(const RequestInFlight& request) const;
+  Idempotency idempotencyOf(const RequestInFlight& request) const;
   /// Whether a repeat at that host would be discarded there on account of this attempt. For a deduplicated
   /// request.
-  bool recognizes(HostId host, const Attempt& attempt, const Method& method) const;
+  bool deduplicates(HostId host, const Attempt& attempt, const Method& method) const;
 
   const EngineContext& context_;
   const util::HostTable& hosts_;
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -7,16 +7,16 @@
 namespace {
 
 /// Fraction that is used of what the settings allow a host that warms up.
-constexpr double kBudgetSafety = 0.8;
+constexpr double kBudgetSafetyFactor = 0.8;
 
 /// Parts of the overload window; each is granted its budget at its start.
-constexpr double kBudgetParts = 2;
+constexpr double kBudgetsPerWindow = 2;
 
 /// Requests of mean cost that all gateways together may send a host in an overload window, whatever was seen.
 constexpr double kMinBudgetRequests = 1.5;
 
 /// Time constant, in seconds, of what hosts that have ramped up are seen to answer.
-constexpr double kCarriedSeconds = 20;
+constexpr double kThroughputDecaySeconds = 20;
 
 /// Seconds that this gateway is taken to have observed those hosts for at least.
 constexpr double kMinObservedSeconds = 4.5;
@@ -48,40 +48,42 @@
 bool SlowStart::admits(HostId host, double units) {
   if (!warmingUp(host)) return true;
   Budget& budget = budgets_[host.value];
-  renew(budget, host);
-  if (budget.left < units) {
-    const bool drawn = budget.left > 0 && context_.random.bernoulli(budget.left / units);
-    budget.left = drawn ? units : std::min(budget.left, 0.0);
+  renewIfExpired(budget, host);
+  if (budget.unitsLeft < units) {
+    const bool admittedAtRandom = budget.unitsLeft > 0 && context_.random.bernoulli(budget.unitsLeft / units);
+    budget.unitsLeft = admittedAtRandom ? units : std::min(budget.unitsLeft, 0.0);
   }
-  return budget.left >= units;
+  return budget.unitsLeft >= units;
 }
 
-void SlowStart::renew(Budget& budget, HostId host) const {
+void SlowStart::renewIfExpired(Budget& budget, HostId host) const {
   if (context_.now < budget.endsAt) return;
-  const double sentAhead = std::min(budget.left, 0.0);
-  budget.left = sentAhead + grant(host);
-  budget.endsAt = context_.now + scaled(context_.settings.overloadWindow, 1 / kBudgetParts);
+  const double deficit = std::min(budget.unitsLeft, 0.0);
+  budget.unitsLeft = deficit + budgetUnits(host);
+  budget.endsAt = context_.now + scaled(context_.settings.overloadWindow, 1 / kBudgetsPerWindow);
 }
 
-double SlowStart::grant(HostId host) const {
+double SlowStart::budgetUnits(HostId host) const {
   const PolicySettings& settings = context_.settings;
-  const double observed = std::max(seconds(context_.now - context_.startedAt), kMinObservedSeconds);
+  const double observedSeconds = std::max(seconds(context_.now - context_.startedAt), kMinObservedSeconds);
   // What a decaying counter sums up of a steady rate of 1 per second since the start of this process.
-  const double countedSeconds = kCarriedSeconds * (1 - std::exp(-observed / kCarriedSeconds));
-  const double carried = rampedUpHostUnits_.read(context_.now, kCarriedSeconds);
-  const double rate = settings.overloadMultiple * rampFactor(host) * carried / countedSeconds;
-  const double least = kMinBudgetRequests * meanUnits_ / settings.gateways;
-  return std::max(least, kBudgetSafety * rate * seconds(settings.overloadWindow)) / kBudgetParts;
+  const double decayedSeconds =
+      kThroughputDecaySeconds * (1 - std::exp(-observedSeconds / kThroughputDecaySeconds));
+  const double answeredUnits = rampedUpHostUnits_.read(context_.now, kThroughputDecaySeconds);
+  const double rate = settings.overloadMultiple * rampFactor(host) * answeredUnits / decayedSeconds;
+  const double minUnits = kMinBudgetRequests * meanUnits_ / settings.gateways;
+  return std::max(minUnits, kBudgetSafetyFactor * rate * seconds(settings.overloadWindow)) /
+         kBudgetsPerWindow;
 }
 
 void SlowStart::spend(HostId host, double units) {
-  if (warmingUp(host)) budgets_[host.value].left -= units;
+  if (warmingUp(host)) budgets_[host.value].unitsLeft -= units;
 }
 
-void SlowStart::recordAnswer(HostId host, double units) {
+void SlowStart::recordResponse(HostId host, double units) {
   meanUnits_ += kMeanUnitsGain * (units - meanUnits_);
   if (warmingUp(host)) return;
-  rampedUpHostUnits_.add(context_.now, kCarriedSeconds, units / std::max(1, rampedUpHosts_));
+  rampedUpHostUnits_.add(context_.now, kThroughputDecaySeconds, units / std::max(1, rampedUpHosts_));
 }
 
 }  // namespace merlinbridge::policy
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -39,7 +39,7 @@
   void spend(HostId host, double units);
 
   /// The host has answered a request of so many units.
-  void recordAnswer(HostId host, double units);
+  void recordResponse(HostId host, double units);
 
   /// Counts the hosts that serve and have ramped up. Called once for each selection.
   void countRampedUpHosts();
@@ -47,14 +47,14 @@
  private:
   /// What this gateway may still send a host in the present part of the overload window.
   struct Budget {
-    double left = 0;     ///< Units; below 0: sent ahead of the next part.
-    TimePoint endsAt{};  ///< End of the part.
+    double unitsLeft = 0;  ///< Units; below 0: sent ahead of the next part.
+    TimePoint endsAt{};    ///< End of the part.
   };
 
   /// Starts the host's next part of the overload window where the last one is over.
-  void renew(Budget& budget, HostId host) const;
+  void renewIfExpired(Budget& budget, HostId host) const;
   /// Units that this gateway may send the host in one part of the overload window.
-  double grant(HostId host) const;
+  double budgetUnits(HostId host) const;
 
   EngineContext& context_;
   const util::HostTable& hosts_;
--- a/src/policy_api/decision_engine.hpp
+++ b/src/policy_api/decision_engine.hpp
@@ -13,8 +13,8 @@
 
 /// The times that bound an attempt.
 struct AttemptDeadline {
-  /// The caller gives the attempt up at this time and reports it as Outcome::noAnswer, or as Outcome::notSent
-  /// where nothing was written.
+  /// The caller gives the attempt up at this time and reports it as Outcome::noResponse, or as
+  /// Outcome::notSent where nothing was written.
   TimePoint abandonAt;
 
   /// The attempt's last byte must be handed to the socket by then, or the attempt is never sent: the host
@@ -56,7 +56,7 @@
   virtual void addToCounter(const CounterKey&, double units, Duration keepFor) = 0;
 
   /// Calls DecisionEngine::timerFired at that time, which is not in the past, or as soon after as possible.
-  virtual void wakeAt(TimePoint, TimerId) = 0;
+  virtual void setTimer(TimePoint, TimerId) = 0;
 
   /// Reports that the engine has entered or left a state.
   virtual void report(EngineEvent) = 0;
@@ -106,7 +106,7 @@
   std::optional<double> serviceSeconds;
 
   /// Requests that the host answers in a second.
-  std::optional<double> answersPerSecond;
+  std::optional<double> responsesPerSecond;
 
   /// Utilization of the host, 0 to 1.
   std::optional<double> utilization;
@@ -192,14 +192,14 @@
 
   /// The client has left, or was answered without the engine: nothing further is started for the request, and
   /// no final answer follows. Attempts in flight still end with attemptEnded. An unknown request is ignored.
-  void clientLeft(TimePoint now, RequestId);
+  void clientDisconnected(TimePoint now, RequestId);
 
   /// A call that addToCounter asked for has ended. `total`: of the count after the call, in units, read where
   /// `outcome` is ok. `duration`: the call's duration.
   void counterCallEnded(TimePoint now, const CounterKey&, CounterCallOutcome outcome, double total,
                         Duration duration);
 
-  /// A timer that wakeAt asked for is due. A timer that has fired already is ignored.
+  /// A timer that setTimer asked for is due. A timer that has fired already is ignored.
   void timerFired(TimePoint now, TimerId);
 
  private:
--- a/src/policy_api/ids.hpp
+++ b/src/policy_api/ids.hpp
@@ -22,7 +22,7 @@
 /// A customer, as requests name it.
 using CustomerId = Id<struct CustomerKind>;
 
-/// A timer that the engine set with DecisionSink::wakeAt; never used twice. The first is 1.
+/// A timer that the engine set with DecisionSink::setTimer; never used twice. The first is 1.
 using TimerId = Id<struct TimerKind>;
 
 /// A slot of time in which the counter service adds up units, numbered from the clock's origin.
@@ -60,7 +60,7 @@
                   ///< it.
   };
 
-  Kind kind = Kind::quotaUse;
+  Kind kind = Kind::quotaUsage;
   CustomerId customer;
   SlotId slot;
   auto operator<=>(const CounterKey&) const =
--- a/src/policy_api/policy_settings.hpp
+++ b/src/policy_api/policy_settings.hpp
@@ -11,15 +11,15 @@
 namespace merlinbridge {
 
 /// What a second execution of the same request would do.
-enum class Repeat {
+enum class Idempotency {
   idempotent,    ///< Nothing further: it may be attempted again anywhere, at any time.
-  deduplicated,  ///< Hosts that recognize its idempotency key discard it, within Method::window and
-                 ///< Method::group.
+  deduplicated,  ///< Hosts that recognize its idempotency key discard it, within Method::deduplicationWindow
+                 ///< and Method::deduplicationScope.
   nonIdempotent  ///< Takes effect twice: it must not be attempted again once an attempt may have run.
 };
 
 /// The hosts among which a repeat of a deduplicated request is recognized.
-enum class Group {
+enum class DeduplicationScope {
   all,   ///< Every host.
   zone,  ///< Hosts of one zone.
   cell   ///< Hosts of one cell.
@@ -27,14 +27,14 @@
 
 /// One method of the service: how its requests may be repeated, their latency objective and their priority.
 struct Method {
-  Repeat repeat = Repeat::nonIdempotent;
+  Idempotency idempotency = Idempotency::nonIdempotent;
 
   /// The hosts that recognize a repeat. Read for a deduplicated method only.
-  Group group = Group::cell;
+  DeduplicationScope deduplicationScope = DeduplicationScope::cell;
 
   /// How long after the start of an attempt its hosts recognize a repeat. Read for a deduplicated method
   /// only.
-  Duration window{};
+  Duration deduplicationWindow{};
 
   /// Counted from the request's arrival: the latency objective. No retry starts later. Above 0.
   Duration softDeadline{};
--- a/src/policy_api/time.hpp
+++ b/src/policy_api/time.hpp
@@ -30,13 +30,13 @@
 
 /// The duration of so many seconds, cut to whole nanoseconds toward 0. The caller keeps `secondsCount` within
 /// the range of Duration, about 292 years.
-inline Duration durationOf(double secondsCount) {
+inline Duration durationFromSeconds(double secondsCount) {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(secondsCount));
 }
 
 /// The duration multiplied by `factor`, cut to whole nanoseconds toward 0.
 inline Duration scaled(Duration duration, double factor) {
-  return durationOf(seconds(duration) * factor);
+  return durationFromSeconds(seconds(duration) * factor);
 }
 
 }  // namespace merlinbridge
--- a/src/policy_binding/decision_engine.cpp
+++ b/src/policy_binding/decision_engine.cpp
@@ -33,9 +33,9 @@
   impl_->endAttempt(result);
 }
 
-void DecisionEngine::clientLeft(TimePoint now, RequestId request) {
+void DecisionEngine::clientDisconnected(TimePoint now, RequestId request) {
   impl_->advanceTo(now);
-  impl_->endClient(request);
+  impl_->markAnswered(request);
 }
 
 void DecisionEngine::counterCallEnded(TimePoint now, const CounterKey& key, CounterCallOutcome outcome,
@@ -46,7 +46,7 @@
 
 void DecisionEngine::timerFired(TimePoint now, TimerId timer) {
   impl_->advanceTo(now);
-  impl_->fire(timer);
+  impl_->fireTimer(timer);
 }
 
 }  // namespace merlinbridge
--- a/src/simulator_adapter/message_reader.cpp
+++ b/src/simulator_adapter/message_reader.cpp
@@ -45,7 +45,7 @@
 constexpr std::array kOutcomes{
     WireWord<Outcome>{"served", Outcome::ok},
     WireWord<Outcome>{"turned_away", Outcome::rejected},
-    WireWord<Outcome>{"no_answer", Outcome::noAnswer},
+    WireWord<Outcome>{"no_answer", Outcome::noResponse},
     WireWord<Outcome>{"no_connection", Outcome::noConnection},
     WireWord<Outcome>{"connection_lost", Outcome::lost},
     WireWord<Outcome>{"called_off", Outcome::cancelled},
--- a/src/util/call_pacer.cpp
+++ b/src/util/call_pacer.cpp
@@ -29,7 +29,7 @@
 }
 
 Duration CallPacer::untilNext(double periodSeconds) const {
-  const Duration untilToken = durationOf((1 - tokens_) * periodSeconds / callsPerPeriod_);
+  const Duration untilToken = durationFromSeconds((1 - tokens_) * periodSeconds / callsPerPeriod_);
   return std::max(Duration{1}, untilToken);
 }
 
--- a/src/util/host_table.cpp
+++ b/src/util/host_table.cpp
@@ -33,13 +33,13 @@
     if (!isListed[host]) servingCount_ -= std::exchange(serving_[host], 0);
 }
 
-bool HostTable::inSameGroup(Group group, HostId first, HostId second) const {
+bool HostTable::inSameGroup(DeduplicationScope group, HostId first, HostId second) const {
   switch (group) {
-    case Group::all:
+    case DeduplicationScope::all:
       return true;
-    case Group::zone:
+    case DeduplicationScope::zone:
       return zone_[first.value] == zone_[second.value];
-    case Group::cell:
+    case DeduplicationScope::cell:
       break;
   }
   return cell_[first.value] == cell_[second.value];
--- a/src/util/host_table.hpp
+++ b/src/util/host_table.hpp
@@ -29,7 +29,7 @@
   std::optional<TimePoint> startedAt(HostId host) const { return startedAt_[host.value]; }
 
   /// Whether a repeat at one host is recognized by the other, for a method of that group.
-  bool inSameGroup(Group group, HostId first, HostId second) const;
+  bool inSameGroup(DeduplicationScope group, HostId first, HostId second) const;
 
  private:
   /// Extends the arrays to that many hosts.
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -233,7 +233,7 @@
 TEST_CASE("a scenario is read whole, and what is written reads as the same") {
   const Scenario scenario = readScenario(kPlain + fault("host_slow", "1s", "2s", "factor = 5"), "s.toml");
   CHECK(scenario.gateways == 3);
-  CHECK(scenario.methods.at(1).group == Group::cell);
+  CHECK(scenario.methods.at(1).group == DeduplicationScope::cell);
   CHECK(scenario.faults.at(0).factor == 5);
   const std::string written = writeScenario(scenario);
   CHECK(writeScenario(readScenario(written, "again.toml")) == written);
--- a/tests/net/upstream_outcome_test.cpp
+++ b/tests/net/upstream_outcome_test.cpp
@@ -69,7 +69,7 @@
   CHECK(load.serviceSeconds == 0.25);
   CHECK(load.utilization == 0.5);
   CHECK_FALSE(load.queued.has_value());
-  CHECK_FALSE(load.answersPerSecond.has_value());
+  CHECK_FALSE(load.responsesPerSecond.has_value());
 }
 
 TEST_CASE("two load reports add up, the later figure counts") {
@@ -81,7 +81,7 @@
 
 TEST_CASE("every outcome has a name of its own in the log") {
   std::set<std::string_view> names;
-  const auto outcomes = {Outcome::ok,           Outcome::error, Outcome::rejected,  Outcome::noAnswer,
+  const auto outcomes = {Outcome::ok,           Outcome::error, Outcome::rejected,  Outcome::noResponse,
                          Outcome::noConnection, Outcome::lost,  Outcome::cancelled, Outcome::notSent};
   for (const Outcome each : outcomes) names.insert(net::nameOf(each));
   CHECK(names.size() == outcomes.size());
--- a/tests/policy/counter_exchange_test.cpp
+++ b/tests/policy/counter_exchange_test.cpp
@@ -14,7 +14,7 @@
 
 /// The exchange with the counter service, and customers by number.
 struct ExchangeFixture : Fixture {
-  explicit ExchangeFixture(const PolicySettings& settings = someSettings())
+  explicit ExchangeFixture(const PolicySettings& settings = makeSettings())
       : Fixture(settings), exchange(context) {}
 
   CustomerState& addCustomer(std::uint64_t id, std::uint32_t plan = 0) {
@@ -25,7 +25,7 @@
   /// A request of one unit arrives and is admitted.
   void request(CustomerState& customer) {
     exchange.refill(customer);
-    exchange.schedule(customer);
+    exchange.scheduleCall(customer);
     customer.bucket.spend(1);
   }
   /// The last call ends.
@@ -50,7 +50,7 @@
   fixture.endCall();
   fixture.fireTimers();
   CHECK(fixture.sink.calls.size() == 1);  // the round is not over
-  fixture.pass(100ms);
+  fixture.advanceTime(100ms);
   fixture.fireTimers();
   REQUIRE(fixture.sink.calls.size() == 2);
   CHECK(fixture.sink.calls[1].units == 2);
@@ -61,7 +61,7 @@
 
 TEST_CASE(
     "counter exchange: there is no call without a counter service, nor for a plan without limits to count") {
-  PolicySettings settings = someSettings();
+  PolicySettings settings = makeSettings();
   settings.plans.push_back({});
   ExchangeFixture uncounted(settings);
   uncounted.request(uncounted.addCustomer(5, 3));
@@ -77,12 +77,12 @@
   CustomerState& customer = fixture.addCustomer(5);
   fixture.request(customer);
   fixture.endCall();
-  fixture.pass(100ms);
+  fixture.advanceTime(100ms);
   fixture.request(customer);
   REQUIRE(fixture.sink.calls.size() == 2);
   CHECK(fixture.sink.calls[1].units == 1);
   fixture.endCall(CounterCallOutcome::unknown, 50ms);
-  fixture.pass(100ms);
+  fixture.advanceTime(100ms);
   fixture.fireTimers();
   REQUIRE(fixture.sink.calls.size() == 3);
   CHECK(fixture.sink.calls[2].units == 2);
@@ -95,11 +95,11 @@
   CustomerState& other = fixture.addCustomer(6);
   fixture.request(other);
   fixture.endCall();
-  fixture.pass(100ms);
+  fixture.advanceTime(100ms);
   fixture.request(active);
   for (int round = 0; round < 4; ++round) {
     fixture.endCall(CounterCallOutcome::unknown, 50ms);
-    fixture.pass(101ms);
+    fixture.advanceTime(101ms);
     fixture.fireTimers();
   }
   CHECK(active.bucket.isDivided());
@@ -117,7 +117,7 @@
     for (int step = 0; step < steps; ++step) {
       const std::size_t seen = fixture.sink.calls.size();
       fixture.request(fixture.addCustomer(++id));
-      fixture.pass(10ms);
+      fixture.advanceTime(10ms);
       fixture.fireTimers();
       for (std::size_t index = seen; index < fixture.sink.calls.size(); ++index) {
         const auto call = fixture.sink.calls[index];
--- a/tests/policy/counter_health_test.cpp
+++ b/tests/policy/counter_health_test.cpp
@@ -13,9 +13,9 @@
   CounterHealth health(fixture.context);
   CHECK(CounterHealth::roundLength(fixture.context.settings) == 100ms);
   for (int i = 0; i < 3; ++i) health.recordCall(CounterCallOutcome::unknown);
-  fixture.pass(300ms);
+  fixture.advanceTime(300ms);
   CHECK_FALSE(health.unreachable());  // three rounds are not over
-  fixture.pass(1ms);
+  fixture.advanceTime(1ms);
   CHECK(health.unreachable());
   CHECK(fixture.sink.events.empty());  // reported with the next call
   health.recordCall(CounterCallOutcome::notAdded);
@@ -25,13 +25,13 @@
 TEST_CASE("counter health: one success ends it, and the end is reported after one slot of time") {
   Fixture fixture;
   CounterHealth health(fixture.context);
-  fixture.pass(301ms);
+  fixture.advanceTime(301ms);
   for (int i = 0; i < 3; ++i) health.recordCall(CounterCallOutcome::unknown);
   REQUIRE(health.unreachable());
   health.recordCall(CounterCallOutcome::ok);
   CHECK_FALSE(health.unreachable());
   CHECK(fixture.sink.events == std::vector{EngineEvent::counterUnreachable});
-  fixture.pass(10s);
+  fixture.advanceTime(10s);
   health.recordCall(CounterCallOutcome::ok);
   CHECK(fixture.sink.events == std::vector{EngineEvent::counterUnreachable, EngineEvent::counterRestored});
 }
--- a/tests/policy/customer_limits_test.cpp
+++ b/tests/policy/customer_limits_test.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-constexpr double kLookBack = 0.8;  // seconds
+constexpr double kLookBackSeconds = 0.8;  // seconds
 
 /// A quota of 4 units a second and a burst of 12, and no other limit.
 const Plan kQuotaPlan{4, 12, 0, 0, 0, 0, 1};
 
 struct BucketFixture {
-  explicit BucketFixture(double gateways) : bucket(kQuotaPlan, gateways, 4, kLookBack, kStart) {}
+  explicit BucketFixture(double gateways) : bucket(kQuotaPlan, gateways, 4, kLookBackSeconds, kStart) {}
   /// How many of so many requests of one unit are admitted; spends their units.
   int admitted(int requests) {
     int count = 0;
--- a/tests/policy/hosts_test.cpp
+++ b/tests/policy/hosts_test.cpp
@@ -16,28 +16,28 @@
 namespace {
 
 /// The usable part of a report with these figures.
-ReportedLoad loadReport(double inFlight, std::optional<double> queued, double answersPerSecond) {
+UsableLoad loadReport(double inFlight, std::optional<double> queued, double responsesPerSecond) {
   LoadReport report;
   report.inFlight = inFlight;
   report.queued = queued;
-  report.answersPerSecond = answersPerSecond;
+  report.responsesPerSecond = responsesPerSecond;
   return usableLoad(report).value();
 }
 
 /// The parts of the engine that decide about hosts, wired as the engine wires them.
 struct HostsFixture : Fixture {
-  explicit HostsFixture(std::uint32_t count, const PolicySettings& settings = someSettings())
+  explicit HostsFixture(std::uint32_t count, const PolicySettings& settings = makeSettings())
       : Fixture(settings) {
     for (std::uint32_t host = 0; host < count; ++host) announce(servingHost(host));
   }
   /// Takes over an update in the order in which the engine does.
   void announce(const HostUpdate& update) {
-    const bool isFresh = hosts.update(update);
+    const bool needsReset = hosts.update(update);
     statistics.add(update.host);
     outliers.add(update.host);
     slowStart.add(update.host);
     selection.add(update.host);
-    if (!isFresh) return;
+    if (!needsReset) return;
     statistics.reset(update.host);
     outliers.reset(update.host);
     selection.reset(update.host);
@@ -45,15 +45,15 @@
   /// The host answers so many requests, one every interval.
   void answerRequests(std::uint32_t host, int count, Duration interval, Duration duration = 20ms) {
     for (int i = 0; i < count; ++i) {
-      pass(interval);
+      advanceTime(interval);
       statistics.attemptStarted({host});
       statistics.attemptEnded({host});
-      statistics.recordOutcome(someRequest(), someResult(host, Outcome::ok, duration));
-      slowStart.recordAnswer({host}, 1);
+      statistics.recordOutcome(makeRequest(), makeResult(host, Outcome::ok, duration));
+      slowStart.recordResponse({host}, 1);
     }
   }
   std::optional<HostId> select(double units = 1) {
-    return selection.select(someRequest(0, 0, units), [](HostId) { return true; });
+    return selection.select(makeRequest(0, 0, units), [](HostId) { return true; });
   }
 
   util::HostTable hosts;
@@ -83,14 +83,14 @@
 
 TEST_CASE("host statistics: a host that fails one method or plan is trusted less with it for a while") {
   HostsFixture fixture(1);
-  for (int i = 0; i < 5; ++i) fixture.statistics.recordOutcome(someRequest(1), someResult(0, Outcome::error));
+  for (int i = 0; i < 5; ++i) fixture.statistics.recordOutcome(makeRequest(1), makeResult(0, Outcome::error));
   CHECK(fixture.statistics.successFraction(kFirst, MethodId{1}, PlanId{0}) < 0.01);
   CHECK(fixture.statistics.successFraction(kFirst, MethodId{0}, PlanId{0}) == 1);
   for (int i = 0; i < 5; ++i)
-    fixture.statistics.recordOutcome(someRequest(0, 2), someResult(0, Outcome::rejected));
+    fixture.statistics.recordOutcome(makeRequest(0, 2), makeResult(0, Outcome::rejected));
   CHECK(fixture.statistics.successFraction(kFirst, MethodId{0}, PlanId{2}) < 0.01);
   CHECK(fixture.statistics.successFraction(kFirst, MethodId{0}, PlanId{0}) == 1);
-  fixture.pass(200s);
+  fixture.advanceTime(200s);
   CHECK(fixture.statistics.successFraction(kFirst, MethodId{1}, PlanId{0}) > 0.9);
 }
 
@@ -101,12 +101,12 @@
   fixture.statistics.attemptStarted(kFirst);
   const TimePoint startedAt = fixture.context.now;
   CHECK(fixture.statistics.inFlight() == 1);
-  fixture.pass(99ms);
+  fixture.advanceTime(99ms);
   CHECK_FALSE(fixture.statistics.unresponsive(kFirst));
-  fixture.pass(2ms);
+  fixture.advanceTime(2ms);
   CHECK(fixture.statistics.unresponsive(kFirst));
   CHECK_FALSE(fixture.statistics.overdue(kFirst, startedAt));
-  fixture.pass(100ms);
+  fixture.advanceTime(100ms);
   CHECK(fixture.statistics.overdue(kFirst, startedAt));
   CHECK_FALSE(fixture.statistics.overdue(kFirst, fixture.context.now - 90ms));
   fixture.statistics.attemptEnded(kFirst);
@@ -129,7 +129,7 @@
   const auto ejectedFor = [&fixture] {
     fixture.outliers.recordUnreachable(kFirst);
     Duration time{0};
-    for (; fixture.outliers.ejected(kFirst); fixture.pass(50ms)) time += 50ms;
+    for (; fixture.outliers.ejected(kFirst); fixture.advanceTime(50ms)) time += 50ms;
     return time;
   };
   for (int failure = 0; failure < 8; ++failure) {
@@ -138,7 +138,7 @@
     CHECK(factor >= 0.5);  // of four connect timeouts
     CHECK(factor <= 1.6);
   }
-  fixture.outliers.recordAnswer(kFirst);
+  fixture.outliers.recordResponse(kFirst);
   CHECK(ejectedFor() <= 1600ms);
   fixture.outliers.recordUnreachable(kFirst);
   fixture.outliers.reset(kFirst);
@@ -153,9 +153,9 @@
   fixture.outliers.recordLoad(kFirst, loadReport(30, 0, 10), method);  // nothing waits
   CHECK_FALSE(fixture.outliers.ejected(kFirst));
   fixture.outliers.recordLoad(kFirst, loadReport(30, 20, 10), method);
-  fixture.pass(2900ms);
+  fixture.advanceTime(2900ms);
   CHECK(fixture.outliers.ejected(kFirst));
-  fixture.pass(200ms);
+  fixture.advanceTime(200ms);
   CHECK_FALSE(fixture.outliers.ejected(kFirst));
 }
 
@@ -165,9 +165,9 @@
   CHECK(fixture.slowStart.admits(kFirst, 1e6));
   fixture.announce(servingHost(1, kStart));
   CHECK(fixture.slowStart.rampFactor(kSecond) == Approx(0.2));
-  fixture.pass(5s);
+  fixture.advanceTime(5s);
   CHECK(fixture.slowStart.rampFactor(kSecond) == Approx(0.6));
-  fixture.pass(5s);
+  fixture.advanceTime(5s);
   CHECK_FALSE(fixture.slowStart.warmingUp(kSecond));
 }
 
@@ -185,10 +185,10 @@
   CHECK(first >= 10);
   CHECK(first <= 3 * 0.2 * 50 * 2 * 0.8 / 2 + 1);  // multiple, ramp, rate, window, safety, half
   CHECK(sent() == 0);
-  fixture.pass(1s);  // the next half of the window
+  fixture.advanceTime(1s);  // the next half of the window
   const int second = sent();
   CHECK(second >= 10);
-  fixture.pass(3s);
+  fixture.advanceTime(3s);
   CHECK(sent() < 2 * second);  // two halves passed unused: they do not add up
 }
 
@@ -221,11 +221,11 @@
   SECTION("unresponsive") {
     fixture.answerRequests(0, 10, 10ms);
     fixture.statistics.attemptStarted(kFirst);
-    fixture.pass(1s);
+    fixture.advanceTime(1s);
   }
   for (int i = 0; i < 10; ++i) CHECK(fixture.select() == kSecond);
   const auto none = [](HostId host) { return host == kFirst; };
-  CHECK_FALSE(fixture.selection.select(someRequest(), none));
+  CHECK_FALSE(fixture.selection.select(makeRequest(), none));
 }
 
 TEST_CASE("host selection: a host that has used up its slow-start budget waits for the next one") {
@@ -245,8 +245,8 @@
 
 TEST_CASE("load shedding: the lowest priority is rejected first, and load reports count") {
   HostsFixture fixture(1);
-  const Request lowPriority = someRequest(0, 0);
-  const Request highPriority = someRequest(1, 2);
+  const Request lowPriority = makeRequest(0, 0);
+  const Request highPriority = makeRequest(1, 2);
   CHECK(fixture.shedding.admits(lowPriority));
   for (int i = 0; i < 4; ++i) fixture.statistics.attemptStarted(kFirst);  // of 5
   CHECK_FALSE(fixture.shedding.admits(lowPriority));
@@ -266,10 +266,10 @@
   fixture.shedding.recordShed();
   REQUIRE(fixture.sink.events.size() == 1);
   CHECK(fixture.shedding.active());
-  fixture.pass(5s);
+  fixture.advanceTime(5s);
   fixture.shedding.sweep();
   CHECK(fixture.sink.events.size() == 1);
-  fixture.pass(6s);
+  fixture.advanceTime(6s);
   fixture.shedding.sweep();
   CHECK(fixture.sink.events.size() == 2);
   CHECK_FALSE(fixture.shedding.active());
@@ -289,7 +289,7 @@
   /// A request whose first attempt, at the first host, has ended in that way.
   static RequestInFlight request(std::uint32_t method, Outcome outcome,
                                  IdempotencyKey key = IdempotencyKey::present) {
-    RequestInFlight request{someRequest(method), kStart, nullptr};
+    RequestInFlight request{makeRequest(method), kStart, nullptr};
     request.request.hasIdempotencyKey = key == IdempotencyKey::present;
     request.attempts.emplace_back(kFirst, kStart);
     request.attempts.back().end(outcome);
@@ -314,7 +314,7 @@
   CHECK_FALSE(fixture.retries.allowsHost(fixture.request(3, Outcome::lost), kSecond));
   CHECK(fixture.retries.allowsHost(fixture.request(3, Outcome::rejected), kSecond));
   CHECK(fixture.retries.allowsHost(fixture.request(3, Outcome::noConnection), kSecond));
-  fixture.pass(100ms);  // the second zone-wide method's window is over
+  fixture.advanceTime(100ms);  // the second zone-wide method's window is over
   CHECK_FALSE(fixture.retries.allowsHost(fixture.request(2, Outcome::lost), kSecond));
   CHECK(fixture.retries.allowsHost(fixture.request(1, Outcome::lost), kSecond));
 }
@@ -343,16 +343,16 @@
   CHECK(fixture.retries.allowsRetry(request));
   CHECK(fixture.retries.allowsHedge(request));
   CHECK_FALSE(fixture.retries.allowsHedge(fixture.request(3, Outcome::lost)));
-  fixture.pass(500ms);  // the soft deadline
+  fixture.advanceTime(500ms);  // the soft deadline
   CHECK_FALSE(fixture.retries.allowsRetry(request));
 }
 
 TEST_CASE("retry policy: a request that is given up is rejected only if its client may safely repeat it") {
   RetryFixture fixture;
-  CHECK(fixture.retries.clientMayRepeat(fixture.request(0, Outcome::lost)));
-  CHECK(fixture.retries.clientMayRepeat(fixture.request(1, Outcome::lost)));
-  CHECK_FALSE(fixture.retries.clientMayRepeat(fixture.request(1, Outcome::lost, IdempotencyKey::missing)));
-  CHECK_FALSE(fixture.retries.clientMayRepeat(fixture.request(2, Outcome::lost)));
-  CHECK_FALSE(fixture.retries.clientMayRepeat(fixture.request(3, Outcome::lost)));
-  CHECK(fixture.retries.clientMayRepeat(fixture.request(3, Outcome::rejected)));
+  CHECK(fixture.retries.clientMayRetry(fixture.request(0, Outcome::lost)));
+  CHECK(fixture.retries.clientMayRetry(fixture.request(1, Outcome::lost)));
+  CHECK_FALSE(fixture.retries.clientMayRetry(fixture.request(1, Outcome::lost, IdempotencyKey::missing)));
+  CHECK_FALSE(fixture.retries.clientMayRetry(fixture.request(2, Outcome::lost)));
+  CHECK_FALSE(fixture.retries.clientMayRetry(fixture.request(3, Outcome::lost)));
+  CHECK(fixture.retries.clientMayRetry(fixture.request(3, Outcome::rejected)));
 }
--- a/tests/policy/policy_fixture.hpp
+++ b/tests/policy/policy_fixture.hpp
@@ -29,7 +29,7 @@
   void reject(RequestId, Duration) override { ++rejected; }
   void fail(RequestId) override { ++failed; }
   void addToCounter(const CounterKey& key, double units, Duration) override { calls.push_back({key, units}); }
-  void wakeAt(TimePoint at, TimerId id) override { timers.push_back({at, id}); }
+  void setTimer(TimePoint at, TimerId id) override { timers.push_back({at, id}); }
   void report(EngineEvent event) override { events.push_back(event); }
 
   std::vector<HostId> attempts;
@@ -42,12 +42,12 @@
 };
 
 /// One method of each kind, and a plan with a quota, one with a concurrency limit, one with a ceiling.
-inline PolicySettings someSettings(std::uint32_t gateways = 1) {
+inline PolicySettings makeSettings(std::uint32_t gateways = 1) {
   PolicySettings settings;
-  settings.methods = {{Repeat::idempotent, Group::all, 0ns, 500ms, 1},
-                      {Repeat::deduplicated, Group::all, 2s, 500ms, 4},
-                      {Repeat::deduplicated, Group::zone, 100ms, 500ms, 2},
-                      {Repeat::nonIdempotent, Group::all, 2s, 500ms, 3}};
+  settings.methods = {{Idempotency::idempotent, DeduplicationScope::all, 0ns, 500ms, 1},
+                      {Idempotency::deduplicated, DeduplicationScope::all, 2s, 500ms, 4},
+                      {Idempotency::deduplicated, DeduplicationScope::zone, 100ms, 500ms, 2},
+                      {Idempotency::nonIdempotent, DeduplicationScope::all, 2s, 500ms, 3}};
   settings.plans = {{4, 12, 0, 0, 0, 0, 1}, {0, 0, 2, 0, 0, 0, 1}, {20, 30, 0, 40, 60, 8, 1.5}};
   settings.gateways = gateways;
   settings.hasCounter = true;
@@ -69,9 +69,9 @@
 
 /// The context of the part that is tested, with its time set by hand.
 struct Fixture {
-  explicit Fixture(const PolicySettings& settings = someSettings()) : context(settings, 7, kStart, sink) {}
+  explicit Fixture(const PolicySettings& settings = makeSettings()) : context(settings, 7, kStart, sink) {}
 
-  void pass(Duration time) { context.now += time; }
+  void advanceTime(Duration time) { context.now += time; }
   /// Fires the timers that are due, in the order in which they were set.
   void fireTimers() {
     const auto due = std::exchange(sink.timers, {});
@@ -97,7 +97,7 @@
   return update;
 }
 
-inline Request someRequest(std::uint32_t method = 0, std::uint32_t plan = 0, double units = 1) {
+inline Request makeRequest(std::uint32_t method = 0, std::uint32_t plan = 0, double units = 1) {
   Request request;
   request.requestId = {1};
   request.customer = {5};
@@ -108,7 +108,7 @@
   return request;
 }
 
-inline AttemptResult someResult(std::uint32_t host, Outcome outcome, Duration duration = 20ms) {
+inline AttemptResult makeResult(std::uint32_t host, Outcome outcome, Duration duration = 20ms) {
   AttemptResult result;
   result.requestId = {1};
   result.host = {host};
--- a/tests/policy/requests_test.cpp
+++ b/tests/policy/requests_test.cpp
@@ -16,7 +16,7 @@
 /// A table of requests, whose one customer has no limits that matter here.
 struct RequestsFixture : Fixture {
   RequestInFlight& add(std::uint64_t id) {
-    Request request = someRequest();
+    Request request = makeRequest();
     request.requestId = {id};
     return requests.add(request, context.now, customer);
   }
@@ -25,7 +25,7 @@
     requests.attemptStarted(request);
   }
   /// The requests whose attempts a sweep checks, in order; each attempt is to be checked again or not.
-  std::vector<std::uint64_t> sweep(RequestTable::Check then) {
+  std::vector<std::uint64_t> sweep(RequestTable::CheckResult then) {
     std::vector<std::uint64_t> checked;
     requests.sweepAttempts([&](RequestInFlight& request, AttemptNumber) {
       checked.push_back(request.request.requestId.value);
@@ -54,7 +54,7 @@
   };
   CHECK(mayTakeEffectAfter(Outcome::ok));
   CHECK(mayTakeEffectAfter(Outcome::error));
-  CHECK(mayTakeEffectAfter(Outcome::noAnswer));
+  CHECK(mayTakeEffectAfter(Outcome::noResponse));
   CHECK(mayTakeEffectAfter(Outcome::lost));
   CHECK(mayTakeEffectAfter(Outcome::cancelled));
   CHECK_FALSE(mayTakeEffectAfter(Outcome::rejected));
@@ -77,14 +77,14 @@
   RequestInFlight& second = fixture.add(2);
   fixture.startAttempt(second);
   fixture.startAttempt(first);
-  CHECK(fixture.sweep(RequestTable::Check::again) == Ids{2, 1});
+  CHECK(fixture.sweep(RequestTable::CheckResult::again) == Ids{2, 1});
   second.attempts[0].end(Outcome::lost);
-  CHECK(fixture.sweep(RequestTable::Check::again) == Ids{1});
+  CHECK(fixture.sweep(RequestTable::CheckResult::again) == Ids{1});
   fixture.startAttempt(second);
-  CHECK(fixture.sweep(RequestTable::Check::again) == Ids{1, 2});
+  CHECK(fixture.sweep(RequestTable::CheckResult::again) == Ids{1, 2});
   fixture.requests.remove({1});
-  CHECK(fixture.sweep(RequestTable::Check::done) == Ids{2});
-  CHECK(fixture.sweep(RequestTable::Check::done).empty());
+  CHECK(fixture.sweep(RequestTable::CheckResult::done) == Ids{2});
+  CHECK(fixture.sweep(RequestTable::CheckResult::done).empty());
 }
 
 TEST_CASE("request table: an attempt that a sweep starts is first checked at the next sweep") {
@@ -94,32 +94,32 @@
   fixture.requests.sweepAttempts([&](RequestInFlight& request, AttemptNumber) {
     ++checks;
     fixture.startAttempt(request);
-    return RequestTable::Check::done;
+    return RequestTable::CheckResult::done;
   });
   CHECK(checks == 1);
-  CHECK(fixture.sweep(RequestTable::Check::done) == Ids{1});
+  CHECK(fixture.sweep(RequestTable::CheckResult::done) == Ids{1});
 }
 
 TEST_CASE(
     "customer table: a customer is retained while in use and forgotten after the retention of a count") {
   Fixture fixture;
   CustomerTable customers(fixture.context);
-  CustomerState& customer = customers.customerOf(someRequest());
+  CustomerState& customer = customers.findOrCreate(makeRequest());
   customer.bucket.spend(12);
   const auto isRemembered = [&] {
-    return !customers.customerOf(someRequest())
+    return !customers.findOrCreate(makeRequest())
                 .bucket.admits(fixture.context.now, 12, fixture.context.random);
   };
   CHECK(isRemembered());
   customer.concurrency.attemptStarted();
-  fixture.pass(31s);
+  fixture.advanceTime(31s);
   customers.sweep();
   CHECK(isRemembered());  // marks the customer as seen now
   customer.concurrency.attemptEnded();
-  fixture.pass(29s);
+  fixture.advanceTime(29s);
   customers.sweep();
   CHECK(isRemembered());
-  fixture.pass(31s);
+  fixture.advanceTime(31s);
   customers.sweep();
   CHECK_FALSE(isRemembered());
 }
@@ -129,11 +129,11 @@
   CHECK_FALSE(usableLoad(report));
   report.inFlight = 3;
   CHECK_FALSE(usableLoad(report));
-  report.answersPerSecond = 0;
+  report.responsesPerSecond = 0;
   REQUIRE(usableLoad(report));
   CHECK(usableLoad(report)->inFlight == 3);
   CHECK(usableLoad(report)->queued == 0);
-  CHECK(usableLoad(report)->answersPerSecond > 0);  // it is a divisor
-  report.answersPerSecond.reset();
+  CHECK(usableLoad(report)->responsesPerSecond > 0);  // it is a divisor
+  report.responsesPerSecond.reset();
   CHECK_FALSE(usableLoad(report));
 }
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -129,7 +129,7 @@
 }
 
 TEST_CASE("a counter's name reads back as its key, and foreign names are recognized") {
-  for (const auto kind : {CounterKey::Kind::quotaUse, CounterKey::Kind::inFlightTime}) {
+  for (const auto kind : {CounterKey::Kind::quotaUsage, CounterKey::Kind::inFlightTime}) {
     const CounterKey key{kind, {18446744073709551615u}, {-3}};
     CHECK(parseCounterName(counterName(key)) == key);
   }
--- a/tests/support/policy_invariant_checker.cpp
+++ b/tests/support/policy_invariant_checker.cpp
@@ -38,14 +38,14 @@
 void PolicyInvariantChecker::checkRepetition(const SimulatedRequest& request, HostId host, TimePoint now,
                                              TimePoint writeBy) {
   const Method& method = methodOf(request);
-  if (!request.possibleExecutions.empty() && method.repeat == Repeat::nonIdempotent)
+  if (!request.possibleExecutions.empty() && method.idempotency == Idempotency::nonIdempotent)
     violations.insert("a second execution of a non-idempotent request");
-  if (method.repeat != Repeat::deduplicated) return;
+  if (method.idempotency != Idempotency::deduplicated) return;
   for (const auto& [previousHost, startedAt] : request.possibleExecutions) {
-    if (method.group == Group::zone && hosts_[previousHost.value].zone != hosts_[host.value].zone)
+    if (method.deduplicationScope == DeduplicationScope::zone && hosts_[previousHost.value].zone != hosts_[host.value].zone)
       violations.insert("a repeat outside the group");
-    if (now > startedAt + method.window) violations.insert("a repeat after the window");
-    if (writeBy > startedAt + method.window)
+    if (now > startedAt + method.deduplicationWindow) violations.insert("a repeat after the window");
+    if (writeBy > startedAt + method.deduplicationWindow)
       violations.insert("a repeat that may be written after the window");
   }
 }
@@ -81,8 +81,8 @@
   request.answeredAt = now;
   request.rejected = rejected;
   const bool mayHaveRun = !request.possibleExecutions.empty() || request.attemptsInFlight > 0;
-  const bool mustNotRunAgain = method.repeat == Repeat::nonIdempotent ||
-                               (method.repeat == Repeat::deduplicated && method.group != Group::all);
+  const bool mustNotRunAgain = method.idempotency == Idempotency::nonIdempotent ||
+                               (method.idempotency == Idempotency::deduplicated && method.deduplicationScope != DeduplicationScope::all);
   if (rejected && mayHaveRun && mustNotRunAgain)
     violations.insert("a rejection though the request may have run");
 }
--- a/tests/support/simulated_fleet.cpp
+++ b/tests/support/simulated_fleet.cpp
@@ -22,10 +22,10 @@
 
 PolicySettings testPolicySettings(std::uint32_t gateways) {
   PolicySettings settings{};
-  settings.methods = {{Repeat::idempotent, Group::all, 0ns, 600ms, 1},
-                      {Repeat::deduplicated, Group::all, 2s, 500ms, 5},
-                      {Repeat::deduplicated, Group::zone, 100ms, 500ms, 2},
-                      {Repeat::nonIdempotent, Group::all, 2s, 500ms, 3}};
+  settings.methods = {{Idempotency::idempotent, DeduplicationScope::all, 0ns, 600ms, 1},
+                      {Idempotency::deduplicated, DeduplicationScope::all, 2s, 500ms, 5},
+                      {Idempotency::deduplicated, DeduplicationScope::zone, 100ms, 500ms, 2},
+                      {Idempotency::nonIdempotent, DeduplicationScope::all, 2s, 500ms, 3}};
   settings.plans = {{4, 12, 0, 0, 0, 0, 1}, {0, 0, 2, 0, 0, 0, 1}, {20, 30, 0, 40, 60, 8, 1.5}};
   settings.gateways = gateways;
   settings.hasCounter = true;
@@ -91,7 +91,7 @@
                     });
   }
 
-  void wakeAt(TimePoint when, TimerId timer) override {
+  void setTimer(TimePoint when, TimerId timer) override {
     fleet_.schedule(when, [&fleet = fleet_, gateway = gateway_, generation = incarnation, timer] {
       if (DecisionEngine* const engine = fleet.engineOf(gateway, generation))
         engine->timerFired(fleet.now, timer);
@@ -232,7 +232,7 @@
     end.outcome = Outcome::error;
   }
   if (target.unresponsive || bernoulli(faults.hostUnresponsive) || now + end.took > abandonAt) {
-    end.outcome = Outcome::noAnswer;
+    end.outcome = Outcome::noResponse;
     end.took = abandonAt - now;
   }
   return end;
--- a/tests/test_services/platform_settings.cpp
+++ b/tests/test_services/platform_settings.cpp
@@ -13,22 +13,22 @@
   return std::chrono::duration_cast<std::chrono::microseconds>(duration).count();
 }
 
-std::string_view effectOf(Repeat repeat) {
+std::string_view effectOf(Idempotency repeat) {
   switch (repeat) {
-    case Repeat::idempotent:
+    case Idempotency::idempotent:
       return "free";
-    case Repeat::deduplicated:
+    case Idempotency::deduplicated:
       return "guarded";
     default:
       return "single_shot";
   }
 }
 
-std::string_view groupName(Group group) {
+std::string_view groupName(DeduplicationScope group) {
   switch (group) {
-    case Group::all:
+    case DeduplicationScope::all:
       return "all";
-    case Group::zone:
+    case DeduplicationScope::zone:
       return "zone";
     default:
       return "cell";
--- a/tests/test_services/validation_clients.cpp
+++ b/tests/test_services/validation_clients.cpp
@@ -62,7 +62,7 @@
 }
 
 void ValidationClients::scheduleArrival() {
-  nextArrival_ += durationOf(arrivals_.exponential(1 / scenario_.rate));
+  nextArrival_ += durationFromSeconds(arrivals_.exponential(1 / scenario_.rate));
   if (nextArrival_ > scenario_.length) {
     lastArrivalPassed_ = true;
     return;
@@ -125,7 +125,7 @@
 std::string ValidationClients::attemptText(const ClientRequest& request, std::uint32_t firstGateway,
                                            std::uint32_t spread) {
   const auto& method = scenario_.methods[request.method];
-  const bool needsKey = method.repeat != Repeat::idempotent;
+  const bool needsKey = method.repeat != Idempotency::idempotent;
   const auto timeLeft =
       std::chrono::duration_cast<std::chrono::milliseconds>(request.deadline - WallClock::now());
   ++attemptCount_;
@@ -205,8 +205,8 @@
 
 ValidationClients::MayRetry ValidationClients::mayRetryAfterFailure(const ClientRequest& request) const {
   const auto& method = scenario_.methods[request.method];
-  const bool safe = method.repeat == Repeat::idempotent ||
-                    (method.repeat == Repeat::deduplicated && method.group == Group::all);
+  const bool safe = method.repeat == Idempotency::idempotent ||
+                    (method.repeat == Idempotency::deduplicated && method.group == DeduplicationScope::all);
   return safe ? MayRetry::yes : MayRetry::no;
 }
 
@@ -215,7 +215,7 @@
   const double backoff = double(1 << std::min(kMaxDoublings, request->attemptsMade - 1));
   Duration wait = scaled(scenario_.wait, (0.5 + choices_.uniform01()) * backoff);
   if (retryAfterSeconds > 0 && choices_.bernoulli(scenario_.honorsRetryAfter))
-    wait = std::max(wait, durationOf(retryAfterSeconds));
+    wait = std::max(wait, durationFromSeconds(retryAfterSeconds));
   if (WallClock::now() + wait >= request->deadline || request->attemptsLeft <= 0) return fail(*request);
   auto timer = std::make_shared<asio::steady_timer>(io_, wait);
   timer->async_wait([this, request, timer](const Error&) { startAttempt(request); });
--- a/tests/util_test.cpp
+++ b/tests/util_test.cpp
@@ -97,9 +97,9 @@
   CHECK_FALSE(hosts.update(servingHost(0, {}, 1)));
   CHECK(hosts.update(servingHost(0, kStart, 1)));  // restarted
   CHECK(hosts.servingCount() == 3);
-  CHECK(hosts.inSameGroup(Group::zone, {0}, {1}));
-  CHECK_FALSE(hosts.inSameGroup(Group::zone, {0}, {2}));
-  CHECK(hosts.inSameGroup(Group::all, {0}, {2}));
+  CHECK(hosts.inSameGroup(DeduplicationScope::zone, {0}, {1}));
+  CHECK_FALSE(hosts.inSameGroup(DeduplicationScope::zone, {0}, {2}));
+  CHECK(hosts.inSameGroup(DeduplicationScope::all, {0}, {2}));
   hosts.retainOnly({servingHost(1, {}, 1)});
   CHECK(hosts.servingCount() == 1);
   CHECK_FALSE(hosts.serving({0}));
