--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -41,12 +41,12 @@
 void SlowStart::countRampedUpHosts() {
   rampedUpHosts_ = 0;
   forEachHost(hosts_, [this](HostId host) {
-    if (hosts_.serving(host) && !warmingUp(host)) ++rampedUpHosts_;
+    if (hosts_.serving(host) && !inSlowStart(host)) ++rampedUpHosts_;
   });
 }
 
 bool SlowStart::admits(HostId host, double units) {
-  if (!warmingUp(host)) return true;
+  if (!inSlowStart(host)) return true;
   Budget& budget = budgets_[host.value];
   renewIfExpired(budget, host);
   if (budget.unitsLeft < units) {
@@ -77,12 +77,12 @@
 }
 
 void SlowStart::spend(HostId host, double units) {
-  if (warmingUp(host)) budgets_[host.value].unitsLeft -= units;
+  if (inSlowStart(host)) budgets_[host.value].unitsLeft -= units;
 }
 
 void SlowStart::recordResponse(HostId host, double units) {
   meanUnits_ += kMeanUnitsGain * (units - meanUnits_);
-  if (warmingUp(host)) return;
+  if (inSlowStart(host)) return;
   rampedUpHostUnits_.add(context_.now, kThroughputDecaySeconds, units / std::max(1, rampedUpHosts_));
 }
 
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -26,7 +26,7 @@
   double rampFactor(HostId host) const;
 
   /// Whether the host has not reached its full capacity yet.
-  bool warmingUp(HostId host) const { return rampFactor(host) < 1; }
+  bool inSlowStart(HostId host) const { return rampFactor(host) < 1; }
 
   /// Whether the host may be sent a request of so many units now; always true for a host that has ramped up.
   /// May draw at random. Each gateway keeps to its part of what hosts that have ramped up are seen to answer,
--- a/src/policy_api/policy_settings.hpp
+++ b/src/policy_api/policy_settings.hpp
@@ -6,113 +6,118 @@
 #include "policy_api/ids.hpp"
 #include "policy_api/time.hpp"
 
-/// The settings of the decision engine. Read from the platform's settings by config/policy_settings_reader,
-/// which checks forms and fills in defaults; the engine takes them as they are and never changes them.
+/// The settings of the decision engine. config/policy_settings_reader reads them from the platform's
+/// settings, validates them and fills in defaults. The engine uses them unchecked and never changes them.
 namespace merlinbridge {
 
-/// What a second execution of the same request would do.
+/// The effect of executing the same request twice.
 enum class Idempotency {
-  idempotent,    ///< Nothing further: it may be attempted again anywhere, at any time.
-  deduplicated,  ///< Hosts that recognize its idempotency key discard it, within Method::deduplicationWindow
-                 ///< and Method::deduplicationScope.
-  nonIdempotent  ///< Takes effect twice: it must not be attempted again once an attempt may have run.
+  idempotent,    ///< Same effect as executing it once: it may be sent again to any host, at any time.
+  deduplicated,  ///< Hosts that recognize its idempotency key discard the repeat, within
+                 ///< Method::deduplicationWindow and Method::deduplicationScope.
+  nonIdempotent  ///< Takes effect twice: it must not be sent again once a host may have executed it.
 };
 
-/// The hosts among which a repeat of a deduplicated request is recognized.
+/// The hosts that recognize a repeat of a deduplicated request.
 enum class DeduplicationScope {
-  all,   ///< Every host.
-  zone,  ///< Hosts of one zone.
-  cell   ///< Hosts of one cell.
+  all,   ///< All hosts.
+  zone,  ///< Hosts in the zone of the earlier attempt's host.
+  cell   ///< Hosts in the cell of the earlier attempt's host.
 };
 
-/// One method of the service: how its requests may be repeated, their latency objective and their priority.
+/// A method of the service: how its requests may be repeated, its latency objective and its weight in a
+/// request's priority.
 struct Method {
   Idempotency idempotency = Idempotency::nonIdempotent;
 
-  /// The hosts that recognize a repeat. Read for a deduplicated method only.
+  /// The hosts that recognize a repeat. Read only for a deduplicated method.
   DeduplicationScope deduplicationScope = DeduplicationScope::cell;
 
-  /// How long after the start of an attempt its hosts recognize a repeat. Read for a deduplicated method
-  /// only.
+  /// How long after the start of an attempt hosts recognize a repeat of it. Read only for a deduplicated
+  /// method.
   Duration deduplicationWindow{};
 
-  /// Counted from the request's arrival: the latency objective. No retry starts later. Above 0.
+  /// The latency objective, from the arrival of the request. No retry starts after it. Above 0.
   Duration softDeadline{};
 
-  /// Weight of the method in a request's priority: priority is utility times Plan::price. 0 or more.
+  /// Weight of the method in a request's priority, which is utility times Plan::price. 0 or more.
   double utility = 1;
 };
 
-/// A customer's plan: three limits that are independent of each other, and a price.
+/// A customer's plan: a quota, a concurrency limit and a hard ceiling, each independent of the others, and a
+/// price.
 struct Plan {
   /// The quota: units per second that refill the customer's token bucket, over all gateways. 0: no quota.
   double rate = 0;
 
-  /// Units that the quota's token bucket holds, over all gateways. Read where `rate` is above 0.
+  /// Capacity in units of the quota's token bucket, over all gateways. Read only if `rate` is above 0.
   double burst = 0;
 
-  /// The concurrency limit: attempts of the customer in flight at once, over all gateways. 0: no limit.
+  /// The concurrency limit: attempts of the customer in flight at the same time, over all gateways. 0: no
+  /// limit.
   int maxInFlight = 0;
 
   /// The hard ceiling: units per second that are never exceeded, over all gateways. 0: no ceiling.
   double ceilingRate = 0;
 
-  /// Units that the ceiling's token bucket holds, over all gateways. Read where `ceilingRate` is above 0.
+  /// Capacity in units of the ceiling's token bucket, over all gateways. Read only if `ceilingRate` is above
+  /// 0.
   double ceilingBurst = 0;
 
-  /// Units by which the ceiling's token bucket may fall below 0, over all gateways.
+  /// Units by which the level of the ceiling's token bucket may fall below 0, over all gateways.
   double ceilingSlack = 0;
 
-  /// What a unit of utility earns: the plan's weight in a request's priority. 0 or more.
+  /// Revenue for one unit of utility: the weight of the plan in a request's priority. 0 or more.
   double price = 1;
 };
 
-/// The settings that the engine is created with.
+/// The settings with which the engine is created.
 struct PolicySettings {
-  /// By MethodId.
+  /// Indexed by MethodId.
   std::vector<Method> methods;
 
-  /// By PlanId. Never empty.
+  /// Indexed by PlanId. Never empty.
   std::vector<Plan> plans;
 
-  /// Gateways that serve the customers together. At least 1.
+  /// Number of gateways that serve the customers together. At least 1.
   std::uint32_t gateways = 1;
 
-  /// Whether there is a counter service through which the gateways learn of each other's use.
+  /// Whether there is a counter service through which the gateways learn of each other's usage.
   bool hasCounter = false;
 
-  /// A call to the counter service ends without an answer after this long. Above 0.
+  /// Timeout of a call to the counter service. Above 0.
   Duration counterTimeout{};
 
-  /// The largest cost of one request, in units.
+  /// The largest cost of a request, in units.
   double maxUnits = 1;
 
-  /// Whether an attempt may be cancelled while its request has no answer.
+  /// Whether an attempt may be cancelled before its request has a response.
   bool allowCancel = false;
 
-  /// Whether a hedged request may be sent: a second attempt while the first is still in flight.
+  /// Whether a request may be hedged: a second attempt started while the first is still in flight.
   bool allowHedging = false;
 
-  /// Whether a rejection may carry a Retry-After.
+  /// Whether a rejection may have a Retry-After.
   bool allowRetryAfter = false;
 
-  /// Attempts of one request, the first included. At least 1.
+  /// Maximum number of attempts of a request, including the first. At least 1.
   std::uint32_t maxAttempts = 1;
 
   /// The longest Retry-After.
   Duration maxRetryAfter{};
 
-  /// An attempt to connect to a host is given up after this long. Above 0.
+  /// Timeout for connecting to a host. Above 0.
   Duration connectTimeout{};
 
   /// Capacity of a host that has just started, as a fraction of its full capacity: above 0, at most 1.
   double startCapacity = 1;
 
-  /// A host that warms up becomes overloaded once it is sent this multiple of its present capacity for
+  /// A host in slow start is overloaded if it is sent more than this multiple of its current capacity during
   /// `overloadWindow`. Above 0.
   double overloadMultiple = 1;
 
-  /// A host has its full capacity this long after its start. 0: at once, no host warms up.
+  /// Time from a host's start until it has its full capacity. 0: hosts have it at once and need no slow
+  /// start.
   Duration slowStartTime{};
 
   /// See `overloadMultiple`.
--- a/src/policy_binding/decision_engine.cpp
+++ b/src/policy_binding/decision_engine.cpp
@@ -4,8 +4,8 @@
 
 #include "policy/engine_impl.hpp"
 
-/// Binds the public class DecisionEngine to its implementation: each input sets the time, then goes to the
-/// part of DecisionEngine::Impl that handles it. Kept out of src/policy, which holds decisions alone.
+/// Forwards the functions of DecisionEngine to its implementation: each input sets the time, then calls the
+/// function of DecisionEngine::Impl that handles it. Not in src/policy, which contains only decision logic.
 namespace merlinbridge {
 
 DecisionEngine::DecisionEngine(PolicySettings settings, std::uint64_t seed, TimePoint now, DecisionSink& sink)
--- a/tests/policy/hosts_test.cpp
+++ b/tests/policy/hosts_test.cpp
@@ -168,7 +168,7 @@
   fixture.advanceTime(5s);
   CHECK(fixture.slowStart.rampFactor(kSecond) == Approx(0.6));
   fixture.advanceTime(5s);
-  CHECK_FALSE(fixture.slowStart.warmingUp(kSecond));
+  CHECK_FALSE(fixture.slowStart.inSlowStart(kSecond));
 }
 
 TEST_CASE("slow start: a host that warms up is sent no more than its budget, and unused budget lapses") {
@@ -231,16 +231,16 @@
 TEST_CASE("host selection: a host that has used up its slow-start budget waits for the next one") {
   HostsFixture fixture(1);
   fixture.announce(servingHost(1, kStart));
-  int warmingUp = 0;
+  int inSlowStart = 0;
   for (int i = 0; i < 10; ++i) {
     const auto host = fixture.select(4);
     REQUIRE(host);
     if (*host == kSecond) {
-      ++warmingUp;
+      ++inSlowStart;
       fixture.slowStart.spend(kSecond, 4);
     }
   }
-  CHECK(warmingUp <= 1);  // all gateways together may send it 1.5 requests
+  CHECK(inSlowStart <= 1);  // all gateways together may send it 1.5 requests
 }
 
 TEST_CASE("load shedding: the lowest priority is rejected first, and load reports count") {
