--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -5,7 +5,7 @@
 namespace merlinbridge::policy {
 namespace {
 
-/// Attempts that each gateway may have in flight while it does not know the other gateways' usage.
+/// The lowest limit of one gateway, in attempts in flight, while it does not know the other gateways' usage.
 constexpr double kMinDividedLimit = 1.0;
 
 }  // namespace
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -5,23 +5,25 @@
 
 namespace merlinbridge::policy {
 
-/// Decides whether a customer may have one more attempt in flight, from its plan, the attempts in flight here
-/// and what the other gateways have in flight on average. Asked for each request, after the quota.
+/// Decides whether a customer may have one more attempt in flight, from its plan, the attempts in flight at
+/// this gateway and the mean number of attempts in flight at the other gateways. Checked for each request,
+/// after the quota.
 ///
-/// A plan that has this limit and no quota publishes the seconds for which attempts were in flight as its
-/// units, so the other gateways' units per second are the attempts that they have in flight on average.
+/// For a plan with this limit and no quota, the units published to the counter service are the seconds for
+/// which attempts were in flight. The other gateways' units per second are therefore their mean number of
+/// attempts in flight.
 class ConcurrencyLimit {
  public:
-  /// `gateways`: how many share the limit, at least 1. The plan must outlive this object.
+  /// `gateways`: number of gateways that share the limit, at least 1. The plan must outlive this object.
   ConcurrencyLimit(const Plan& plan, double gateways);
 
-  /// Whether seconds in flight are published as the plan's usage.
+  /// Whether the plan's published units are seconds in flight.
   static bool publishesUsage(const Plan& plan);
 
-  /// Whether an attempt may start. `limitFraction`: 1 where the usage of all gateways is known, else this
-  /// gateway's part of the limit. `othersRate`: attempts that the other gateways have in flight on average. A
-  /// fraction of a free slot admits with that probability. Draws at random once for a plan with a limit, and
-  /// not at all for one without.
+  /// Whether an attempt may start. `limitFraction`: 1 if the usage of all gateways is known, otherwise this
+  /// gateway's fraction of the limit. `othersRate`: mean number of attempts in flight at the other gateways.
+  /// If less than one attempt remains, that remaining fraction is the probability of admission. Takes one
+  /// random number for a plan with a limit, none for a plan without.
   bool admits(double limitFraction, double othersRate, util::RandomSource& random) const;
 
   void attemptStarted();
@@ -31,12 +33,12 @@
   bool idle() const { return inFlight_ == 0; }
 
  private:
-  /// Attempts that may start now; below 0 where too many are in flight.
+  /// Attempts that may start now, possibly a fraction; below 0 if too many are in flight.
   double remainingAttempts(double limitFraction, double othersRate) const;
 
   const Plan& plan_;
   const double gateways_;
-  int inFlight_ = 0;  ///< Attempts at this gateway.
+  int inFlight_ = 0;  ///< Attempts in flight at this gateway.
 };
 
 }  // namespace merlinbridge::policy
--- a/src/policy/count_slot.cpp
+++ b/src/policy/count_slot.cpp
@@ -3,10 +3,10 @@
 namespace merlinbridge::policy {
 namespace {
 
-/// The source design's value.
+/// Length of a time slot.
 constexpr Duration kSlotLength = std::chrono::seconds(10);
 
-/// Retention of a count, in slots.
+/// Retention time of a count, in time slots.
 constexpr double kRetentionSlots = 3.0;
 
 }  // namespace
--- a/src/policy/count_slot.hpp
+++ b/src/policy/count_slot.hpp
@@ -3,19 +3,19 @@
 #include "policy_api/ids.hpp"
 #include "policy_api/time.hpp"
 
-/// The slots of time in which the counter service adds up a customer's units. Pure functions of the time.
+/// The time slots over which the counter service sums a customer's units. Pure functions of the time.
 namespace merlinbridge::policy {
 
-/// Length of a slot. The same at every gateway, since all name the same counts.
+/// Length of a time slot. The same at all gateways, because they share the counts.
 Duration slotLength();
 
-/// How long the counter service keeps a count, and this gateway the state of a customer that sends nothing.
+/// How long the counter service keeps a count, and how long this gateway keeps the state of an idle customer.
 Duration countRetention();
 
-/// The slot that contains that time.
+/// The time slot that contains `now`.
 SlotId slotAt(TimePoint now);
 
-/// Seconds from the slot's beginning to now.
+/// Seconds from the start of the slot to `now`.
 double secondsIntoSlot(TimePoint now, SlotId slot);
 
 }  // namespace merlinbridge::policy
--- a/src/policy/counter_exchange.cpp
+++ b/src/policy/counter_exchange.cpp
@@ -7,30 +7,30 @@
 namespace merlinbridge::policy {
 namespace {
 
-/// Rounds over which a customer's use is remembered.
+/// Time constant of the averages of a customer's usage, in rounds.
 constexpr double kLookBackRounds = 8.0;
 
-/// Seconds that the counter timeout is taken to be at least, as a divisor.
+/// Lower bound for the counter timeout in seconds, because it is used as a divisor.
 constexpr double kMinTimeoutSeconds = 1e-3;
 
-// The pace of all gateways together, in calls per counter timeout; each gateway has an even part.
-constexpr double kInitialCallsPerTimeout = 12.0;  ///< At the start of a gateway.
+// The call rate of all gateways together, in calls per counter timeout; each gateway has an equal part.
+constexpr double kInitialCallsPerTimeout = 12.0;  ///< Rate at the start of a gateway.
 constexpr double kMaxCallsPerTimeout = 120.0;     ///< Upper bound.
-constexpr double kMinCallsPerTimeout =
-    0.6;  ///< Lower bound: calls that find out whether the service is back.
+constexpr double kMinCallsPerTimeout = 0.6;  ///< Lower bound, so that a recovery of the service is noticed.
 
-/// An answer is late from this fraction of the counter timeout on; a call without an answer is late as well.
+/// A response is late if it takes at least this fraction of the counter timeout. A failed call counts as
+/// late.
 constexpr double kLateResponseFraction = 0.5;
 
-/// Factor by which a late answer cuts the pace, once in a counter timeout at most.
-constexpr double kPaceCutFactor = 0.7;
+/// Factor by which a late response reduces the call rate, at most once per counter timeout.
+constexpr double kCallRateCutFactor = 0.7;
 
-/// An answer is quick below this fraction of the counter timeout.
+/// A response is quick if it takes less than this fraction of the counter timeout.
 constexpr double kQuickResponseFraction = 0.25;
 
-/// Calls per counter timeout by which a quick answer raises the pace; of the pace itself where that is
-/// below 1.
-constexpr double kPaceIncrease = 0.1;
+/// Calls per counter timeout by which a quick response raises the call rate; multiplied by the rate itself if
+/// that is below 1.
+constexpr double kCallRateIncrease = 0.1;
 
 }  // namespace
 
@@ -47,7 +47,7 @@
   return customer.round.state == CounterRound::State::idle;
 }
 
-double CounterExchange::pacePeriodSeconds() const {
+double CounterExchange::callRatePeriodSeconds() const {
   return std::max(kMinTimeoutSeconds, seconds(context_.settings.counterTimeout));
 }
 
@@ -75,11 +75,11 @@
 }
 
 void CounterExchange::drainQueue() {
-  pacer_.refill(context_.now, pacePeriodSeconds());
+  pacer_.refill(context_.now, callRatePeriodSeconds());
   startDueCalls();
   if (queue_.empty() || drainScheduled_) return;
   drainScheduled_ = true;
-  context_.runAt(context_.now + pacer_.untilNext(pacePeriodSeconds()), [this] {
+  context_.runAt(context_.now + pacer_.untilNext(callRatePeriodSeconds()), [this] {
     drainScheduled_ = false;
     drainQueue();
   });
@@ -108,7 +108,7 @@
 void CounterExchange::callEnded(const CounterKey& key, CounterCallOutcome outcome, double total,
                                 Duration duration) {
   health_.recordCall(outcome);
-  adjustPace(outcome, duration);
+  adjustCallRate(outcome, duration);
   const auto found = callsInFlight_.find(key);
   if (found == callsInFlight_.end()) return;
   const CallInFlight call = found->second;
@@ -132,20 +132,20 @@
   if (customer.round.requestedSinceCall) scheduleCall(customer);
 }
 
-void CounterExchange::adjustPace(CounterCallOutcome outcome, Duration duration) {
+void CounterExchange::adjustCallRate(CounterCallOutcome outcome, Duration duration) {
   const double gateways = context_.settings.gateways;
-  const double pace = pacer_.callsPerPeriod();
+  const double callRate = pacer_.callsPerPeriod();
   const bool answered = outcome == CounterCallOutcome::ok;
-  const double timeoutFraction = answered ? seconds(duration) / pacePeriodSeconds() : 1;
+  const double timeoutFraction = answered ? seconds(duration) / callRatePeriodSeconds() : 1;
   const bool isLate = timeoutFraction >= kLateResponseFraction;
   const bool isQuick = timeoutFraction < kQuickResponseFraction;
-  // All gateways together make less than one call per timeout: the pace grows with any answer that is not
-  // late.
-  const bool paceIsLow = pace < 1.0 / gateways;
-  if (isQuick || (!isLate && paceIsLow))
-    pacer_.raise(kPaceIncrease * std::min(1.0, pace), kMaxCallsPerTimeout / gateways);
+  // While all gateways together make less than one call per timeout, any response that is not late raises the
+  // rate.
+  const bool callRateIsLow = callRate < 1.0 / gateways;
+  if (isQuick || (!isLate && callRateIsLow))
+    pacer_.raise(kCallRateIncrease * std::min(1.0, callRate), kMaxCallsPerTimeout / gateways);
   else if (isLate)
-    pacer_.cut(kPaceCutFactor, kMinCallsPerTimeout / gateways, context_.now,
+    pacer_.cut(kCallRateCutFactor, kMinCallsPerTimeout / gateways, context_.now,
                context_.settings.counterTimeout);
 }
 
--- a/src/policy/counter_exchange.hpp
+++ b/src/policy/counter_exchange.hpp
@@ -10,61 +10,62 @@
 
 namespace merlinbridge::policy {
 
-/// Decides when a customer's units are exchanged with the counter service: one call a round for each customer
-/// that sends requests, at a pace that follows how the service answers (additive increase, multiplicative
-/// decrease). While the service is unreachable, customers' quotas are divided among the gateways. Called for
-/// each request of a customer, at the end of each call, and by its own timers.
+/// Decides when a customer's units are exchanged with the counter service: one call per round for each
+/// customer that sends requests, at a call rate that adapts to the service's response times (additive
+/// increase, multiplicative decrease). While the service is unreachable, the customers' quotas are divided
+/// among the gateways. Called for each request of a customer, at the end of each call, and by its own timers.
 class CounterExchange {
  public:
   /// The context must outlive this object.
   explicit CounterExchange(EngineContext& context);
 
-  /// Seconds over which a customer's use is remembered.
+  /// Time constant, in seconds, of the averages of a customer's usage.
   static double lookBackSeconds(const PolicySettings& settings);
 
-  /// Brings the customer's quota bucket and ceiling up to now, and divides the quota while the service is
-  /// unreachable.
+  /// Refills the customer's quota bucket and hard ceiling up to the current time. Divides the quota while the
+  /// service is unreachable.
   void refill(CustomerState& customer) const;
 
-  /// A request of the customer has arrived: its units are exchanged now, or when the customer's last round is
-  /// over. The customer must not be destroyed before idle() is true.
+  /// A request of the customer has arrived: its next call is queued now, or when the customer's current round
+  /// ends. The customer must not be destroyed before idle() is true.
   void scheduleCall(CustomerState& customer);
 
-  /// A call has ended. `total`: of the count after the call, where `outcome` is ok. `duration`: of the call.
+  /// A call has ended. `total`: the units in the count after the call, valid if `outcome` is ok. `duration`:
+  /// of the call.
   void callEnded(const CounterKey& key, CounterCallOutcome outcome, double total, Duration duration);
 
-  /// Whether nothing of that customer waits for the counter service.
+  /// Whether the customer has no call queued or in flight.
   static bool idle(const CustomerState& customer);
 
  private:
-  /// A call that has not ended, by its key: a customer has one at most.
+  /// A call that has not ended. A customer has at most one.
   struct CallInFlight {
     CustomerState* customer;
-    double units;  ///< That the call is to add.
+    double units;  ///< The units that the call adds.
   };
 
-  /// Puts the customer, whose round is over, at the end of the queue.
+  /// Appends the customer, whose round is over, to the queue.
   void enqueue(CustomerState& customer);
-  /// Starts the calls of queued customers while the pace allows, so that the gateways do not press a crowded
-  /// or slow service. The cost is stale totals for a moment when the service is back, until the pace has
-  /// grown again.
+  /// Starts the calls of queued customers as far as the call rate allows, so that the gateways do not
+  /// overload a busy or slow service. The cost: when the service recovers, totals are stale until the rate
+  /// has increased again.
   void drainQueue();
   void startDueCalls();
-  /// Starts the one call of the customer's round. The last total of a slot is not read when the slot turns,
-  /// nor the slot before for a new customer: a busy service must not fill up with calls that only read. The
-  /// cost is accuracy right after a turn.
+  /// Starts the call of the customer's round. There are no read-only calls, which would overload a busy
+  /// service: neither for the final total of a slot when the next one begins, nor for the previous slot of a
+  /// new customer. The cost is lower accuracy right after a slot begins.
   void startCall(CustomerState& customer);
   void finishCall(const CallInFlight& call, SlotId slot, CounterCallOutcome outcome, double total);
-  /// Raises the pace after a quick answer, and cuts it after a late one or none.
-  void adjustPace(CounterCallOutcome outcome, Duration duration);
-  /// The counter timeout in seconds, above 0: the period that the pace counts calls in.
-  double pacePeriodSeconds() const;
+  /// Raises the call rate after a quick response, and reduces it after a late response or a failure.
+  void adjustCallRate(CounterCallOutcome outcome, Duration duration);
+  /// The period of the call rate: the counter timeout in seconds, above 0.
+  double callRatePeriodSeconds() const;
 
   EngineContext& context_;
   std::map<CounterKey, CallInFlight> callsInFlight_;
   std::deque<CustomerState*> queue_;  ///< Customers whose round is due.
-  util::CallPacer pacer_;             ///< In calls per counter timeout.
-  bool drainScheduled_ = false;       ///< Whether a timer will call drainQueue().
+  util::CallPacer pacer_;             ///< Limits calls; its period is the counter timeout.
+  bool drainScheduled_ = false;       ///< Whether a timer is set that calls drainQueue().
   CounterHealth health_;
 };
 
--- a/src/policy/counter_health.cpp
+++ b/src/policy/counter_health.cpp
@@ -8,7 +8,8 @@
 /// Length of a round, in counter timeouts.
 constexpr double kTimeoutsPerRound = 2.0;
 
-/// Rounds, and calls in a row, that must have failed. The source design's value.
+/// The service is unreachable after this many consecutive failed calls, if the last success is also more than
+/// this many rounds ago. For a single customer: after this many consecutive failed rounds.
 constexpr int kUnreachableAfterFailures = 3;
 
 }  // namespace
--- a/src/policy/customer_state.hpp
+++ b/src/policy/customer_state.hpp
@@ -7,28 +7,28 @@
 
 namespace merlinbridge::policy {
 
-/// Where a customer is in the exchange with the counter service. Changed by CounterExchange alone.
+/// A customer's state in the exchange with the counter service. Changed only by CounterExchange.
 struct CounterRound {
-  /// idle -> queued when the customer sends a request; queued -> callInFlight when the pace allows the call;
-  /// callInFlight -> idle when the call ends, and on to queued where requests came meanwhile or the call
-  /// failed.
+  /// idle -> queued when the customer sends a request; queued -> callInFlight when the call rate allows the
+  /// call; callInFlight -> idle when the call ends, and then -> queued if requests arrived in the meantime or
+  /// the call failed.
   enum class State {
-    idle,         ///< Nothing of the customer waits for the counter service.
-    queued,       ///< Waits for the round to be over, or for its turn under the pace.
-    callInFlight  ///< A call to the counter service has not ended.
+    idle,         ///< The customer has no call queued or in flight.
+    queued,       ///< Waits for the end of the round, or in the queue of calls.
+    callInFlight  ///< A call to the counter service is in flight.
   };
 
   State state = State::idle;
-  bool requestedSinceCall = false;  ///< Whether the customer has sent requests since the last call started.
-  int consecutiveFailures = 0;      ///< Rounds whose call failed, since the last one that did not.
-  TimePoint startedAt{};            ///< Start of the round: of its call.
+  bool requestedSinceCall = false;  ///< Whether a request arrived since the last call started.
+  int consecutiveFailures = 0;      ///< Consecutive rounds whose call failed.
+  TimePoint startedAt{};            ///< Start of the round, which is the start of its call.
 };
 
-/// The state of one customer at this gateway: its limits, and its place in the exchange with the counter
-/// service. The limits are classes of their own; this is what holds them together.
+/// The state of one customer at this gateway: its limits, each a separate class, and its state in the
+/// exchange with the counter service.
 struct CustomerState {
-  /// `gateways`: how many the customer's requests come through, at least 1. The plan must outlive this
-  /// object.
+  /// `gateways`: number of gateways that receive the customer's requests, at least 1. The plan must outlive
+  /// this object.
   CustomerState(CustomerId customerId, const Plan& customerPlan, double gateways,
                 const EngineContext& context);
 
--- a/src/policy/customer_table.hpp
+++ b/src/policy/customer_table.hpp
@@ -7,19 +7,20 @@
 
 namespace merlinbridge::policy {
 
-/// Decides how long a customer's state is retained: until the customer has sent nothing for the retention of
-/// a count, has no attempt in flight and nothing that waits for the counter service. Looked up for each
-/// request; swept with the attempts in flight.
+/// Stores the customers' states and decides when to remove them: once the customer has sent no request for
+/// the retention time of a count, has no attempt in flight and no call to the counter service queued or in
+/// flight. Looked up for each request; swept together with the attempts in flight.
 ///
-/// The states' addresses are stable until they are forgotten.
+/// The address of a state is stable until it is removed.
 class CustomerTable {
  public:
   explicit CustomerTable(const EngineContext& context) : context_(context) {}
 
-  /// The state of the request's customer, made where there is none; marks the customer as seen now.
+  /// Returns the state of the request's customer, creating it if there is none, and records the time of the
+  /// request.
   CustomerState& findOrCreate(const Request& request);
 
-  /// Forgets idle customers, once in a slot of time at most.
+  /// Removes idle customers, at most once per time slot.
   void sweep();
 
  private:
--- a/src/policy/decision_engine.cpp
+++ b/src/policy/decision_engine.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Time between sweeps. Also the Retry-After of a request that no host may be sent.
+/// Time between sweeps. Also the Retry-After of a request for which no host is available.
 constexpr Duration kSweepInterval = std::chrono::milliseconds(50);
 
 }  // namespace
--- a/src/policy/engine_context.hpp
+++ b/src/policy/engine_context.hpp
@@ -6,21 +6,21 @@
 
 namespace merlinbridge::policy {
 
-/// What all parts of one engine share: settings, time, random draws, timers and the sink. The engine sets the
-/// time of an input before it hands the input on; the parts only read the time.
+/// State shared by all components of an engine: settings, time, random numbers, timers and the sink. The
+/// engine sets the time before it handles an input; the components only read it.
 struct EngineContext {
-  /// `seed` determines all random draws. `startTime`: start of this gateway process. The sink must outlive
+  /// `seed` determines all random choices. `startTime`: start of this gateway process. The sink must outlive
   /// the context.
   EngineContext(PolicySettings policySettings, std::uint64_t seed, TimePoint startTime,
                 DecisionSink& decisionSink);
 
-  /// Runs the callback at that time, or as soon as possible where it has passed. The callback runs once,
-  /// while the engine handles the timer's input; what it captures must live until then.
+  /// Runs the callback once at time `at`, or as soon as possible if that has passed, while the engine handles
+  /// the timer's input. Captured references must stay valid until then.
   void runAt(TimePoint at, util::TimerTable::Callback callback);
 
   const PolicySettings settings;
-  const TimePoint startedAt;  ///< Of this gateway process.
-  TimePoint now;              ///< Of the input that is handled.
+  const TimePoint startedAt;  ///< Start of this gateway process.
+  TimePoint now;              ///< Time of the current input.
   util::RandomSource random;
   util::TimerTable timers;
   DecisionSink& sink;
--- a/src/policy/engine_impl.hpp
+++ b/src/policy/engine_impl.hpp
@@ -11,25 +11,25 @@
 
 namespace merlinbridge {
 
-/// Decides the order of the checks for a request, and hands every event on to the parts that learn from it.
-/// Owns all parts; the order of the members is the order in which they need each other. Each public function
-/// but advanceTo() handles one input of DecisionEngine, after advanceTo() has set its time.
+/// Implements DecisionEngine: runs the checks of a request in order, and passes each event to the components
+/// that use it. Owns all components; a member may depend on members declared before it. Each public function
+/// except advanceTo() handles one input of DecisionEngine, after advanceTo() has set its time.
 class DecisionEngine::Impl {
  public:
   Impl(PolicySettings settings, std::uint64_t seed, TimePoint now, DecisionSink& sink);
 
-  /// Sets the time of the input that is handled next.
+  /// Sets the time of the next input.
   void advanceTo(TimePoint now);
 
   void updateHosts(const std::vector<HostUpdate>& updates);
   void updateAllHosts(const std::vector<HostUpdate>& updates);
-  /// Admits the request and starts its first attempt, or rejects it. The checks in order: the customer's
-  /// limits, the hosts' utilization, a host that may be sent the request. Spends the request's units only
-  /// where an attempt starts.
+  /// Admits the request and starts its first attempt, or rejects it. Checks in order: the customer's limits,
+  /// the utilization of the hosts, and whether a host is available for the request. Spends the request's
+  /// units only if an attempt starts.
   void admit(const Request& request);
-  /// Ignores the result of an attempt that is unknown or has ended.
+  /// Ignores the result of an attempt that is unknown or already ended.
   void endAttempt(const AttemptResult& result);
-  /// Marks the request as answered, so that nothing further is started for it. Ignores an unknown request.
+  /// Marks the request as answered, so that no further attempt is started. Ignores an unknown request.
   void markAnswered(RequestId id);
   void endCounterCall(const CounterKey& key, CounterCallOutcome outcome, double total, Duration duration);
   void fireTimer(TimerId timer);
@@ -37,34 +37,35 @@
  private:
   void updateHost(const HostUpdate& update);
 
-  /// Checks the customer's limits, quota first, then those that need no counter service. Returns the seconds
-  /// until the request may be repeated where one of them rejects it, empty where all admit it.
+  /// Checks the customer's limits in order: quota, concurrency limit, hard ceiling. If a limit rejects the
+  /// request, returns the seconds after which the client may retry; empty if all limits admit it.
   std::optional<double> retryAfterIfLimited(const Request& request, const policy::CustomerState& customer);
   void reject(const Request& request, double retryAfterSeconds);
   /// Rejects the request for lack of capacity.
   void shed(const Request& request, double retryAfterSeconds);
 
-  /// Starts an attempt of the request; false where no host may be sent it now.
+  /// Starts an attempt of the request. Returns false if no host is available for it now.
   bool startAttempt(policy::RequestInFlight& request);
   std::optional<HostId> selectHost(const policy::RequestInFlight& request);
-  /// Starts a retry where the attempt's end calls for one, and removes the request with its last attempt.
+  /// Handles the end of an attempt: retries the request if it has no response and a retry is allowed, and
+  /// removes the request after its last attempt.
   void finishAttempt(policy::RequestInFlight& request, const AttemptResult& result);
-  /// Hands the result on to what learns about hosts.
+  /// Passes the result to the components that keep data about hosts.
   void recordResult(const AttemptResult& result, const policy::RequestInFlight& request);
-  /// Corrects the customer's use by what the result states.
+  /// Records the customer's usage that only the result of an attempt reveals: seconds in flight, true cost.
   static void recordUsage(const AttemptResult& result, const policy::RequestInFlight& request);
-  /// Gives the request its final answer, after its last attempt has ended without one.
+  /// Sends the final response of a request whose last attempt ended without a response.
   void rejectOrFail(policy::RequestInFlight& request);
 
-  /// Deals with an attempt whose answer is not expected any more, whatever swallowed it: hedges the request
-  /// where two attempts may be in flight, else cancels the attempt, whose end then leads to a retry. The cost
-  /// is work done twice where every host is slow.
+  /// Handles an attempt whose response is no longer expected, whatever the cause: hedges the request if
+  /// hedging is allowed; otherwise cancels the attempt if cancelling is allowed, and its end then leads to a
+  /// retry. The cost is duplicate work while all hosts are slow.
   void handleOverdue(policy::RequestInFlight& request, AttemptNumber number);
 
-  /// Makes sure that a sweep follows within the sweep interval.
+  /// Schedules a sweep after the sweep interval, unless one is already scheduled.
   void scheduleSweep();
-  /// Checks what only time brings about: overdue attempts, changed capacity, idle customers. Repeated while
-  /// attempts are in flight or load is shed.
+  /// Handles changes that come with time rather than with an input: overdue attempts, changed capacity, idle
+  /// customers. Repeated while attempts are in flight or load is shed.
   void sweep();
   policy::RequestTable::CheckResult checkAttempt(policy::RequestInFlight& request, AttemptNumber number);
 
--- a/src/policy/hard_ceiling.hpp
+++ b/src/policy/hard_ceiling.hpp
@@ -4,32 +4,32 @@
 
 namespace merlinbridge::policy {
 
-/// Decides whether a request stays under the customer's hard ceiling, from this gateway's fixed part of the
-/// ceiling alone: a token bucket that needs no counter service, so that the ceiling holds whatever fails.
-/// Asked for each request, after the quota and the concurrency limit.
+/// Decides whether a request stays below the customer's hard ceiling, using only this gateway's fixed part of
+/// the ceiling: a token bucket that does not depend on the counter service, so that the ceiling holds in any
+/// failure. Checked for each request, after the quota and the concurrency limit.
 class HardCeiling {
  public:
-  /// `gateways`: how many share the ceiling, at least 1. `startedAt`: start of this process. The bucket
-  /// starts at its lowest level, since what an earlier incarnation of this gateway admitted is not known. The
-  /// plan must outlive this object.
+  /// `gateways`: number of gateways that share the ceiling, at least 1. `startedAt`: start of this process.
+  /// The bucket starts at its lowest level, because the usage admitted by this gateway before a restart is
+  /// unknown. The plan must outlive this object.
   HardCeiling(const Plan& plan, double gateways, TimePoint startedAt);
 
-  /// Brings the level up to that time. Call before any decision.
+  /// Refills the bucket up to `now`. Must be called before each decision.
   void refill(TimePoint now);
 
-  /// Whether a request of so many units stays under the ceiling. Always true for a plan without a ceiling.
+  /// Whether a request that costs `units` stays below the ceiling. Always true for a plan without a ceiling.
   bool admits(double units) const;
 
-  /// A request of so many units was admitted.
+  /// Takes the units of an admitted request from the bucket.
   void spend(double units);
 
-  /// Seconds until so many units may pass. Only for a plan with a ceiling.
+  /// Seconds until the level reaches `units`. Only for a plan with a ceiling.
   double secondsUntil(double units) const;
 
  private:
   const Plan& plan_;
   const double gateways_;
-  double level_;  ///< Units left; may fall below 0 by this gateway's part of the slack.
+  double level_;  ///< Units left. At lowest minus this gateway's part of the slack.
   TimePoint refilledAt_;
 };
 
--- a/src/policy/host_selection.cpp
+++ b/src/policy/host_selection.cpp
@@ -6,8 +6,8 @@
 namespace merlinbridge::policy {
 namespace {
 
-/// Bound of the factor by which a host's relative speed, squared, counts in its weight: from 1 / this to
-/// this.
+/// Bounds the squared relative speed of a host in its weight: between 1 / kMaxSpeedFactor and
+/// kMaxSpeedFactor.
 constexpr double kMaxSpeedFactor = 4.0;
 
 }  // namespace
@@ -79,7 +79,7 @@
       credit_[host.value] -= totalWeight_;
       return host;
     }
-    // Not a candidate after all: as if the selection had not seen the host.
+    // Slow start does not admit the host: undo addCandidate().
     credit_[host.value] -= weight(host);
     totalWeight_ -= weight(host);
     candidates_.erase(next);
--- a/src/policy/host_selection.hpp
+++ b/src/policy/host_selection.hpp
@@ -12,43 +12,42 @@
 
 namespace merlinbridge::policy {
 
-/// Decides which host an attempt goes to: weighted round robin over the hosts that serve and may be sent the
-/// request. A host's weight follows its speed and its slow start. Called for each attempt.
+/// Selects the host for each attempt: weighted round robin over the hosts that serve and are available for
+/// the request. A host's weight depends on its speed and its slow start.
 ///
-/// Each host has a credit: a selection adds its weight to every candidate, and takes the candidates' total
-/// weight from the one that is chosen, which is the one with the highest credit.
+/// Each host has a credit. A selection adds each candidate's weight to its credit, chooses the candidate with
+/// the highest credit, and subtracts the total weight of the candidates from the credit of the chosen one.
 class HostSelection {
  public:
-  /// Whether the request may go to that host at all. Asked once in a selection for each host that serves.
+  /// Whether the request may be sent to the host at all. Called once per selection for each host that serves.
   using HostFilter = std::function<bool(HostId)>;
 
   /// All arguments must outlive this object.
   HostSelection(EngineContext& context, const util::HostTable& hosts, const HostStatistics& statistics,
                 const OutlierDetection& outliers, SlowStart& slowStart);
 
-  /// Extends the arrays to that host. No effect where it is known.
+  /// Extends the arrays to include the host. No effect if it is already known.
   void add(HostId host);
 
-  /// The host is new, back or restarted: its place in the rotation is drawn anew.
+  /// The host is new, back or restarted: it gets a new random initial credit.
   void reset(HostId host);
 
-  /// Selects the host of an attempt; empty where no host may be sent the request now. Draws at random.
+  /// Selects the host for an attempt; empty if no host is available for the request now. Uses random numbers.
   std::optional<HostId> select(const Request& request, const HostFilter& allowed);
 
  private:
-  /// The host's weight in the rotation, above 0.
+  /// The host's weight in the round robin, above 0.
   double weight(HostId host) const;
-  /// Whether the host may be sent the request now: not where it is ejected, unresponsive or full, and by
-  /// chance not where it fails this kind of request. Draws at random for a host that has failed this kind of
-  /// request.
+  /// Whether the request may be sent to the host now: not if the host is ejected, unresponsive or at
+  /// capacity. A host that has failed requests of this method or plan is available with a probability; this
+  /// takes a random number.
   bool isAvailable(HostId host, const Request& request);
   bool hasFreeCapacity(HostId host, const Method& method) const;
-  /// Makes the host a candidate and adds its weight to its credit. Its place in the rotation is drawn the
-  /// first time, so that many gateways do not give one host its turn at once: this gateway may just have
-  /// started, or the host.
+  /// Makes the host a candidate and adds its weight to its credit. The initial credit is random, so that many
+  /// gateways do not select the same host at the same time after a start of the gateways or of the host.
   void addCandidate(HostId host);
-  /// Chooses the candidate with the highest credit that slow start admits. A host that warms up and has no
-  /// budget left keeps its credit, and so its turn, until it has.
+  /// Chooses the candidate with the highest credit that slow start admits. A host in slow start without
+  /// budget keeps its credit until it has budget again.
   std::optional<HostId> chooseCandidate(double units);
   std::vector<HostId>::iterator highestCredit();
 
@@ -57,10 +56,10 @@
   const HostStatistics& statistics_;
   const OutlierDetection& outliers_;
   SlowStart& slowStart_;
-  std::vector<double> credit_;            ///< By HostId, in units of weight; the highest has the next turn.
-  std::vector<char> needsInitialCredit_;  ///< By HostId; 1: has had no turn since it came.
-  std::vector<HostId> candidates_;        ///< Of the present selection, in ascending order.
-  double totalWeight_ = 0;                ///< Of the candidates.
+  std::vector<double> credit_;            ///< By HostId, in units of weight; the highest is chosen next.
+  std::vector<char> needsInitialCredit_;  ///< By HostId; 1: not a candidate since reset().
+  std::vector<HostId> candidates_;        ///< Of the current selection, in ascending order.
+  double totalWeight_ = 0;                ///< Of all candidates.
 };
 
 }  // namespace merlinbridge::policy
--- a/src/policy/host_statistics.cpp
+++ b/src/policy/host_statistics.cpp
@@ -6,41 +6,42 @@
 namespace merlinbridge::policy {
 namespace {
 
-/// Least weight of one answer in its host's latency, 0 to 1.
+/// Smallest weight of a response in the smoothed latency of its host, 0 to 1.
 constexpr double kMinLatencyGain = 0.06;
 
-/// Greatest weight of one answer in its host's latency, 0 to 1. Reached where the last answer is long ago.
+/// Largest weight of a response in the smoothed latency of its host, 0 to 1. Used if the previous response
+/// was long ago.
 constexpr double kMaxLatencyGain = 0.3;
 
-/// Time constant, in seconds, by which the weight of an answer grows with the time since the last one.
+/// Time constant, in seconds, with which the weight grows with the time since the previous response.
 constexpr double kLatencyDecaySeconds = 10.0;
 
-/// Weight of one answer in the mean latency of all hosts, 0 to 1.
+/// Weight of a response in the mean latency of all hosts, 0 to 1.
 constexpr double kMeanLatencyGain = kMinLatencyGain / 4;
 
-/// Time constant, in seconds, of the outcomes of one kind of request at a host.
+/// Time constant, in seconds, of the counts of successes and failures.
 constexpr double kOutcomeDecaySeconds = 20.0;
 
-/// Successes that are counted beside those seen, so that a host that only failed is tried again.
+/// Successes added to the counted ones, so that a host that has only failed is tried again.
 constexpr double kOutcomePrior = 0.1;
 
-/// Time constant, in seconds, of the answers that are counted for a host's capacity.
+/// Time constant, in seconds, of the count of responses from which the capacity is calculated.
 constexpr double kResponseDecaySeconds = 4.5;
 
-/// Least capacity of a host from its answers: attempts in flight, of all gateways together.
+/// Lower bound of the capacity calculated from a host's responses, in attempts in flight of all gateways
+/// together.
 constexpr double kMinCapacity = 3.0;
 
-/// Attempts in flight that a host may have beyond what its answers allow, of all gateways together.
+/// Added to that capacity, in attempts in flight of all gateways together.
 constexpr double kSpareCapacity = 2.0;
 
-/// Time for which a request may wait at a host, as a fraction of the method's soft deadline.
+/// Time that a request may wait at a host, as a fraction of the method's soft deadline.
 constexpr double kQueueTimeFraction = 0.2;
 
-/// Mean latencies without a sign of a host that owes an answer, after which the host is unresponsive.
+/// A host with attempts in flight is unresponsive after this many mean latencies without a response.
 constexpr double kUnresponsiveLatencies = 5.0;
 
-/// The silence of a host after which what it owes may be overdue, as a multiple of that until it is
-/// unresponsive.
+/// Attempts at a host can be overdue after this multiple of the time after which it is unresponsive.
 constexpr double kOverdueFactor = 2.0;
 
 }  // namespace
@@ -48,12 +49,12 @@
 void HostStatistics::add(HostId host) {
   const std::size_t size = host.value + 1;
   if (size <= latency_.size()) return;
-  const std::size_t kinds = context_.settings.methods.size() + context_.settings.plans.size();
+  const std::size_t outcomesPerHost = context_.settings.methods.size() + context_.settings.plans.size();
   latency_.resize(size);
   inFlight_.resize(size);
   lastReceivedAt_.resize(size);
   responses_.resize(size);
-  outcomes_.resize(size, std::vector<Outcomes>(kinds));
+  outcomes_.resize(size, std::vector<Outcomes>(outcomesPerHost));
 }
 
 void HostStatistics::reset(HostId host) {
@@ -79,7 +80,7 @@
   const Outcome outcome = result.outcome;
   const bool ok = outcome == Outcome::ok;
   const bool rejected = outcome == Outcome::rejected;
-  // A rejection goes by the plan, an error or a missing answer by the method.
+  // Rejections are counted by plan; errors and missing responses are counted by method.
   if (ok || outcome == Outcome::error || outcome == Outcome::noResponse)
     countOutcome(outcomesOf(host, request.method), ok);
   if (ok || rejected) countOutcome(outcomesOf(host, request.plan), ok);
@@ -154,7 +155,7 @@
   const std::vector<Outcomes>& outcomes = outcomes_[host.value];
   const double fraction =
       successFraction(outcomes[method.value]) * successFraction(outcomes[outcomeIndex(plan)]);
-  // Squared: trust falls faster than successes do.
+  // Squared, so that a failing host gets fewer requests than its rate of successes alone would give it.
   return fraction * fraction;
 }
 
--- a/src/policy/load_shedding.cpp
+++ b/src/policy/load_shedding.cpp
@@ -8,16 +8,17 @@
 namespace merlinbridge::policy {
 namespace {
 
-/// Utilization from which requests of priority 0 are rejected; those of priority 1 are from utilization 1.
+/// Utilization from which requests of priority 0 are rejected. Rises linearly to 1 for requests of
+/// priority 1.
 constexpr double kSheddingThreshold = 0.6;
 
 /// Time constant, in seconds, of load reports.
 constexpr double kReportDecaySeconds = 4.5;
 
-/// Weight of the hosts' reports in the utilization, against 1 for what this gateway sees itself.
+/// Weight of the hosts' reports in the utilization, relative to this gateway's own observation.
 constexpr double kReportWeight = 2.0;
 
-/// Utilization that one report counts for at most.
+/// Upper bound of the utilization that is taken from one report.
 constexpr double kMaxReportedUtilization = 2.0;
 
 }  // namespace
@@ -91,8 +92,8 @@
 void LoadShedding::sweep() {
   capacityByMethod_.clear();
   for (const Method& method : context_.settings.methods) capacityByMethod_.push_back(capacityOfHosts(method));
-  const bool shedLately = context_.now - lastShedAt_ <= slotLength();
-  if (!shedLately) notice_.set(false, context_.now, context_.sink);
+  const bool shedRecently = context_.now - lastShedAt_ <= slotLength();
+  if (!shedRecently) notice_.set(false, context_.now, context_.sink);
 }
 
 }  // namespace merlinbridge::policy
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -8,14 +8,15 @@
 namespace merlinbridge::policy {
 namespace {
 
-/// First ejection of an unreachable host, in connect timeouts. It doubles at each failure in a row.
+/// Duration of the first ejection of an unreachable host, in connect timeouts. Doubles with each consecutive
+/// failure.
 constexpr double kFirstEjectionTimeouts = 4.0;
 
 /// The longest ejection of an unreachable host, as a multiple of the first.
 constexpr double kMaxEjectionFactor = 32.0;
 
-/// An ejection is drawn from this factor to this factor plus 1 of its length, so that gateways do not come
-/// back at once.
+/// The duration of an ejection is multiplied by a random factor between this value and this value plus 1, so
+/// that gateways do not retry the host at the same time.
 constexpr double kMinJitterFactor = 0.5;
 
 }  // namespace
@@ -51,9 +52,9 @@
   eject(host, durationFromSeconds(std::min(longest, responsesToWaitFor / load.responsesPerSecond)));
 }
 
-void OutlierDetection::eject(HostId host, Duration time) {
+void OutlierDetection::eject(HostId host, Duration duration) {
   TimePoint& until = ejectedUntil_[host.value];
-  until = std::max(until, context_.now + time);
+  until = std::max(until, context_.now + duration);
 }
 
 }  // namespace merlinbridge::policy
--- a/src/policy/quota_bucket.cpp
+++ b/src/policy/quota_bucket.cpp
@@ -9,18 +9,19 @@
 namespace merlinbridge::policy {
 namespace {
 
-/// Weight of this gateway's share of the customer's use in its slice, 0 to 1; the rest of the slice is an
-/// even share.
+/// Weight, 0 to 1, of this gateway's share of the customer's usage in its slice. The remaining weight goes to
+/// an equal share.
 constexpr double kOwnShareWeight = 0.3;
 
-/// The fraction of what the other gateways used per second that is taken off the copy before the next total.
+/// The fraction of the other gateways' average usage that is anticipated, that is, subtracted from the level
+/// before the next total.
 constexpr double kAnticipatedFraction = 0.5;
 
-/// Units by which a total may be below what this gateway added itself before the count is taken to be lost.
-/// Covers rounding of sums.
+/// If the total of a count is lower than this gateway's own units in it, by more than this tolerance, the
+/// counter service is assumed to have lost the count. Covers rounding errors of sums.
 constexpr double kTotalToleranceUnits = 1e-3;
 
-/// Seconds that a round is taken to have lasted at least, as a divisor.
+/// Lower bound of the length of a round in seconds, because it is used as a divisor.
 constexpr double kMinRoundSeconds = 1e-3;
 
 }  // namespace
@@ -45,7 +46,7 @@
   const double sliceRate = plan_.rate * ownFraction;
   const double anticipatedRate = std::min(plan_.rate * (1 - ownFraction), kAnticipatedFraction * othersRate_);
   const double anticipatedUsage = quotaFraction() < 1 ? 0 : anticipatedRate * elapsed;
-  // A part of the bucket holds the largest request, though it fills no faster for it.
+  // Even a part of the bucket has capacity for the largest request; it does not refill faster for that.
   const double capacity = std::max(plan_.burst * quotaFraction(), std::min(plan_.burst, maxUnits_));
   level_ = std::min(capacity, level_ + plan_.rate * quotaFraction() * elapsed - anticipatedUsage);
   slice_ = std::min(plan_.burst * ownFraction, slice_ + sliceRate * elapsed);
@@ -57,19 +58,22 @@
   const double ownRate =
       (ownRate_ * lookBackSeconds_ + ownUsage_) / (lookBackSeconds_ + seconds(now - lastRoundAt_));
   const double totalRate = ownRate + othersRate_;
-  const double evenFraction = 1 / gateways_;
-  return totalRate > 0 ? kOwnShareWeight * ownRate / totalRate + (1 - kOwnShareWeight) * evenFraction
-                       : evenFraction;
+  const double equalFraction = 1 / gateways_;
+  return totalRate > 0 ? kOwnShareWeight * ownRate / totalRate + (1 - kOwnShareWeight) * equalFraction
+                       : equalFraction;
 }
 
 bool QuotaBucket::admits(TimePoint now, double units, util::RandomSource& random) const {
   if (plan_.rate <= 0) return true;
-  // A new customer's first request passes, also while the counter service is unreachable: its burst, divided
-  // by many gateways, may not hold one request.
+  // The first request of a new customer, and the first one after the last total, are admitted even if the
+  // counter service is unreachable, because the burst divided by many gateways may be less than the cost of
+  // one request.
   if (copyState_ != CopyState::shared && !admittedInRound_) return units <= plan_.burst;
   if (level_ >= units) return !admittedInRound_ || quotaFraction() < 1 || units <= slice_;
-  // Where parts are smaller than a request and many gateways see a customer seldom: once the others may have
-  // used more than this request since the last total, it passes by the fraction of it that is left.
+  // If the level is uncertain, a request that costs more than the level is admitted with a probability of
+  // level divided by cost: otherwise a customer with few requests at each of many gateways, whose parts are
+  // smaller than a request, would be admitted too rarely. The level is uncertain while the copy is not
+  // shared, and once the other gateways may have used as much as this request costs since the last total.
   const double othersPossibleUsage = seconds(now - lastRoundAt_) * std::min(othersRate_, plan_.rate);
   const bool levelIsUncertain = quotaFraction() < 1 || othersPossibleUsage >= units;
   return levelIsUncertain && random.bernoulli(level_ / units);
@@ -106,7 +110,7 @@
 }
 
 double QuotaBucket::takeUnpublished() {
-  // What the bucket has refilled since it was divided is not owed any more.
+  // Usage that the divided bucket has already refilled is not published.
   if (copyState_ == CopyState::divided) {
     const double notRefilled = std::max(0.0, plan_.burst / gateways_ - level_);
     unpublished_ = std::min(unpublished_, notRefilled);
@@ -143,8 +147,8 @@
 }
 
 void QuotaBucket::enterSlot(TimePoint now, SlotId slot) {
-  // What the other gateways added to the last slot after its last total is never read: it is taken to be as
-  // much as was anticipated, which therefore stays off the level.
+  // The units that the other gateways added to the previous slot after its last total are never read. They
+  // are assumed to equal the anticipated usage, which therefore stays subtracted from the level.
   const double roundSeconds = std::max(kMinRoundSeconds, seconds(now - lastRoundAt_));
   const double unreadSeconds = std::max(0.0, roundSeconds - secondsIntoSlot(now, slot));
   slot_ = slot;
@@ -166,7 +170,7 @@
   othersInSlot_ = std::max(0.0, total - units);
   anticipated_ = 0;
   othersUsage_ = 0;
-  // The bucket is taken to have been full when the slot began.
+  // Assumes that the bucket was full at the start of the slot.
   const double usageSeconds = slotSeconds + (plan_.rate > 0 ? plan_.burst / plan_.rate : 0);
   ownRate_ = ownUsage_ / usageSeconds;
   othersRate_ = othersInSlot_ / usageSeconds;
--- a/src/policy/reported_load.cpp
+++ b/src/policy/reported_load.cpp
@@ -5,7 +5,7 @@
 namespace merlinbridge::policy {
 namespace {
 
-/// Answers per second that a host is taken to give at least, as a divisor.
+/// Lower bound of a host's response rate, because it is used as a divisor.
 constexpr double kMinResponsesPerSecond = 1e-3;
 
 }  // namespace
--- a/src/policy/reported_load.hpp
+++ b/src/policy/reported_load.hpp
@@ -6,14 +6,14 @@
 
 namespace merlinbridge::policy {
 
-/// The load that a host stated with an answer, as outlier detection and load shedding use it.
+/// The load that a host reported with a response, in the form that outlier detection and load shedding use.
 struct UsableLoad {
   double inFlight;            ///< Requests in flight at the host, 0 or more.
-  double queued;              ///< Requests of these that wait; 0 where not stated.
+  double queued;              ///< Number of these requests that wait in its queue; 0 if not reported.
   double responsesPerSecond;  ///< Above 0.
 };
 
-/// The usable part of a load report; empty where the requests in flight or the answers per second are
+/// Extracts the used fields of a load report; empty if the requests in flight or the response rate is
 /// missing.
 std::optional<UsableLoad> usableLoad(const LoadReport& report);
 
--- a/src/policy/request_in_flight.hpp
+++ b/src/policy/request_in_flight.hpp
@@ -7,14 +7,14 @@
 
 namespace merlinbridge::policy {
 
-/// One attempt of a request, from its start until its request is done with.
+/// An attempt of a request. Exists from its start until its request is removed.
 class Attempt {
  public:
-  /// Each attempt is in flight until its end, and then one of the others for good.
+  /// An attempt is in flight until its end, and then stays in one of the other states.
   enum class State {
-    inFlight,    ///< Started and not ended: it may run, or may already have run.
+    inFlight,    ///< Started and not ended; the host may execute the request or has executed it.
     mayHaveRun,  ///< Ended; the host may have executed the request.
-    notRun       ///< Ended; the host has certainly not executed the request.
+    notRun       ///< Ended; the host has definitely not executed the request.
   };
 
   Attempt(HostId host, TimePoint startedAt) : host_(host), startedAt_(startedAt) {}
@@ -23,10 +23,10 @@
   TimePoint startedAt() const { return startedAt_; }
   bool inFlight() const { return state_ == State::inFlight; }
 
-  /// Whether the request may have its effect through this attempt, now or later.
+  /// Whether the request may have taken effect through this attempt, or still may.
   bool mayTakeEffect() const { return state_ != State::notRun; }
 
-  /// The attempt has ended in that way. Once, while it is in flight.
+  /// Ends the attempt with that outcome. Must be called once, while the attempt is in flight.
   void end(Outcome outcome);
 
  private:
@@ -35,16 +35,15 @@
   State state_ = State::inFlight;
 };
 
-/// A request that was admitted, until its last attempt has ended.
+/// An admitted request. Exists until its last attempt has ended.
 struct RequestInFlight {
   Request request;
   TimePoint arrivedAt;
-  CustomerState* customer =
-      nullptr;  ///< Not owned; the table of customers keeps it while it has attempts in flight.
-  std::vector<Attempt> attempts{};  ///< By AttemptNumber.
-  bool answered = false;            ///< Whether the request has its final answer, or its client has left.
+  CustomerState* customer = nullptr;  ///< Not owned; CustomerTable keeps it while attempts are in flight.
+  std::vector<Attempt> attempts{};    ///< Indexed by AttemptNumber.
+  bool answered = false;  ///< Whether the request has its final response or its client disconnected.
 
-  /// Whether the request may have its effect through any of its attempts.
+  /// Whether the request may have taken effect through any of its attempts, or still may.
   bool mayTakeEffect() const;
   bool hasAttemptInFlight() const;
 };
--- a/src/policy/request_table.hpp
+++ b/src/policy/request_table.hpp
@@ -8,46 +8,47 @@
 
 namespace merlinbridge::policy {
 
-/// Owns the requests in flight, and the order in which their attempts started, so that attempts can be
-/// checked for being overdue, the oldest first. Decides nothing: the engine adds, finds and removes requests,
-/// and says at a sweep what becomes of each attempt.
+/// Owns the requests in flight, and stores the order in which their attempts started, so that a sweep can
+/// check the oldest attempts first for being overdue. Makes no decisions: the engine adds, finds and removes
+/// requests, and passes the check to a sweep.
 ///
-/// A request's address is stable until it is removed. Nothing depends on the order of the hash table.
+/// The address of a request is stable until it is removed. Nothing depends on the order of the hash table.
 class RequestTable {
  public:
-  /// What becomes of an attempt that was checked.
+  /// Whether a checked attempt is to be checked again.
   enum class CheckResult {
-    again,  ///< It is checked at the next sweep too.
-    done    ///< It is not checked any more.
+    again,  ///< Check it again at the next sweep.
+    done    ///< Do not check it any more.
   };
-  /// Checks one attempt in flight. May start attempts, which are first checked at the next sweep; must not
-  /// remove a request.
+  /// Checks an attempt in flight. It may start attempts, which are first checked at the next sweep, but must
+  /// not remove a request.
   using CheckAttempt = std::function<CheckResult(RequestInFlight&, AttemptNumber)>;
 
-  /// Adds a request that was admitted. The id must not be in use. The customer must outlive the request.
+  /// Adds an admitted request. Its id must not be in use. The customer must outlive the request.
   RequestInFlight& add(const Request& request, TimePoint arrivedAt, CustomerState& customer);
 
-  /// The request of that id; nullptr where none is in flight.
+  /// Returns the request with that id, or nullptr if it is not in flight.
   RequestInFlight* find(RequestId id);
 
-  /// Removes a request, which must be in flight.
+  /// Removes a request. It must be in flight.
   void remove(RequestId id);
 
-  /// The request has started its last attempt: that one is checked from the next sweep on.
+  /// Records that the last attempt in `request.attempts` has started. Sweeps check it from the next one on.
   void attemptStarted(const RequestInFlight& request);
 
-  /// Calls `check` for each attempt in flight that is still to be checked, in the order of the last sweep.
+  /// Calls `check` for each attempt in flight that is to be checked, in the order in which the attempts
+  /// started.
   void sweepAttempts(const CheckAttempt& check);
 
  private:
-  /// Names an attempt whose request may be gone by now.
+  /// Refers to an attempt whose request may have been removed.
   struct AttemptRef {
     RequestId request;
     AttemptNumber number;
   };
 
-  std::unordered_map<std::uint64_t, RequestInFlight> requests_;  ///< By the value of the id; never iterated.
-  std::deque<AttemptRef> attemptsToCheck_;  ///< Those of ended attempts leave at a sweep.
+  std::unordered_map<std::uint64_t, RequestInFlight> requests_;  ///< By RequestId; never iterated.
+  std::deque<AttemptRef> attemptsToCheck_;  ///< In order of their start. A sweep removes ended ones.
 };
 
 }  // namespace merlinbridge::policy
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -8,7 +8,7 @@
 /// Retries and hedged requests that each first attempt adds to the budget.
 constexpr double kRetriesPerFirstAttempt = 0.1;
 
-/// The budget's upper bound, and its level at start: retries and hedged requests at once.
+/// Upper bound and initial value of the budget, in retries and hedged requests.
 constexpr double kMaxBudget = 10.0;
 
 }  // namespace
@@ -72,7 +72,7 @@
     case Idempotency::idempotent:
       return true;
     case Idempotency::deduplicated:
-      // The client's repeat may reach any host.
+      // The client's retry may reach any host.
       return !request.mayTakeEffect() || methodOf(request).deduplicationScope == DeduplicationScope::all;
     case Idempotency::nonIdempotent:
       break;
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -6,14 +6,14 @@
 
 namespace merlinbridge::policy {
 
-/// Decides whether a request may be attempted again, at which hosts, and until when, so that no request takes
-/// effect twice; and whether a request that has failed here may be repeated by its client. Decides from the
-/// method's repeat rule, the request's earlier attempts, and a budget of retries and hedged requests.
-/// Notified of each attempt's start; asked at each selection of a host, at the end of each attempt, and for
-/// overdue ones.
+/// Decides whether a request may be attempted again, at which hosts and until when, so that no request takes
+/// effect twice, and whether the client of a failed request may retry it. Depends on the idempotency of the
+/// method, the earlier attempts of the request, and a budget of retries and hedged requests. Notified of the
+/// start of each attempt; consulted at each host selection, at the end of each attempt, and for overdue
+/// attempts.
 class RetryPolicy {
  public:
-  /// Whether an attempt is a request's first.
+  /// Whether an attempt is the first one of its request.
   enum class AttemptKind {
     first,
     further  ///< A retry or a hedged request.
@@ -22,39 +22,40 @@
   /// The arguments must outlive this object.
   RetryPolicy(const EngineContext& context, const util::HostTable& hosts);
 
-  /// An attempt starts: a first one adds to the budget, a further one takes from it. The budget keeps retries
-  /// from multiplying the load when every host is slow.
+  /// Records the start of an attempt: a first attempt adds to the budget, a further one takes from it. The
+  /// budget prevents retries from multiplying the load when all hosts are slow.
   void attemptStarted(AttemptKind kind);
 
-  /// Whether one more attempt is within the budget, the number of attempts and the request's time.
+  /// Whether one more attempt is allowed by the budget, the maximum number of attempts and the request's
+  /// deadlines.
   bool allowsRetry(const RequestInFlight& request) const;
 
-  /// Whether an overdue request may be hedged, or its attempt be cancelled and retried.
+  /// Whether a request with an overdue attempt may be hedged, or the attempt cancelled and retried.
   bool allowsHedge(const RequestInFlight& request) const;
 
-  /// Whether the request may go to that host, given the attempts that may have run or still may.
+  /// Whether the request may be sent to that host, given its attempts that may have taken effect or still
+  /// may.
   bool allowsHost(const RequestInFlight& request, HostId host) const;
 
   /// The time by which the request's last attempt, which is about to start, must be written; TimePoint::max()
-  /// where nothing limits it. A repeat that takes long to connect or to be written must not reach hosts that
-  /// no longer recognize the earlier attempts.
+  /// if there is no limit. A repeat that is delayed by connecting or writing must not reach a host that no
+  /// longer recognizes it as a repeat.
   TimePoint writeDeadline(const RequestInFlight& request) const;
 
-  /// Whether a request that is given up may be rejected, so that its client may repeat it at once.
+  /// Whether a request that failed here may be rejected, which allows the client to retry it immediately.
   bool clientMayRetry(const RequestInFlight& request) const;
 
  private:
   const Method& methodOf(const RequestInFlight& request) const;
-  /// The method's repeat rule, as it holds for this request: without its idempotency key no host can
-  /// recognize the repeat of a deduplicated request.
+  /// The idempotency of this request: that of its method, but without an idempotency key no host can
+  /// recognize the repeat of a deduplicated request, which then counts as non-idempotent.
   Idempotency idempotencyOf(const RequestInFlight& request) const;
-  /// Whether a repeat at that host would be discarded there on account of this attempt. For a deduplicated
-  /// request.
+  /// Whether that host would recognize and discard a repeat of this attempt. Only for a deduplicated request.
   bool deduplicates(HostId host, const Attempt& attempt, const Method& method) const;
 
   const EngineContext& context_;
   const util::HostTable& hosts_;
-  double budget_;  ///< Retries and hedged requests that may start now; below 1: none.
+  double budget_;  ///< Retries and hedged requests that may start now; none if below 1.
 };
 
 }  // namespace merlinbridge::policy
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -6,22 +6,23 @@
 namespace merlinbridge::policy {
 namespace {
 
-/// Fraction that is used of what the settings allow a host that warms up.
+/// A host in slow start is sent at most this fraction of the load that the settings allow.
 constexpr double kBudgetSafetyFactor = 0.8;
 
-/// Parts of the overload window; each is granted its budget at its start.
+/// Number of parts of the overload window. Each part has its own budget, set at its start.
 constexpr double kBudgetsPerWindow = 2;
 
-/// Requests of mean cost that all gateways together may send a host in an overload window, whatever was seen.
+/// Requests of mean cost that all gateways together may always send to a host during an overload window, even
+/// if no responses were observed.
 constexpr double kMinBudgetRequests = 1.5;
 
-/// Time constant, in seconds, of what hosts that have ramped up are seen to answer.
+/// Time constant, in seconds, of the units answered by ramped-up hosts.
 constexpr double kThroughputDecaySeconds = 20;
 
-/// Seconds that this gateway is taken to have observed those hosts for at least.
+/// Lower bound of the time, in seconds, for which this gateway counts as having observed those hosts.
 constexpr double kMinObservedSeconds = 4.5;
 
-/// Weight of one request in the mean cost of a request, 0 to 1.
+/// Weight of one request in the smoothed mean cost of a request, 0 to 1.
 constexpr double kMeanUnitsGain = 0.06;
 
 }  // namespace
@@ -66,7 +67,7 @@
 double SlowStart::budgetUnits(HostId host) const {
   const PolicySettings& settings = context_.settings;
   const double observedSeconds = std::max(seconds(context_.now - context_.startedAt), kMinObservedSeconds);
-  // What a decaying counter sums up of a steady rate of 1 per second since the start of this process.
+  // Value of a decaying counter after a constant rate of 1 per second since the start of this process.
   const double decayedSeconds =
       kThroughputDecaySeconds * (1 - std::exp(-observedSeconds / kThroughputDecaySeconds));
   const double answeredUnits = rampedUpHostUnits_.read(context_.now, kThroughputDecaySeconds);
--- a/src/policy/state_notice.cpp
+++ b/src/policy/state_notice.cpp
@@ -7,10 +7,10 @@
 
 void StateNotice::set(bool active, TimePoint now, DecisionSink& sink) {
   if (active_ == active) return;
-  const bool changedBefore = changedAt_ != TimePoint{};
-  if (changedBefore && now - changedAt_ < minInterval_) return;
+  const bool reportedBefore = lastReportAt_ != TimePoint{};
+  if (reportedBefore && now - lastReportAt_ < minInterval_) return;
   active_ = active;
-  changedAt_ = now;
+  lastReportAt_ = now;
   sink.report(active ? began_ : ended_);
 }
 
--- a/src/policy/state_notice.hpp
+++ b/src/policy/state_notice.hpp
@@ -4,19 +4,18 @@
 
 namespace merlinbridge::policy {
 
-/// Decides when a condition is reported as begun or ended: at each change, but not more often than once in an
-/// interval, so that a condition that comes and goes does not fill the log. Notified whenever the condition
-/// is known.
+/// Reports the start and end of a condition, at most once per interval, so that a condition that changes
+/// often does not fill the log. Notified of the condition each time it is evaluated.
 class StateNotice {
  public:
-  /// `began`, `ended`: what is reported at a change. The condition starts as not active.
+  /// `began`, `ended`: the events that are reported at a change. The condition is initially not active.
   StateNotice(EngineEvent began, EngineEvent ended, Duration minInterval);
 
-  /// Whether the last report was that the condition began.
+  /// Whether the last reported event was the start of the condition.
   bool active() const { return active_; }
 
-  /// Reports a change to the sink. A change within the interval is dropped; the next call reports it if it
-  /// lasts.
+  /// Reports a change to the sink. A change within the interval after the last report is not reported; a
+  /// later call reports it if it persists.
   void set(bool active, TimePoint now, DecisionSink& sink);
 
  private:
@@ -24,7 +23,7 @@
   const EngineEvent ended_;
   const Duration minInterval_;
   bool active_ = false;
-  TimePoint changedAt_{};  ///< The clock's origin: never.
+  TimePoint lastReportAt_{};  ///< Time of the last report; the clock's origin: none yet.
 };
 
 }  // namespace merlinbridge::policy
