--- a/tests/policy/counter_exchange_test.cpp
+++ b/tests/policy/counter_exchange_test.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr double kGateways = 1;  // through which a customer's requests come
+constexpr double kGateways = 1;  // that receive a customer's requests
 
-/// The exchange with the counter service, and customers by number.
+/// The exchange with the counter service, and customers by id.
 struct ExchangeFixture : Fixture {
   explicit ExchangeFixture(const PolicySettings& settings = makeSettings())
       : Fixture(settings), exchange(context) {}
@@ -28,7 +28,7 @@
     exchange.scheduleCall(customer);
     customer.bucket.spend(1);
   }
-  /// The last call ends.
+  /// Ends the last call.
   void endCall(CounterCallOutcome outcome = CounterCallOutcome::ok, Duration duration = 1ms) {
     const auto call = sink.calls.back();
     exchange.callEnded(call.key, outcome, call.units, duration);
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-TEST_CASE("counter exchange: a customer has one call a round, with the units since the last one") {
+TEST_CASE("counter exchange: a customer has one call per round, with the units since the last call") {
   ExchangeFixture fixture;
   CustomerState& customer = fixture.addCustomer(5);
   fixture.request(customer);
@@ -60,7 +60,7 @@
 }
 
 TEST_CASE(
-    "counter exchange: there is no call without a counter service, nor for a plan without limits to count") {
+    "counter exchange: no call is made without a counter service, nor for a plan without a counted limit") {
   PolicySettings settings = makeSettings();
   settings.plans.push_back({});
   ExchangeFixture uncounted(settings);
@@ -72,7 +72,7 @@
   CHECK(withoutCounter.sink.calls.empty());
 }
 
-TEST_CASE("counter exchange: units of a failed call are added with the next one") {
+TEST_CASE("counter exchange: the units of a failed call are added with the next call") {
   ExchangeFixture fixture;
   CustomerState& customer = fixture.addCustomer(5);
   fixture.request(customer);
@@ -88,8 +88,7 @@
   CHECK(fixture.sink.calls[2].units == 2);
 }
 
-TEST_CASE(
-    "counter exchange: after three rounds of failures all quotas are divided, and that is reported once") {
+TEST_CASE("counter exchange: after three failed rounds all quotas are divided, and this is reported once") {
   ExchangeFixture fixture;
   CustomerState& active = fixture.addCustomer(5);
   CustomerState& other = fixture.addCustomer(6);
@@ -104,12 +103,12 @@
   }
   CHECK(active.bucket.isDivided());
   fixture.exchange.refill(other);
-  CHECK(other.bucket.isDivided());  // though none of its own calls failed
+  CHECK(other.bucket.isDivided());  // although none of its own calls failed
   REQUIRE(fixture.sink.events.size() == 1);
   CHECK(fixture.sink.events[0] == EngineEvent::counterUnreachable);
 }
 
-TEST_CASE("counter exchange: late answers cut the pace of calls, quick ones raise it again") {
+TEST_CASE("counter exchange: late responses reduce the call rate, quick responses raise it again") {
   ExchangeFixture fixture;
   std::uint64_t id = 100;
   const auto callsIn = [&](int steps, CounterCallOutcome outcome, Duration duration) {
@@ -126,11 +125,11 @@
     }
     return fixture.sink.calls.size() - before;
   };
-  const auto quick = callsIn(200, CounterCallOutcome::ok, 1ms);
+  const auto callsWhileQuick = callsIn(200, CounterCallOutcome::ok, 1ms);
   callsIn(200, CounterCallOutcome::unknown, 50ms);
-  const auto late = callsIn(200, CounterCallOutcome::unknown, 50ms);
-  CHECK(quick >= 190);
-  CHECK(late < quick / 4);
+  const auto callsWhileLate = callsIn(200, CounterCallOutcome::unknown, 50ms);
+  CHECK(callsWhileQuick >= 190);
+  CHECK(callsWhileLate < callsWhileQuick / 4);
   callsIn(600, CounterCallOutcome::ok, 1ms);
-  CHECK(callsIn(200, CounterCallOutcome::ok, 1ms) > quick / 2);
+  CHECK(callsIn(200, CounterCallOutcome::ok, 1ms) > callsWhileQuick / 2);
 }
--- a/tests/policy/counter_health_test.cpp
+++ b/tests/policy/counter_health_test.cpp
@@ -8,7 +8,7 @@
 using namespace merlinbridge::policy;
 using namespace merlinbridge::policy::testing;
 
-TEST_CASE("counter health: the service is unreachable after three failures in a row over three rounds") {
+TEST_CASE("counter health: the service is unreachable after three consecutive failures over three rounds") {
   Fixture fixture;
   CounterHealth health(fixture.context);
   CHECK(CounterHealth::roundLength(fixture.context.settings) == 100ms);
@@ -22,7 +22,7 @@
   CHECK(fixture.sink.events == std::vector{EngineEvent::counterUnreachable});
 }
 
-TEST_CASE("counter health: one success ends it, and the end is reported after one slot of time") {
+TEST_CASE("counter health: one success ends the unreachable state, which is reported after one slot length") {
   Fixture fixture;
   CounterHealth health(fixture.context);
   fixture.advanceTime(301ms);
@@ -36,7 +36,7 @@
   CHECK(fixture.sink.events == std::vector{EngineEvent::counterUnreachable, EngineEvent::counterRestored});
 }
 
-TEST_CASE("counter health: a customer takes the service for unreachable after three failed rounds") {
+TEST_CASE("counter health: a customer treats the service as unreachable after three failed rounds") {
   CHECK_FALSE(CounterHealth::unreachableAfter(2));
   CHECK(CounterHealth::unreachableAfter(3));
 }
--- a/tests/policy/customer_limits_test.cpp
+++ b/tests/policy/customer_limits_test.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-constexpr double kLookBackSeconds = 0.8;  // seconds
+constexpr double kLookBackSeconds = 0.8;
 
-/// A quota of 4 units a second and a burst of 12, and no other limit.
+/// A quota of 4 units per second with a burst of 12, and no other limit.
 const Plan kQuotaPlan{4, 12, 0, 0, 0, 0, 1};
 
 struct BucketFixture {
   explicit BucketFixture(double gateways) : bucket(kQuotaPlan, gateways, 4, kLookBackSeconds, kStart) {}
-  /// How many of so many requests of one unit are admitted; spends their units.
+  /// Tries requests that cost one unit each. Spends the units of the admitted ones and returns their number.
   int admitted(int requests) {
     int count = 0;
     for (int i = 0; i < requests; ++i) {
@@ -29,7 +29,7 @@
     }
     return count;
   }
-  /// Publishes what was used, and the count then has that total.
+  /// Publishes the usage and applies `total` as the new total of the count.
   void endRound(double total) {
     const double units = bucket.takeUnpublished();
     bucket.refill(now);
@@ -42,31 +42,32 @@
 
 }  // namespace
 
-TEST_CASE("quota bucket: before the first total the copy holds this gateway's part of the burst") {
+TEST_CASE("quota bucket: before the first total, the copy holds this gateway's part of the burst") {
   BucketFixture fixture(3);
   CHECK(fixture.bucket.quotaFraction() == Approx(1.0 / 3));
   CHECK(fixture.admitted(12) == 4);
 }
 
-TEST_CASE("quota bucket: a customer's first request is admitted even if this gateway's part holds less") {
+TEST_CASE("quota bucket: a customer's first request is admitted even if it exceeds this gateway's part") {
   BucketFixture fixture(60);
   CHECK(fixture.admitted(1) == 1);
   CHECK_FALSE(BucketFixture(1).bucket.admits(kStart, 13, fixture.random));  // more than the burst
 }
 
-TEST_CASE("quota bucket: a total makes the copy shared, less what the other gateways used") {
+TEST_CASE("quota bucket: a total makes the copy shared and subtracts the other gateways' usage") {
   BucketFixture fixture(3);
   fixture.admitted(2);
-  fixture.endRound(8);  // 6 of them by others
+  fixture.endRound(8);  // of which 6 by other gateways
   CHECK(fixture.bucket.quotaFraction() == 1);
   CHECK(fixture.bucket.othersRate() > 0);
-  // 12 less 8 are left, and of these this gateway's slice: between an even third and its share of use.
+  // 12 - 8 units are left. This gateway's slice of them is between an equal third and its share of the usage.
   const int admitted = fixture.admitted(12);
   CHECK(admitted >= 1);
   CHECK(admitted <= 2);
 }
 
-TEST_CASE("quota bucket: a divided copy keeps to its part and publishes only what has not refilled") {
+TEST_CASE(
+    "quota bucket: a divided copy is limited to its part and publishes only usage that has not refilled") {
   BucketFixture fixture(3);
   fixture.endRound(0);
   fixture.admitted(4);
@@ -80,17 +81,17 @@
   CHECK_FALSE(fixture.bucket.isDivided());
 }
 
-TEST_CASE("quota bucket: units of a failed call are published with the next call") {
+TEST_CASE("quota bucket: the units of a failed call are published with the next call") {
   BucketFixture fixture(3);
   fixture.admitted(3);
   CHECK(fixture.bucket.takeUnpublished() == 3);
   CHECK(fixture.bucket.takeUnpublished() == 0);
   fixture.bucket.returnUnpublished(3);
-  fixture.bucket.correct(0.5);  // one of them cost more than was spent
+  fixture.bucket.correct(0.5);  // one request cost more than was spent
   CHECK(fixture.bucket.takeUnpublished() == 3.5);
 }
 
-TEST_CASE("quota bucket: a count that the counter service lost does not free a fresh burst") {
+TEST_CASE("quota bucket: a count that the counter service lost does not grant a new burst") {
   BucketFixture fixture(1);
   fixture.endRound(0);
   fixture.admitted(12);
@@ -100,7 +101,8 @@
   CHECK(fixture.admitted(1) == 0);
 }
 
-TEST_CASE("quota bucket: it refills at the plan's rate and states the seconds until enough is there") {
+TEST_CASE(
+    "quota bucket: it refills at the plan's rate and returns the seconds until enough units are available") {
   BucketFixture fixture(1);
   fixture.endRound(0);
   fixture.admitted(12);
@@ -114,14 +116,14 @@
   const Plan plan{0, 0, 0, 40, 60, 8, 1};
   HardCeiling ceiling(plan, 2, kStart);
   CHECK_FALSE(ceiling.admits(1));
-  CHECK(ceiling.secondsUntil(1) == Approx(5.0 * 2 / 40));  // of 20 a second here, from 4 below 0
+  CHECK(ceiling.secondsUntil(1) == Approx(5.0 * 2 / 40));  // 20 per second here, from a level of -4
   ceiling.refill(kStart + 1s);
   CHECK(ceiling.admits(20));
   CHECK_FALSE(ceiling.admits(21));
   ceiling.spend(20);
   CHECK_FALSE(ceiling.admits(1));
   ceiling.refill(kStart + 100s);
-  CHECK(ceiling.admits(34));  // its part of the burst and of the slack
+  CHECK(ceiling.admits(34));  // this gateway's part of the burst and of the slack
   CHECK_FALSE(ceiling.admits(35));
 }
 
@@ -130,7 +132,8 @@
   CHECK(ceiling.admits(1e6));
 }
 
-TEST_CASE("concurrency limit: free slots are the limit less the attempts in flight at all gateways") {
+TEST_CASE(
+    "concurrency limit: it admits as many attempts as the limit minus those in flight at all gateways") {
   const Plan plan{0, 0, 2, 0, 0, 0, 1};
   util::RandomSource random(1);
   ConcurrencyLimit limit(plan, 3);
@@ -141,14 +144,14 @@
   CHECK_FALSE(limit.admits(1, 0, random));
   limit.attemptEnded();
   CHECK(limit.admits(1, 0, random));
-  CHECK_FALSE(limit.admits(1, 1, random));        // the others have one in flight
-  CHECK_FALSE(limit.admits(1.0 / 3, 0, random));  // alone it may have one
+  CHECK_FALSE(limit.admits(1, 1, random));        // the other gateways have one in flight
+  CHECK_FALSE(limit.admits(1.0 / 3, 0, random));  // without knowledge of the others, one is allowed
   limit.attemptEnded();
   CHECK(limit.idle());
   CHECK(limit.admits(1.0 / 3, 0, random));
 }
 
-TEST_CASE("concurrency limit: a plan without a limit admits every request and draws nothing at random") {
+TEST_CASE("concurrency limit: a plan without a limit admits every request and takes no random number") {
   util::RandomSource random(1);
   util::RandomSource untouched(1);
   const ConcurrencyLimit limit(kQuotaPlan, 3);
--- a/tests/policy/hosts_test.cpp
+++ b/tests/policy/hosts_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// The usable part of a report with these figures.
+/// The usable part of a load report with these values.
 UsableLoad loadReport(double inFlight, std::optional<double> queued, double responsesPerSecond) {
   LoadReport report;
   report.inFlight = inFlight;
@@ -24,13 +24,13 @@
   return usableLoad(report).value();
 }
 
-/// The parts of the engine that decide about hosts, wired as the engine wires them.
+/// The engine's components for hosts, connected as in the engine.
 struct HostsFixture : Fixture {
   explicit HostsFixture(std::uint32_t count, const PolicySettings& settings = makeSettings())
       : Fixture(settings) {
     for (std::uint32_t host = 0; host < count; ++host) announce(servingHost(host));
   }
-  /// Takes over an update in the order in which the engine does.
+  /// Passes an update to the components in the same order as the engine.
   void announce(const HostUpdate& update) {
     const bool needsReset = hosts.update(update);
     statistics.add(update.host);
@@ -42,7 +42,7 @@
     outliers.reset(update.host);
     selection.reset(update.host);
   }
-  /// The host answers so many requests, one every interval.
+  /// The host responds to `count` requests, one per interval.
   void answerRequests(std::uint32_t host, int count, Duration interval, Duration duration = 20ms) {
     for (int i = 0; i < count; ++i) {
       advanceTime(interval);
@@ -69,19 +69,20 @@
 
 }  // namespace
 
-TEST_CASE("host statistics: a host's capacity follows its answers per second and has a lower bound") {
+TEST_CASE("host statistics: a host's capacity depends on its response rate and has a lower bound") {
   HostsFixture fixture(2);
   const Method& method = fixture.context.settings.methods[0];
   const double unseen = fixture.statistics.capacity(kFirst, method);
   CHECK(unseen == Approx(5));
-  fixture.answerRequests(0, 6000, 5ms);  // 200 a second, for several time constants
+  fixture.answerRequests(0, 6000, 5ms);  // 200 per second, for several time constants
   CHECK(fixture.statistics.capacity(kFirst, method) == Approx(200 * 0.1 + 2).epsilon(0.05));
   CHECK(fixture.statistics.capacity(kSecond, method) == unseen);
   fixture.statistics.reset(kFirst);
   CHECK(fixture.statistics.capacity(kFirst, method) == unseen);
 }
 
-TEST_CASE("host statistics: a host that fails one method or plan is trusted less with it for a while") {
+TEST_CASE(
+    "host statistics: a host that fails one method or plan has a lower success fraction for it for a while") {
   HostsFixture fixture(1);
   for (int i = 0; i < 5; ++i) fixture.statistics.recordOutcome(makeRequest(1), makeResult(0, Outcome::error));
   CHECK(fixture.statistics.successFraction(kFirst, MethodId{1}, PlanId{0}) < 0.01);
@@ -95,7 +96,7 @@
 }
 
 TEST_CASE(
-    "host statistics: a silent host is unresponsive after five mean latencies, its work overdue after ten") {
+    "host statistics: a silent host is unresponsive after 5 mean latencies, its attempts overdue after 10") {
   HostsFixture fixture(1);
   fixture.answerRequests(0, 100, 20ms, 20ms);
   fixture.statistics.attemptStarted(kFirst);
@@ -110,10 +111,10 @@
   CHECK(fixture.statistics.overdue(kFirst, startedAt));
   CHECK_FALSE(fixture.statistics.overdue(kFirst, fixture.context.now - 90ms));
   fixture.statistics.attemptEnded(kFirst);
-  CHECK_FALSE(fixture.statistics.unresponsive(kFirst));  // it owes nothing
+  CHECK_FALSE(fixture.statistics.unresponsive(kFirst));  // no attempt is in flight
 }
 
-TEST_CASE("host statistics: a host's relative speed is the mean latency over its own") {
+TEST_CASE("host statistics: a host's relative speed is the mean latency divided by its own latency") {
   HostsFixture fixture(2);
   CHECK(fixture.statistics.relativeSpeed(kFirst) == 1);
   for (int i = 0; i < 200; ++i) {
@@ -124,33 +125,34 @@
   CHECK(fixture.statistics.relativeSpeed(kSecond) < 1);
 }
 
-TEST_CASE("outlier detection: each failure in a row doubles an unreachable host's ejection, up to a bound") {
+TEST_CASE(
+    "outlier detection: each consecutive failure doubles an unreachable host's ejection, up to a limit") {
   HostsFixture fixture(1);
-  const auto ejectedFor = [&fixture] {
+  const auto ejectionTime = [&fixture] {
     fixture.outliers.recordUnreachable(kFirst);
     Duration time{0};
     for (; fixture.outliers.ejected(kFirst); fixture.advanceTime(50ms)) time += 50ms;
     return time;
   };
   for (int failure = 0; failure < 8; ++failure) {
-    const double factor = seconds(ejectedFor()) / std::min(32.0, std::exp2(failure));
+    const double factor = seconds(ejectionTime()) / std::min(32.0, std::exp2(failure));
     INFO("failure " << failure);
-    CHECK(factor >= 0.5);  // of four connect timeouts
+    CHECK(factor >= 0.5);  // seconds; four connect timeouts are 1 s
     CHECK(factor <= 1.6);
   }
   fixture.outliers.recordResponse(kFirst);
-  CHECK(ejectedFor() <= 1600ms);
+  CHECK(ejectionTime() <= 1600ms);
   fixture.outliers.recordUnreachable(kFirst);
   fixture.outliers.reset(kFirst);
   CHECK_FALSE(fixture.outliers.ejected(kFirst));
 }
 
-TEST_CASE("outlier detection: a host that reports a long queue is ejected until it has answered the queue") {
+TEST_CASE("outlier detection: a host that reports a long queue is ejected until it has processed the queue") {
   HostsFixture fixture(1);
   const Method& method = fixture.context.settings.methods[0];
-  fixture.outliers.recordLoad(kFirst, loadReport(4, 1, 10), method);  // done within the soft deadline
+  fixture.outliers.recordLoad(kFirst, loadReport(4, 1, 10), method);  // processed within the soft deadline
   CHECK_FALSE(fixture.outliers.ejected(kFirst));
-  fixture.outliers.recordLoad(kFirst, loadReport(30, 0, 10), method);  // nothing waits
+  fixture.outliers.recordLoad(kFirst, loadReport(30, 0, 10), method);  // no queue
   CHECK_FALSE(fixture.outliers.ejected(kFirst));
   fixture.outliers.recordLoad(kFirst, loadReport(30, 20, 10), method);
   fixture.advanceTime(2900ms);
@@ -159,7 +161,7 @@
   CHECK_FALSE(fixture.outliers.ejected(kFirst));
 }
 
-TEST_CASE("slow start: the ramp factor rises from start capacity to 1, and is 1 without a start time") {
+TEST_CASE("slow start: the ramp factor rises from the start capacity to 1, and is 1 without a start time") {
   HostsFixture fixture(1);
   CHECK(fixture.slowStart.rampFactor(kFirst) == 1);
   CHECK(fixture.slowStart.admits(kFirst, 1e6));
@@ -171,37 +173,37 @@
   CHECK_FALSE(fixture.slowStart.inSlowStart(kSecond));
 }
 
-TEST_CASE("slow start: a host that warms up is sent no more than its budget, and unused budget lapses") {
+TEST_CASE("slow start: a host in slow start is sent no more than its budget, and unused budget expires") {
   HostsFixture fixture(1);
-  fixture.answerRequests(0, 500, 20ms);  // a host that has ramped up answers 50 a second
+  fixture.answerRequests(0, 500, 20ms);  // a ramped-up host answers 50 per second
   fixture.slowStart.countRampedUpHosts();
   fixture.announce(servingHost(1, fixture.context.now));
-  const auto sent = [&fixture] {
+  const auto sendUntilRejected = [&fixture] {
     int count = 0;
     for (; fixture.slowStart.admits(kSecond, 1); ++count) fixture.slowStart.spend(kSecond, 1);
     return count;
   };
-  const int first = sent();
+  const int first = sendUntilRejected();
   CHECK(first >= 10);
-  CHECK(first <= 3 * 0.2 * 50 * 2 * 0.8 / 2 + 1);  // multiple, ramp, rate, window, safety, half
-  CHECK(sent() == 0);
+  CHECK(first <= 3 * 0.2 * 50 * 2 * 0.8 / 2 + 1);  // multiple, ramp factor, rate, window, safety factor, half
+  CHECK(sendUntilRejected() == 0);
   fixture.advanceTime(1s);  // the next half of the window
-  const int second = sent();
+  const int second = sendUntilRejected();
   CHECK(second >= 10);
   fixture.advanceTime(3s);
-  CHECK(sent() < 2 * second);  // two halves passed unused: they do not add up
+  CHECK(sendUntilRejected() < 2 * second);  // the budgets of unused halves do not accumulate
 }
 
-TEST_CASE("host selection: a slow host gets fewer turns than a fast one") {
+TEST_CASE("host selection: a slow host is selected less often than a fast one") {
   HostsFixture fixture(2);
   for (int i = 0; i < 200; ++i) {
     fixture.answerRequests(0, 1, 5ms, 10ms);
     fixture.answerRequests(1, 1, 5ms, 40ms);
   }
-  int turns[2] = {};
-  for (int i = 0; i < 340; ++i) ++turns[fixture.select()->value];
-  CHECK(turns[0] > 10 * turns[1]);  // squares of speed, bounded by 4 and a quarter
-  CHECK(turns[1] > 10);
+  int selections[2] = {};
+  for (int i = 0; i < 340; ++i) ++selections[fixture.select()->value];
+  CHECK(selections[0] > 10 * selections[1]);  // weights are squared speeds, between 1/4 and 4
+  CHECK(selections[1] > 10);
 }
 
 TEST_CASE(
@@ -224,31 +226,31 @@
     fixture.advanceTime(1s);
   }
   for (int i = 0; i < 10; ++i) CHECK(fixture.select() == kSecond);
-  const auto none = [](HostId host) { return host == kFirst; };
-  CHECK_FALSE(fixture.selection.select(makeRequest(), none));
+  const auto onlyFirst = [](HostId host) { return host == kFirst; };
+  CHECK_FALSE(fixture.selection.select(makeRequest(), onlyFirst));
 }
 
-TEST_CASE("host selection: a host that has used up its slow-start budget waits for the next one") {
+TEST_CASE("host selection: a host without slow-start budget is not selected until its next budget") {
   HostsFixture fixture(1);
   fixture.announce(servingHost(1, kStart));
-  int inSlowStart = 0;
+  int selectedInSlowStart = 0;
   for (int i = 0; i < 10; ++i) {
     const auto host = fixture.select(4);
     REQUIRE(host);
     if (*host == kSecond) {
-      ++inSlowStart;
+      ++selectedInSlowStart;
       fixture.slowStart.spend(kSecond, 4);
     }
   }
-  CHECK(inSlowStart <= 1);  // all gateways together may send it 1.5 requests
+  CHECK(selectedInSlowStart <= 1);  // all gateways together may send it 1.5 requests
 }
 
-TEST_CASE("load shedding: the lowest priority is rejected first, and load reports count") {
+TEST_CASE("load shedding: the lowest priority is rejected first, and load reports are taken into account") {
   HostsFixture fixture(1);
   const Request lowPriority = makeRequest(0, 0);
   const Request highPriority = makeRequest(1, 2);
   CHECK(fixture.shedding.admits(lowPriority));
-  for (int i = 0; i < 4; ++i) fixture.statistics.attemptStarted(kFirst);  // of 5
+  for (int i = 0; i < 4; ++i) fixture.statistics.attemptStarted(kFirst);  // of a capacity of 5
   CHECK_FALSE(fixture.shedding.admits(lowPriority));
   CHECK(fixture.shedding.admits(highPriority));
   fixture.statistics.attemptStarted(kFirst);
@@ -260,7 +262,7 @@
   CHECK_FALSE(fixture.shedding.admits(lowPriority));
 }
 
-TEST_CASE("load shedding: its start is reported once, its end after a while without a rejection") {
+TEST_CASE("load shedding: its start is reported once, its end after a time without rejections") {
   HostsFixture fixture(1);
   fixture.shedding.recordShed();
   fixture.shedding.recordShed();
@@ -286,7 +288,7 @@
     announce(servingHost(1, {}, 1));
     announce(servingHost(2, {}, 2));
   }
-  /// A request whose first attempt, at the first host, has ended in that way.
+  /// A request whose first attempt, at the first host, has ended with that outcome.
   static RequestInFlight request(std::uint32_t method, Outcome outcome,
                                  IdempotencyKey key = IdempotencyKey::present) {
     RequestInFlight request{makeRequest(method), kStart, nullptr};
@@ -314,7 +316,7 @@
   CHECK_FALSE(fixture.retries.allowsHost(fixture.request(3, Outcome::lost), kSecond));
   CHECK(fixture.retries.allowsHost(fixture.request(3, Outcome::rejected), kSecond));
   CHECK(fixture.retries.allowsHost(fixture.request(3, Outcome::noConnection), kSecond));
-  fixture.advanceTime(100ms);  // the second zone-wide method's window is over
+  fixture.advanceTime(100ms);  // the deduplication window of method 2 is over
   CHECK_FALSE(fixture.retries.allowsHost(fixture.request(2, Outcome::lost), kSecond));
   CHECK(fixture.retries.allowsHost(fixture.request(1, Outcome::lost), kSecond));
 }
@@ -322,7 +324,7 @@
 TEST_CASE("retry policy: a repeat must be written while the hosts still recognize the first attempt") {
   RetryFixture fixture;
   RequestInFlight request = fixture.request(1, Outcome::lost);
-  CHECK(fixture.retries.writeDeadline(request) == TimePoint::max());  // it is the last attempt itself
+  CHECK(fixture.retries.writeDeadline(request) == TimePoint::max());  // no earlier attempt
   request.attempts.emplace_back(kSecond, kStart + 1s);
   CHECK(fixture.retries.writeDeadline(request) == kStart + 2s);
   RequestInFlight notRun = fixture.request(1, Outcome::rejected);
@@ -330,12 +332,12 @@
   CHECK(fixture.retries.writeDeadline(notRun) == TimePoint::max());
 }
 
-TEST_CASE("retry policy: retries are limited in number and time and by a budget that first attempts fill") {
+TEST_CASE("retry policy: retries are limited by number, time, and a budget that first attempts replenish") {
   RetryFixture fixture;
   RequestInFlight request = fixture.request(0, Outcome::error);
   CHECK(fixture.retries.allowsRetry(request));
   request.attempts.resize(3, Attempt(kFirst, kStart));
-  CHECK_FALSE(fixture.retries.allowsRetry(request));  // three at most
+  CHECK_FALSE(fixture.retries.allowsRetry(request));  // three attempts at most
   request.attempts.resize(1, Attempt(kFirst, kStart));
   for (int i = 0; i < 10; ++i) fixture.retries.attemptStarted(RetryPolicy::AttemptKind::further);
   CHECK_FALSE(fixture.retries.allowsRetry(request));
@@ -347,7 +349,7 @@
   CHECK_FALSE(fixture.retries.allowsRetry(request));
 }
 
-TEST_CASE("retry policy: a request that is given up is rejected only if its client may safely repeat it") {
+TEST_CASE("retry policy: a failed request is rejected only if its client may safely retry it") {
   RetryFixture fixture;
   CHECK(fixture.retries.clientMayRetry(fixture.request(0, Outcome::lost)));
   CHECK(fixture.retries.clientMayRetry(fixture.request(1, Outcome::lost)));
--- a/tests/policy/policy_fixture.hpp
+++ b/tests/policy/policy_fixture.hpp
@@ -7,13 +7,13 @@
 #include "policy/engine_context.hpp"
 #include "util/host_table.hpp"
 
-/// What the tests of single policy classes share: a clock set by hand, a seeded random source, a sink that
-/// records what it is asked for, and settings, requests and results to start from.
+/// Shared by the tests of single policy classes: a clock that the test advances, a seeded random source, a
+/// sink that records its calls, and functions that create settings, requests and results.
 namespace merlinbridge::policy::testing {
 
 using namespace std::chrono_literals;
 
-/// Records what the engine or one of its parts asks for; answers nothing.
+/// Records the calls of the engine or one of its components; does not respond to them.
 struct RecordingSink final : DecisionSink {
   struct CounterCall {
     CounterKey key;
@@ -41,7 +41,8 @@
   int failed = 0;
 };
 
-/// One method of each kind, and a plan with a quota, one with a concurrency limit, one with a ceiling.
+/// Methods: idempotent, deduplicated by all hosts, deduplicated within a zone, non-idempotent. Plans: with a
+/// quota, with a concurrency limit, with a quota and a hard ceiling.
 inline PolicySettings makeSettings(std::uint32_t gateways = 1) {
   PolicySettings settings;
   settings.methods = {{Idempotency::idempotent, DeduplicationScope::all, 0ns, 500ms, 1},
@@ -67,12 +68,12 @@
 /// Start of the gateway process.
 inline constexpr TimePoint kStart{1000s};
 
-/// The context of the part that is tested, with its time set by hand.
+/// The context of the tested component. The test advances its time.
 struct Fixture {
   explicit Fixture(const PolicySettings& settings = makeSettings()) : context(settings, 7, kStart, sink) {}
 
-  void advanceTime(Duration time) { context.now += time; }
-  /// Fires the timers that are due, in the order in which they were set.
+  void advanceTime(Duration duration) { context.now += duration; }
+  /// Fires the due timers, in the order in which they were set.
   void fireTimers() {
     const auto due = std::exchange(sink.timers, {});
     for (const auto& timer : due) {
--- a/tests/policy/requests_test.cpp
+++ b/tests/policy/requests_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr HostId kHost{0};
 
-/// A table of requests, whose one customer has no limits that matter here.
+/// A request table with one customer, whose limits do not matter for these tests.
 struct RequestsFixture : Fixture {
   RequestInFlight& add(std::uint64_t id) {
     Request request = makeRequest();
@@ -24,12 +24,13 @@
     request.attempts.emplace_back(kHost, context.now);
     requests.attemptStarted(request);
   }
-  /// The requests whose attempts a sweep checks, in order; each attempt is to be checked again or not.
-  std::vector<std::uint64_t> sweep(RequestTable::CheckResult then) {
+  /// Runs a sweep whose check returns `result` for each attempt. Returns the ids of the checked requests in
+  /// order.
+  std::vector<std::uint64_t> sweep(RequestTable::CheckResult result) {
     std::vector<std::uint64_t> checked;
     requests.sweepAttempts([&](RequestInFlight& request, AttemptNumber) {
       checked.push_back(request.request.requestId.value);
-      return then;
+      return result;
     });
     return checked;
   }
@@ -42,7 +43,8 @@
 
 }  // namespace
 
-TEST_CASE("attempt: it may take effect while in flight, and after an end that leaves that open") {
+TEST_CASE(
+    "attempt: it may take effect while in flight, and after an outcome that does not rule out execution") {
   Attempt attempt(kHost, kStart);
   CHECK(attempt.inFlight());
   CHECK(attempt.mayTakeEffect());
@@ -100,31 +102,30 @@
   CHECK(fixture.sweep(RequestTable::CheckResult::done) == Ids{1});
 }
 
-TEST_CASE(
-    "customer table: a customer is retained while in use and forgotten after the retention of a count") {
+TEST_CASE("customer table: a customer is kept while in use and removed after the retention time of a count") {
   Fixture fixture;
   CustomerTable customers(fixture.context);
   CustomerState& customer = customers.findOrCreate(makeRequest());
   customer.bucket.spend(12);
-  const auto isRemembered = [&] {
+  const auto isKept = [&] {
     return !customers.findOrCreate(makeRequest())
                 .bucket.admits(fixture.context.now, 12, fixture.context.random);
   };
-  CHECK(isRemembered());
+  CHECK(isKept());
   customer.concurrency.attemptStarted();
   fixture.advanceTime(31s);
   customers.sweep();
-  CHECK(isRemembered());  // marks the customer as seen now
+  CHECK(isKept());  // also records a request of the customer
   customer.concurrency.attemptEnded();
   fixture.advanceTime(29s);
   customers.sweep();
-  CHECK(isRemembered());
+  CHECK(isKept());
   fixture.advanceTime(31s);
   customers.sweep();
-  CHECK_FALSE(isRemembered());
+  CHECK_FALSE(isKept());
 }
 
-TEST_CASE("reported load: a report without the requests in flight or the answers per second is not used") {
+TEST_CASE("reported load: a report without the requests in flight or the response rate is not used") {
   LoadReport report;
   CHECK_FALSE(usableLoad(report));
   report.inFlight = 3;
