--- a/tests/policy/customer_limits_test.cpp
+++ b/tests/policy/customer_limits_test.cpp
@@ -20,7 +20,7 @@
 struct BucketFixture {
   explicit BucketFixture(double gateways) : bucket(kQuotaPlan, gateways, 4, kLookBackSeconds, kStart) {}
   /// Tries requests that cost one unit each. Spends the units of the admitted ones and returns their number.
-  int admitted(int requests) {
+  int countAdmitted(int requests) {
     int count = 0;
     for (int i = 0; i < requests; ++i) {
       if (!bucket.admits(now, 1, random)) continue;
@@ -45,23 +45,23 @@
 TEST_CASE("quota bucket: before the first total, the copy holds this gateway's part of the burst") {
   BucketFixture fixture(3);
   CHECK(fixture.bucket.quotaFraction() == Approx(1.0 / 3));
-  CHECK(fixture.admitted(12) == 4);
+  CHECK(fixture.countAdmitted(12) == 4);
 }
 
 TEST_CASE("quota bucket: a customer's first request is admitted even if it exceeds this gateway's part") {
   BucketFixture fixture(60);
-  CHECK(fixture.admitted(1) == 1);
+  CHECK(fixture.countAdmitted(1) == 1);
   CHECK_FALSE(BucketFixture(1).bucket.admits(kStart, 13, fixture.random));  // more than the burst
 }
 
 TEST_CASE("quota bucket: a total makes the copy shared and subtracts the other gateways' usage") {
   BucketFixture fixture(3);
-  fixture.admitted(2);
+  fixture.countAdmitted(2);
   fixture.endRound(8);  // of which 6 by other gateways
   CHECK(fixture.bucket.quotaFraction() == 1);
   CHECK(fixture.bucket.othersRate() > 0);
   // 12 - 8 units are left. This gateway's slice of them is between an equal third and its share of the usage.
-  const int admitted = fixture.admitted(12);
+  const int admitted = fixture.countAdmitted(12);
   CHECK(admitted >= 1);
   CHECK(admitted <= 2);
 }
@@ -70,7 +70,7 @@
     "quota bucket: a divided copy is limited to its part and publishes only usage that has not refilled") {
   BucketFixture fixture(3);
   fixture.endRound(0);
-  fixture.admitted(4);
+  fixture.countAdmitted(4);
   fixture.bucket.divide();
   CHECK(fixture.bucket.isDivided());
   CHECK(fixture.bucket.quotaFraction() == Approx(1.0 / 3));
@@ -83,7 +83,7 @@
 
 TEST_CASE("quota bucket: the units of a failed call are published with the next call") {
   BucketFixture fixture(3);
-  fixture.admitted(3);
+  fixture.countAdmitted(3);
   CHECK(fixture.bucket.takeUnpublished() == 3);
   CHECK(fixture.bucket.takeUnpublished() == 0);
   fixture.bucket.returnUnpublished(3);
@@ -94,18 +94,18 @@
 TEST_CASE("quota bucket: a count that the counter service lost does not grant a new burst") {
   BucketFixture fixture(1);
   fixture.endRound(0);
-  fixture.admitted(12);
+  fixture.countAdmitted(12);
   fixture.endRound(12);
-  CHECK(fixture.admitted(1) == 0);
+  CHECK(fixture.countAdmitted(1) == 0);
   fixture.endRound(0);
-  CHECK(fixture.admitted(1) == 0);
+  CHECK(fixture.countAdmitted(1) == 0);
 }
 
 TEST_CASE(
     "quota bucket: it refills at the plan's rate and returns the seconds until enough units are available") {
   BucketFixture fixture(1);
   fixture.endRound(0);
-  fixture.admitted(12);
+  fixture.countAdmitted(12);
   CHECK(fixture.bucket.secondsUntil(2) == Approx(0.5));
   fixture.now += 500ms;
   fixture.bucket.refill(fixture.now);
--- a/tests/policy/hosts_test.cpp
+++ b/tests/policy/hosts_test.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 /// The usable part of a load report with these values.
-UsableLoad loadReport(double inFlight, std::optional<double> queued, double responsesPerSecond) {
+UsableLoad makeLoad(double inFlight, std::optional<double> queued, double responsesPerSecond) {
   LoadReport report;
   report.inFlight = inFlight;
   report.queued = queued;
@@ -150,11 +150,11 @@
 TEST_CASE("outlier detection: a host that reports a long queue is ejected until it has processed the queue") {
   HostsFixture fixture(1);
   const Method& method = fixture.context.settings.methods[0];
-  fixture.outliers.recordLoad(kFirst, loadReport(4, 1, 10), method);  // processed within the soft deadline
+  fixture.outliers.recordLoad(kFirst, makeLoad(4, 1, 10), method);  // processed within the soft deadline
   CHECK_FALSE(fixture.outliers.ejected(kFirst));
-  fixture.outliers.recordLoad(kFirst, loadReport(30, 0, 10), method);  // no queue
+  fixture.outliers.recordLoad(kFirst, makeLoad(30, 0, 10), method);  // no queue
   CHECK_FALSE(fixture.outliers.ejected(kFirst));
-  fixture.outliers.recordLoad(kFirst, loadReport(30, 20, 10), method);
+  fixture.outliers.recordLoad(kFirst, makeLoad(30, 20, 10), method);
   fixture.advanceTime(2900ms);
   CHECK(fixture.outliers.ejected(kFirst));
   fixture.advanceTime(200ms);
@@ -258,7 +258,7 @@
   for (int i = 0; i < 5; ++i) fixture.statistics.attemptEnded(kFirst);
   CHECK(fixture.shedding.admits(lowPriority));
   for (int i = 0; i < 5; ++i)
-    fixture.shedding.recordLoad(loadReport(100, {}, 10), fixture.context.settings.methods[0]);
+    fixture.shedding.recordLoad(makeLoad(100, {}, 10), fixture.context.settings.methods[0]);
   CHECK_FALSE(fixture.shedding.admits(lowPriority));
 }
 
