--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -6,22 +6,23 @@
 namespace merlinbridge::policy {
 namespace {
 
-/// Fraction that is used of what the settings allow a host that warms up.
-constexpr double kBudgetSafety = 0.8;
+/// A host in slow start is sent at most this fraction of the load that the settings allow.
+constexpr double kBudgetSafetyFactor = 0.8;
 
-/// Parts of the overload window; each is granted its budget at its start.
-constexpr double kBudgetParts = 2;
+/// Number of parts of the overload window. Each part has its own budget, set at its start.
+constexpr double kBudgetsPerWindow = 2;
 
-/// Requests of mean cost that all gateways together may send a host in an overload window, whatever was seen.
+/// Requests of mean cost that all gateways together may always send to a host during an overload window, even
+/// if no responses were observed.
 constexpr double kMinBudgetRequests = 1.5;
 
-/// Time constant, in seconds, of what hosts that have ramped up are seen to answer.
-constexpr double kCarriedSeconds = 20;
+/// Time constant, in seconds, of the units answered by ramped-up hosts.
+constexpr double kThroughputDecaySeconds = 20;
 
-/// Seconds that this gateway is taken to have observed those hosts for at least.
+/// Lower bound of the time, in seconds, for which this gateway counts as having observed those hosts.
 constexpr double kMinObservedSeconds = 4.5;
 
-/// Weight of one request in the mean cost of a request, 0 to 1.
+/// Weight of one request in the smoothed mean cost of a request, 0 to 1.
 constexpr double kMeanUnitsGain = 0.06;
 
 }  // namespace
@@ -41,47 +42,49 @@
 void SlowStart::countRampedUpHosts() {
   rampedUpHosts_ = 0;
   forEachHost(hosts_, [this](HostId host) {
-    if (hosts_.serving(host) && !warmingUp(host)) ++rampedUpHosts_;
+    if (hosts_.serving(host) && !inSlowStart(host)) ++rampedUpHosts_;
   });
 }
 
 bool SlowStart::admits(HostId host, double units) {
-  if (!warmingUp(host)) return true;
+  if (!inSlowStart(host)) return true;
   Budget& budget = budgets_[host.value];
-  renew(budget, host);
-  if (budget.left < units) {
-    const bool drawn = budget.left > 0 && context_.random.bernoulli(budget.left / units);
-    budget.left = drawn ? units : std::min(budget.left, 0.0);
+  renewIfExpired(budget, host);
+  if (budget.unitsLeft < units) {
+    const bool admittedAtRandom = budget.unitsLeft > 0 && context_.random.bernoulli(budget.unitsLeft / units);
+    budget.unitsLeft = admittedAtRandom ? units : std::min(budget.unitsLeft, 0.0);
   }
-  return budget.left >= units;
+  return budget.unitsLeft >= units;
 }
 
-void SlowStart::renew(Budget& budget, HostId host) const {
+void SlowStart::renewIfExpired(Budget& budget, HostId host) const {
   if (context_.now < budget.endsAt) return;
-  const double sentAhead = std::min(budget.left, 0.0);
-  budget.left = sentAhead + grant(host);
-  budget.endsAt = context_.now + scaled(context_.settings.overloadWindow, 1 / kBudgetParts);
+  const double deficit = std::min(budget.unitsLeft, 0.0);
+  budget.unitsLeft = deficit + budgetUnits(host);
+  budget.endsAt = context_.now + scaled(context_.settings.overloadWindow, 1 / kBudgetsPerWindow);
 }
 
-double SlowStart::grant(HostId host) const {
+double SlowStart::budgetUnits(HostId host) const {
   const PolicySettings& settings = context_.settings;
-  const double observed = std::max(seconds(context_.now - context_.startedAt), kMinObservedSeconds);
-  // What a decaying counter sums up of a steady rate of 1 per second since the start of this process.
-  const double countedSeconds = kCarriedSeconds * (1 - std::exp(-observed / kCarriedSeconds));
-  const double carried = rampedUpHostUnits_.read(context_.now, kCarriedSeconds);
-  const double rate = settings.overloadMultiple * rampFactor(host) * carried / countedSeconds;
-  const double least = kMinBudgetRequests * meanUnits_ / settings.gateways;
-  return std::max(least, kBudgetSafety * rate * seconds(settings.overloadWindow)) / kBudgetParts;
+  const double observedSeconds = std::max(seconds(context_.now - context_.startedAt), kMinObservedSeconds);
+  // Value of a decaying counter after a constant rate of 1 per second since the start of this process.
+  const double decayedSeconds =
+      kThroughputDecaySeconds * (1 - std::exp(-observedSeconds / kThroughputDecaySeconds));
+  const double answeredUnits = rampedUpHostUnits_.read(context_.now, kThroughputDecaySeconds);
+  const double rate = settings.overloadMultiple * rampFactor(host) * answeredUnits / decayedSeconds;
+  const double minUnits = kMinBudgetRequests * meanUnits_ / settings.gateways;
+  return std::max(minUnits, kBudgetSafetyFactor * rate * seconds(settings.overloadWindow)) /
+         kBudgetsPerWindow;
 }
 
 void SlowStart::spend(HostId host, double units) {
-  if (warmingUp(host)) budgets_[host.value].left -= units;
+  if (inSlowStart(host)) budgets_[host.value].unitsLeft -= units;
 }
 
-void SlowStart::recordAnswer(HostId host, double units) {
+void SlowStart::recordResponse(HostId host, double units) {
   meanUnits_ += kMeanUnitsGain * (units - meanUnits_);
-  if (warmingUp(host)) return;
-  rampedUpHostUnits_.add(context_.now, kCarriedSeconds, units / std::max(1, rampedUpHosts_));
+  if (inSlowStart(host)) return;
+  rampedUpHostUnits_.add(context_.now, kThroughputDecaySeconds, units / std::max(1, rampedUpHosts_));
 }
 
 }  // namespace merlinbridge::policy
--- a/src/policy_binding/decision_engine.cpp
+++ b/src/policy_binding/decision_engine.cpp
@@ -4,8 +4,8 @@
 
 #include "policy/engine_impl.hpp"
 
-/// Binds the public class DecisionEngine to its implementation: each input sets the time, then goes to the
-/// part of DecisionEngine::Impl that handles it. Kept out of src/policy, which holds decisions alone.
+/// Forwards the functions of DecisionEngine to its implementation: each input sets the time, then calls the
+/// function of DecisionEngine::Impl that handles it. Not in src/policy, which contains only decision logic.
 namespace merlinbridge {
 
 DecisionEngine::DecisionEngine(PolicySettings settings, std::uint64_t seed, TimePoint now, DecisionSink& sink)
@@ -33,9 +33,9 @@
   impl_->endAttempt(result);
 }
 
-void DecisionEngine::clientLeft(TimePoint now, RequestId request) {
+void DecisionEngine::clientDisconnected(TimePoint now, RequestId request) {
   impl_->advanceTo(now);
-  impl_->endClient(request);
+  impl_->markAnswered(request);
 }
 
 void DecisionEngine::counterCallEnded(TimePoint now, const CounterKey& key, CounterCallOutcome outcome,
@@ -46,7 +46,7 @@
 
 void DecisionEngine::timerFired(TimePoint now, TimerId timer) {
   impl_->advanceTo(now);
-  impl_->fire(timer);
+  impl_->fireTimer(timer);
 }
 
 }  // namespace merlinbridge
--- a/src/util/host_table.cpp
+++ b/src/util/host_table.cpp
@@ -33,13 +33,13 @@
     if (!isListed[host]) servingCount_ -= std::exchange(serving_[host], 0);
 }
 
-bool HostTable::inSameDeduplicationScope(Group scope, HostId first, HostId second) const {
+bool HostTable::inSameDeduplicationScope(DeduplicationScope scope, HostId first, HostId second) const {
   switch (scope) {
-    case Group::all:
+    case DeduplicationScope::all:
       return true;
-    case Group::zone:
+    case DeduplicationScope::zone:
       return zone_[first.value] == zone_[second.value];
-    case Group::cell:
+    case DeduplicationScope::cell:
       break;
   }
   return cell_[first.value] == cell_[second.value];
