--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -11,8 +11,8 @@
 
 constexpr std::size_t kMaxCallBytes = 256;
 // The first letter of a counter's path says what is counted.
-constexpr char kQuotaUseLetter = 'u';
-constexpr char kInFlightTimeLetter = 'o';
+constexpr char kQuotaUsePrefix = 'u';
+constexpr char kInFlightTimePrefix = 'o';
 
 SocketAddress counterAddress(const std::string& address) {
   return address.empty() ? SocketAddress() : parseAddress(address);
@@ -21,13 +21,16 @@
 }  // namespace
 
 CounterClient::CounterClient(EventLoop& loop, std::string address, const CounterTimeouts& timeouts)
-    : loop_(loop), address_(std::move(address)), peer_(counterAddress(address_)), timeouts_(timeouts) {}
+    : loop_(loop),
+      address_(std::move(address)),
+      peerAddress_(counterAddress(address_)),
+      timeouts_(timeouts) {}
 
 void CounterClient::setAddress(const std::string& address) {
-  const SocketAddress peer = counterAddress(address);
+  const SocketAddress peerAddress = counterAddress(address);
   if (address == address_) return;
   address_ = address;
-  peer_ = peer;
+  peerAddress_ = peerAddress;
   for (const SlotRef old : std::exchange(connections_, {}))
     if (auto* const connection = loop_.find<CounterConnection>(old)) connection->retire();
 }
@@ -35,7 +38,7 @@
 void CounterClient::addToCounter(const CounterKey& key, double units, Duration keepFor) {
   CounterConnection& connection = leastBusyConnection();
   const auto keepMs = std::chrono::duration_cast<std::chrono::milliseconds>(keepFor).count();
-  const char kind = key.kind == CounterKey::Kind::quotaUse ? kQuotaUseLetter : kInFlightTimeLetter;
+  const char kind = key.kind == CounterKey::Kind::quotaUse ? kQuotaUsePrefix : kInFlightTimePrefix;
   std::array<char, kMaxCallBytes> message{};
   const auto end = fmt::format_to_n(
       message.data(), message.size(),
@@ -61,7 +64,7 @@
   CounterConnectionOwner& owner = *this;
   auto& connection = loop_.open<CounterConnection>(owner, timeouts_);
   slot = connection.ref();
-  connection.connect(peer_);
+  connection.connect(peerAddress_);
   return connection;
 }
 
@@ -70,7 +73,7 @@
 }
 
 void CounterClient::counterCallEnded(TimePoint now, const CounterCallResult& result) {
-  core_->counterCallEnded(now, result.key, result.outcome, result.total, result.took);
+  core_->counterCallEnded(now, result.key, result.outcome, result.total, result.duration);
 }
 
 }  // namespace merlinbridge::net
--- a/src/net/counter/counter_client.hpp
+++ b/src/net/counter/counter_client.hpp
@@ -16,7 +16,7 @@
   CounterClient(EventLoop&, std::string address, const CounterTimeouts&);
 
   /// Sets where results go; must be called before the first addToCounter(). The core outlives the client.
-  void serve(core::GatewayCore& core) { core_ = &core; }
+  void setCore(core::GatewayCore& core) { core_ = &core; }
   /// Adds units to the count under a key, which the service keeps for `keepFor`. The result goes to
   /// GatewayCore::counterCallEnded(), never before this call has returned.
   void addToCounter(const CounterKey&, double units, Duration keepFor);
@@ -35,7 +35,7 @@
   EventLoop& loop_;
   core::GatewayCore* core_ = nullptr;
   std::string address_;
-  SocketAddress peer_;
+  SocketAddress peerAddress_;
   const CounterTimeouts timeouts_;
   std::array<SlotRef, kConnections> connections_{};
 };
--- a/src/net/counter/counter_connection.cpp
+++ b/src/net/counter/counter_connection.cpp
@@ -8,13 +8,13 @@
 
 // In connect timeouts: how long a retired connection may still wait for answers. After a move, the old
 // address closes its connections after a second and a half or later, which is past this bound.
-constexpr int kRetireTimeouts = 4;
+constexpr int kMaxRetirementInConnectTimeouts = 4;
 
 }  // namespace
 
 CounterConnection::CounterConnection(EventLoop& loop, CounterConnectionOwner& owner,
                                      const CounterTimeouts& timeouts)
-    : Connection(loop), owner_(owner), timeouts_(timeouts), lastHeardAt_(loop.now()) {}
+    : Connection(loop), owner_(owner), timeouts_(timeouts), lastReceivedAt_(loop.now()) {}
 
 // inUse -> retired -> closed, or inUse -> closed. No state is entered again.
 void CounterConnection::enter(State next) {
@@ -23,7 +23,7 @@
 
 void CounterConnection::call(const CounterKey& key, std::string_view message) {
   const TimePoint now = loop_.now();
-  if (calls_.empty()) lastHeardAt_ = now;
+  if (calls_.empty()) lastReceivedAt_ = now;
   const std::uint64_t number = firstCallNumber_ + calls_.size();
   const auto timeout =
       loop_.deadlines.add(now + timeouts_.call, [&loop = loop_, self = ref(), number](TimePoint at) {
@@ -41,9 +41,9 @@
   Call& pending = calls_[number - firstCallNumber_];
   if (std::exchange(pending.reported, true)) return;
   const Call call = pending;
-  const CounterAnswer answer = answerMissing();
-  if (!isUp() || now - lastHeardAt_ >= timeouts_.connect) onClosed();
-  report(now, call, answer);
+  const CounterResponse response = noResponse();
+  if (!isUp() || now - lastReceivedAt_ >= timeouts_.connect) onClosed();
+  report(now, call, response);
   if (isRetiredAndDone()) onClosed();
 }
 
@@ -51,7 +51,7 @@
 void CounterConnection::retire() {
   enter(State::retired);
   if (!isUp() || isRetiredAndDone()) return onClosed();
-  loop_.deadlines.add(loop_.now() + kRetireTimeouts * timeouts_.connect,
+  loop_.deadlines.add(loop_.now() + kMaxRetirementInConnectTimeouts * timeouts_.connect,
                       [&loop = loop_, self = ref()](TimePoint) {
                         if (auto* const connection = loop.find<CounterConnection>(self))
                           connection->onClosed();
@@ -66,15 +66,15 @@
 // A reported result may lead to further calls, which are appended to the buffer behind what was received:
 // received() leaves them out.
 void CounterConnection::onData() {
-  lastHeardAt_ = loop_.now();
+  lastReceivedAt_ = loop_.now();
   while (isUp() && received() > 0)
-    if (!readAnswer()) return;
+    if (!readResponse()) return;
 }
 
 // Reads one answer and reports it. Returns false if the answer is not complete yet or the connection has
 // closed.
-bool CounterConnection::readAnswer() {
-  const auto stage = message_.advance(buffer_.data(), received());
+bool CounterConnection::readResponse() {
+  const auto stage = responseMessage_.advance(buffer_.data(), received());
   if (stage == http::Message::Stage::bad || calls_.empty()) {
     onClosed();
     return false;
@@ -83,26 +83,26 @@
   const Call call = calls_.front();
   calls_.pop_front();
   ++firstCallNumber_;
-  const CounterAnswer answer = readCounterAnswer(message_.status(), message_.body());
-  const bool isLastAnswer = !message_.keepsAlive();
-  buffer_.consume(message_.size());
-  message_.clear();
+  const CounterResponse response = parseCounterResponse(responseMessage_.status(), responseMessage_.body());
+  const bool isLastResponse = !responseMessage_.keepsAlive();
+  buffer_.consume(responseMessage_.size());
+  responseMessage_.clear();
   if (!call.reported) {
     loop_.deadlines.cancel(call.timeout);
-    report(lastHeardAt_, call, answer);
+    report(lastReceivedAt_, call, response);
   }
-  if (!isLastAnswer && !isRetiredAndDone()) return true;
+  if (!isLastResponse && !isRetiredAndDone()) return true;
   onClosed();
   return false;
 }
 
-void CounterConnection::report(TimePoint now, const Call& call, const CounterAnswer& answer) {
-  owner_.counterCallEnded(now, {call.key, answer.outcome, answer.total, now - call.startedAt});
+void CounterConnection::report(TimePoint now, const Call& call, const CounterResponse& response) {
+  owner_.counterCallEnded(now, {call.key, response.outcome, response.total, now - call.startedAt});
 }
 
 // Nothing is written before the connection is up, and nothing after it has closed.
-CounterAnswer CounterConnection::answerMissing() const {
-  return {outcomeWithoutAnswer(isUp() ? CallDelivery::maybeWritten : CallDelivery::neverWritten), 0};
+CounterResponse CounterConnection::noResponse() const {
+  return {outcomeWithoutResponse(isUp() ? CallDelivery::maybeWritten : CallDelivery::neverWritten), 0};
 }
 
 // The owner learns of the close first: calls that it makes for a reported result go to another connection.
@@ -110,20 +110,20 @@
   if (state_ == State::closed) return;
   enter(State::closed);
   owner_.counterConnectionClosed(ref());
-  const CounterAnswer answer = answerMissing();
+  const CounterResponse response = noResponse();
   const std::deque<Call> calls = std::exchange(calls_, {});
   loop_.closeDeferred(ref());
   const TimePoint now = loop_.now();
   for (const Call& call : calls) {
     if (call.reported) continue;
     loop_.deadlines.cancel(call.timeout);
-    report(now, call, answer);
+    report(now, call, response);
   }
 }
 
 TimePoint CounterConnection::waitDeadline() const {
-  if (!isUp()) return lastHeardAt_ + timeouts_.connect;
-  return (calls_.empty() ? lastHeardAt_ : loop_.now()) + timeouts_.idle;
+  if (!isUp()) return lastReceivedAt_ + timeouts_.connect;
+  return (calls_.empty() ? lastReceivedAt_ : loop_.now()) + timeouts_.idle;
 }
 
 }  // namespace merlinbridge::net
--- a/src/net/counter/counter_connection.hpp
+++ b/src/net/counter/counter_connection.hpp
@@ -23,8 +23,8 @@
 struct CounterCallResult {
   CounterKey key;
   CounterCallOutcome outcome = CounterCallOutcome::unknown;
-  double total = 0;  ///< Units counted under the key after the call; 0 unless the outcome is `ok`.
-  Duration took{};   ///< From the call to its end.
+  double total = 0;     ///< Units counted under the key after the call; 0 unless the outcome is `ok`.
+  Duration duration{};  ///< From the call to its end.
 };
 
 /// What a CounterConnection reports to. Both functions run on the event loop's strand. The implementation
@@ -67,24 +67,24 @@
 
   void onData() override;
   void onClosed() override;
-  bool expectsMore() const override { return message_.hasBegun(); }
+  bool expectsMore() const override { return responseMessage_.hasBegun(); }
   TimePoint waitDeadline() const override;
   void onTimeout() override { onClosed(); }
 
   void enter(State next);
-  bool readAnswer();
+  bool readResponse();
   void callTimedOut(TimePoint now, std::uint64_t number);
-  void report(TimePoint now, const Call& call, const CounterAnswer& answer);
-  CounterAnswer answerMissing() const;
+  void report(TimePoint now, const Call& call, const CounterResponse& response);
+  CounterResponse noResponse() const;
   bool isRetiredAndDone() const;
 
   CounterConnectionOwner& owner_;
   const CounterTimeouts timeouts_;
   State state_ = State::inUse;
-  http::Message message_{http::Message::Kind::response};
+  http::Message responseMessage_{http::Message::Kind::response};
   std::deque<Call> calls_;
   std::uint64_t firstCallNumber_ = 0;  ///< Of calls_.front(), counted from the connection's first call.
-  TimePoint lastHeardAt_;              ///< Last byte received; the first call's time if none was in flight.
+  TimePoint lastReceivedAt_;           ///< Last byte received; the first call's time if none was in flight.
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/counter/counter_outcome.cpp
+++ b/src/net/counter/counter_outcome.cpp
@@ -10,16 +10,16 @@
 
 // Statuses of the counter protocol. The three errors promise that nothing was added.
 constexpr int kStatusAdded = 200;
-constexpr int kStatusBadCall = 400;
+constexpr int kStatusBadRequest = 400;
 constexpr int kStatusUnknownCounter = 404;
 constexpr int kStatusOverloaded = 503;
 
-bool promisesNothingAdded(int status) {
-  return status == kStatusOverloaded || status == kStatusBadCall || status == kStatusUnknownCounter;
+bool guaranteesNotAdded(int status) {
+  return status == kStatusOverloaded || status == kStatusBadRequest || status == kStatusUnknownCounter;
 }
 
 // std::from_chars also accepts "inf" and "nan", neither of which is a total.
-std::optional<double> readTotal(std::string_view body) {
+std::optional<double> parseTotal(std::string_view body) {
   double total = 0;
   const bool isNumber = std::from_chars(body.data(), body.data() + body.size(), total).ec == std::errc{};
   if (!isNumber || !std::isfinite(total)) return std::nullopt;
@@ -28,14 +28,14 @@
 
 }  // namespace
 
-CounterAnswer readCounterAnswer(int status, std::string_view body) {
-  if (promisesNothingAdded(status)) return {CounterCallOutcome::notAdded, 0};
+CounterResponse parseCounterResponse(int status, std::string_view body) {
+  if (guaranteesNotAdded(status)) return {CounterCallOutcome::notAdded, 0};
   if (status != kStatusAdded) return {CounterCallOutcome::unknown, 0};
-  const std::optional<double> total = readTotal(body);
-  return total ? CounterAnswer{CounterCallOutcome::ok, *total} : CounterAnswer{};
+  const std::optional<double> total = parseTotal(body);
+  return total ? CounterResponse{CounterCallOutcome::ok, *total} : CounterResponse{};
 }
 
-CounterCallOutcome outcomeWithoutAnswer(CallDelivery delivery) {
+CounterCallOutcome outcomeWithoutResponse(CallDelivery delivery) {
   return delivery == CallDelivery::neverWritten ? CounterCallOutcome::notAdded : CounterCallOutcome::unknown;
 }
 
--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -27,29 +27,29 @@
                                  Duration connectTimeout, Duration drainGrace, std::uint64_t seed)
     : loop_(loop),
       address_(std::move(address)),
-      peer_(parseAddress(address_)),
+      peerAddress_(parseAddress(address_)),
       generation_(generation),
       connectTimeout_(connectTimeout),
       schedule_(connectTimeout, drainGrace, seed) {}
 
-void DiscoveryClient::serve(core::GatewayCore& core) {
+void DiscoveryClient::start(core::GatewayCore& core) {
   core_ = &core;
   sendRequest();
 }
 
 void DiscoveryClient::sendRequest() {
-  nextRequest_ = {};
+  nextRequestTimer_ = {};
   Connection& connection = openConnection();
-  openRequest_ = connection.ref();
-  connection.connect(peer_);
+  requestConnection_ = connection.ref();
+  connection.connect(peerAddress_);
 }
 
 Connection& DiscoveryClient::openConnection() {
-  DiscoveryResponseOwner& owner = *this;
+  DiscoveryResponseHandler& handler = *this;
   if (schedule_.nextRequest() == DiscoveryRequest::poll)
-    return loop_.open<PollConnection>(owner, connectTimeout_, requestMessage(""));
+    return loop_.open<PollConnection>(handler, connectTimeout_, requestMessage(""));
   const std::string query = fmt::format("?watch=1&from={}", generation_);
-  return loop_.open<WatchConnection>(owner, connectTimeout_, requestMessage(query));
+  return loop_.open<WatchConnection>(handler, connectTimeout_, requestMessage(query));
 }
 
 std::string DiscoveryClient::requestMessage(std::string_view query) const {
@@ -60,7 +60,7 @@
   try {
     const config::EndpointList endpoints = parseEndpointList(std::move(json));
     generation_ = endpoints.generation;
-    discoveryHeard();
+    markReachable();
     core_->endpointsUpdated(loop_.now(), endpoints);
     return true;
   } catch (const config::ConfigError& e) {
@@ -69,16 +69,16 @@
   }
 }
 
-void DiscoveryClient::discoveryHeard() {
-  schedule_.discoveryHeard();
+void DiscoveryClient::markReachable() {
+  schedule_.resetBackoff();
   if (std::exchange(reachability_, Reachability::reachable) == Reachability::unreachable)
     loop_.log(LogEvent::discoveryRestored, LogField{"generation", generation_});
 }
 
 void DiscoveryClient::requestEnded(SlotRef connection, DiscoveryOutcome outcome) {
-  if (openRequest_ != connection) return;
+  if (requestConnection_ != connection) return;
   loop_.closeDeferred(connection);
-  openRequest_ = {};
+  requestConnection_ = {};
   scheduleRequest(outcome);
 }
 
@@ -87,19 +87,19 @@
       std::exchange(reachability_, Reachability::unreachable) == Reachability::reachable)
     loop_.log(LogEvent::discoveryUnreachable, LogField{"generation", generation_});
   const Duration pause = schedule_.requestEnded(outcome);
-  nextRequest_ = loop_.deadlines.add(loop_.now() + pause, [this](TimePoint) { sendRequest(); });
+  nextRequestTimer_ = loop_.deadlines.add(loop_.now() + pause, [this](TimePoint) { sendRequest(); });
 }
 
 // The old address may take its time to end its watch, and changes would be missed meanwhile: the new one is
 // asked at once. The present address given once more only cuts a pause short.
 void DiscoveryClient::setAddress(const std::string& address) {
-  const SocketAddress peer = parseAddress(address);
-  if (address == address_ && openRequest_) return;
+  const SocketAddress peerAddress = parseAddress(address);
+  if (address == address_ && requestConnection_) return;
   address_ = address;
-  peer_ = peer;
-  if (openRequest_) loop_.closeDeferred(std::exchange(openRequest_, {}));
-  if (nextRequest_) loop_.deadlines.cancel(nextRequest_);
-  schedule_.restart();
+  peerAddress_ = peerAddress;
+  if (requestConnection_) loop_.closeDeferred(std::exchange(requestConnection_, {}));
+  if (nextRequestTimer_) loop_.deadlines.cancel(nextRequestTimer_);
+  schedule_.reset();
   sendRequest();
 }
 
--- a/src/net/discovery/discovery_response_owner.hpp
+++ b/src/net/discovery/discovery_response_handler.hpp
@@ -13,14 +13,14 @@
 
 /// What a connection to discovery reports to. All functions run on the event loop's strand. The
 /// implementation outlives its connections.
-class DiscoveryResponseOwner {
+class DiscoveryResponseHandler {
  public:
-  virtual ~DiscoveryResponseOwner() = default;
+  virtual ~DiscoveryResponseHandler() = default;
   /// Applies an endpoint list, or a change of it. `json`: one whole JSON object. Returns false if it cannot
   /// be parsed; the connection then ends its request as failed.
   virtual bool applyEndpointList(std::string json) = 0;
   /// Bytes of a watch have come: a heartbeat, or a part of a list.
-  virtual void watchHeard() = 0;
+  virtual void watchReceivedData() = 0;
   /// The request of that connection has ended; the owner closes the connection. Has no effect for a
   /// connection whose request has ended before.
   virtual void requestEnded(SlotRef connection, DiscoveryOutcome) = 0;
--- a/src/net/discovery/discovery_schedule.hpp
+++ b/src/net/discovery/discovery_schedule.hpp
@@ -39,20 +39,20 @@
   /// The request that nextRequest() named has ended. Returns the pause before the next one.
   Duration requestEnded(DiscoveryOutcome);
   /// Discovery has sent a list or a heartbeat: the next failure counts as the first in a row.
-  void discoveryHeard() { failuresInRow_ = 0; }
+  void resetBackoff() { consecutiveFailures_ = 0; }
   /// Starts afresh, for a new address: a watch is next.
-  void restart();
+  void reset();
 
  private:
-  void countRequest(DiscoveryOutcome);
-  Duration pauseAfter(DiscoveryOutcome);
-  Duration longestBackoff(DiscoveryOutcome) const;
+  void recordOutcome(DiscoveryOutcome);
+  Duration meanPauseAfter(DiscoveryOutcome);
+  Duration maxBackoff(DiscoveryOutcome) const;
 
   const Duration connectTimeout_;
   const Duration drainGrace_;
-  int failuresInRow_ = 0;
+  int consecutiveFailures_ = 0;
   int pollsBeforeWatch_ = 0;
-  std::ranlux24_base jitter_;
+  std::ranlux24_base random_;
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/discovery/poll_connection.hpp
+++ b/src/net/discovery/poll_connection.hpp
@@ -4,7 +4,7 @@
 
 #include "http/message.hpp"
 #include "net/connection.hpp"
-#include "net/discovery/discovery_response_owner.hpp"
+#include "net/discovery/discovery_response_handler.hpp"
 
 namespace merlinbridge::net {
 
@@ -13,18 +13,18 @@
 class PollConnection final : public Connection {
  public:
   /// `message`: the whole HTTP request, written once the connection is up.
-  PollConnection(EventLoop&, DiscoveryResponseOwner&, Duration connectTimeout, std::string_view message);
+  PollConnection(EventLoop&, DiscoveryResponseHandler&, Duration connectTimeout, std::string_view message);
 
  private:
   void onData() override;
   void onClosed() override { finish(DiscoveryOutcome::failed); }
-  bool expectsMore() const override { return message_.hasBegun(); }
+  bool expectsMore() const override { return response_.hasBegun(); }
   TimePoint waitDeadline() const override { return deadline_; }
   void onTimeout() override { finish(DiscoveryOutcome::failed); }
-  void finish(DiscoveryOutcome outcome) { owner_.requestEnded(ref(), outcome); }
+  void finish(DiscoveryOutcome outcome) { handler_.requestEnded(ref(), outcome); }
 
-  DiscoveryResponseOwner& owner_;
-  http::Message message_;
+  DiscoveryResponseHandler& handler_;
+  http::Message response_;
   const TimePoint deadline_;
 };
 
--- a/src/net/discovery/watch_connection.cpp
+++ b/src/net/discovery/watch_connection.cpp
@@ -11,14 +11,14 @@
 
 }  // namespace
 
-WatchConnection::WatchConnection(EventLoop& loop, DiscoveryResponseOwner& owner, Duration connectTimeout,
+WatchConnection::WatchConnection(EventLoop& loop, DiscoveryResponseHandler& handler, Duration connectTimeout,
                                  std::string_view message)
-    : Connection(loop), owner_(owner), connectTimeout_(connectTimeout), lastHeardAt_(loop.now()) {
+    : Connection(loop), handler_(handler), connectTimeout_(connectTimeout), lastReceivedAt_(loop.now()) {
   send({message});
 }
 
 void WatchConnection::onData() {
-  lastHeardAt_ = loop_.now();
+  lastReceivedAt_ = loop_.now();
   if (state_ == State::readingHead && !readHead()) return;
   const http::ChunkedDecoder::End end = decodeBody();
   readEndpointLists();
@@ -44,7 +44,7 @@
     return http::ChunkedDecoder::End::more;
   }
   std::size_t raw = decodedBytes_;
-  const auto end = chunks_.decode(buffer_.data(), decodedBytes_, raw, buffer_.size());
+  const auto end = chunkedDecoder_.decode(buffer_.data(), decodedBytes_, raw, buffer_.size());
   buffer_.erase(decodedBytes_, raw);
   return end;
 }
@@ -52,30 +52,30 @@
 void WatchConnection::readEndpointLists() {
   using End = config::JsonStreamSplitter::End;
   while (isUp()) {
-    const std::size_t splitBefore = splitter_.at();
-    const bool begunBefore = splitter_.begun();
+    const std::size_t scannedBytesBefore = splitter_.at();
+    const bool wasInObject = splitter_.begun();
     const End end = splitter_.take(buffer_.view().substr(0, decodedBytes_));
     if (end == End::bad) return onClosed();
-    trackObject(splitBefore, begunBefore, end);
+    trackObjectProgress(scannedBytesBefore, wasInObject, end);
     std::string list;
     if (end == End::object) list = buffer_.view().substr(splitter_.from(), splitter_.at() - splitter_.from());
-    dropSplit();
+    dropCompleteBytes();
     if (end == End::more) return;
-    if (!owner_.applyEndpointList(std::move(list))) return onClosed();
+    if (!handler_.applyEndpointList(std::move(list))) return onClosed();
   }
 }
 
 // Notes when the present object began, and reports what came apart from the bytes of an incomplete object.
-void WatchConnection::trackObject(std::size_t splitBefore, bool begunBefore,
-                                  config::JsonStreamSplitter::End end) {
-  if (!begunBefore && (splitter_.begun() || end == config::JsonStreamSplitter::End::object))
-    objectBegunAt_ = loop_.now();
-  if (splitBytes() > splitBefore) owner_.watchHeard();
+void WatchConnection::trackObjectProgress(std::size_t scannedBytesBefore, bool wasInObject,
+                                          config::JsonStreamSplitter::End end) {
+  if (!wasInObject && (splitter_.begun() || end == config::JsonStreamSplitter::End::object))
+    objectStartedAt_ = loop_.now();
+  if (completeBytes() > scannedBytesBefore) handler_.watchReceivedData();
 }
 
 // Drops what is complete from the buffer: whole objects, and what stands between them.
-void WatchConnection::dropSplit() {
-  const std::size_t bytes = splitBytes();
+void WatchConnection::dropCompleteBytes() {
+  const std::size_t bytes = completeBytes();
   if (bytes == 0) return;
   buffer_.consume(bytes);
   decodedBytes_ -= bytes;
@@ -84,7 +84,7 @@
 
 void WatchConnection::onClosed() {
   const bool rejected = head_.stage() == http::Message::Stage::done && head_.status() != kStatusOk;
-  owner_.requestEnded(ref(), rejected ? DiscoveryOutcome::rejected : DiscoveryOutcome::failed);
+  handler_.requestEnded(ref(), rejected ? DiscoveryOutcome::rejected : DiscoveryOutcome::failed);
 }
 
 bool WatchConnection::expectsMore() const {
@@ -100,7 +100,7 @@
 }
 
 TimePoint WatchConnection::waitStartedAt() const {
-  return splitter_.begun() ? std::min(objectBegunAt_, lastHeardAt_) : lastHeardAt_;
+  return splitter_.begun() ? std::min(objectStartedAt_, lastReceivedAt_) : lastReceivedAt_;
 }
 
 }  // namespace merlinbridge::net
--- a/src/net/discovery/watch_connection.hpp
+++ b/src/net/discovery/watch_connection.hpp
@@ -7,7 +7,7 @@
 #include "http/chunked_decoder.hpp"
 #include "http/message.hpp"
 #include "net/connection.hpp"
-#include "net/discovery/discovery_response_owner.hpp"
+#include "net/discovery/discovery_response_handler.hpp"
 
 namespace merlinbridge::net {
 
@@ -17,12 +17,12 @@
 class WatchConnection final : public Connection {
  public:
   /// `message`: the whole HTTP request, written once the connection is up.
-  WatchConnection(EventLoop&, DiscoveryResponseOwner&, Duration connectTimeout, std::string_view message);
+  WatchConnection(EventLoop&, DiscoveryResponseHandler&, Duration connectTimeout, std::string_view message);
 
  private:
   enum class State { readingHead, readingBody };
 
-  void onConnected() override { lastHeardAt_ = loop_.now(); }
+  void onConnected() override { lastReceivedAt_ = loop_.now(); }
   void onData() override;
   void onClosed() override;
   bool expectsMore() const override;
@@ -33,19 +33,20 @@
   bool readHead();
   http::ChunkedDecoder::End decodeBody();
   void readEndpointLists();
-  void trackObject(std::size_t splitBefore, bool begunBefore, config::JsonStreamSplitter::End end);
-  void dropSplit();
-  std::size_t splitBytes() const { return splitter_.begun() ? splitter_.from() : splitter_.at(); }
+  void trackObjectProgress(std::size_t scannedBytesBefore, bool wasInObject,
+                           config::JsonStreamSplitter::End end);
+  void dropCompleteBytes();
+  std::size_t completeBytes() const { return splitter_.begun() ? splitter_.from() : splitter_.at(); }
 
-  DiscoveryResponseOwner& owner_;
+  DiscoveryResponseHandler& handler_;
   const Duration connectTimeout_;
   State state_ = State::readingHead;
   http::Message head_{http::Message::Kind::response, http::Message::Body::streamed};
-  http::ChunkedDecoder chunks_;
+  http::ChunkedDecoder chunkedDecoder_;
   std::size_t decodedBytes_ = 0;  ///< Of the body, at the front of the buffer.
   config::JsonStreamSplitter splitter_;
-  TimePoint lastHeardAt_;      ///< Last byte received; before, when the connection was made or came up.
-  TimePoint objectBegunAt_{};  ///< While an object is incomplete.
+  TimePoint lastReceivedAt_;     ///< Last byte received; before, when the connection was made or came up.
+  TimePoint objectStartedAt_{};  ///< While an object is incomplete.
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -51,9 +51,9 @@
 }
 
 void Server::serve() {
-  hosts_.serve(core_);
-  counter_.serve(core_);
-  discovery_.serve(core_);
+  hosts_.setCore(core_);
+  counter_.setCore(core_);
+  discovery_.start(core_);
   clients_.serve(core_);
 }
 
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -64,29 +64,29 @@
 // An answer that cannot be read counts as an error, not as no answer: the request may have run.
 void UpstreamConnection::onData() {
   if (state_ == State::idle) return owner_.closeConnection(ref());  // stray bytes, no request is out
-  const auto stage = answer_.advance(buffer_.data(), received());
+  const auto stage = response_.advance(buffer_.data(), received());
   if (stage == http::Message::Stage::bad) return finish(Outcome::error);
-  if (stage == http::Message::Stage::done) finish(outcomeOf(answer_), readUpstreamResponse(answer_));
+  if (stage == http::Message::Stage::done) finish(outcomeOf(response_), readUpstreamResponse(response_));
 }
 
 // An answer without a length is complete only if the stream ended in good order; a reset has cut it short.
 void UpstreamConnection::onClosed() {
-  answer_.bufferMoved(buffer_.data());  // the read that found the end may have moved the buffer
+  response_.bufferMoved(buffer_.data());  // the read that found the end may have moved the buffer
   const bool answered =
-      peerEnded() && answer_.hasBegun() && answer_.peerClosed() == http::Message::Stage::done;
+      peerEnded() && response_.hasBegun() && response_.peerClosed() == http::Message::Stage::done;
   if (state_ == State::idle) return owner_.closeConnection(ref());
-  if (answered) return finish(outcomeOf(answer_), readUpstreamResponse(answer_));
+  if (answered) return finish(outcomeOf(response_), readUpstreamResponse(response_));
   if (isUnsent() && !mayWrite()) return finish(Outcome::notSent);
   finish(isUp() && allWritten() ? Outcome::lost : Outcome::noConnection);
 }
 
 void UpstreamConnection::finish(Outcome outcome, const core::UpstreamResponse& response) {
   const TimePoint now = loop_.now();
-  logEnd(outcome);
-  const State before = std::exchange(state_, State::idle);
-  if (before == State::starting) return owner_.closeConnection(ref());  // write() reports the failure
-  const bool reusable = answer_.stage() == http::Message::Stage::done && answer_.keepsAlive() && isUp() &&
-                        allWritten() && answer_.size() == buffer_.size();
+  logAttemptEnd(outcome);
+  const State previousState = std::exchange(state_, State::idle);
+  if (previousState == State::starting) return owner_.closeConnection(ref());  // write() reports the failure
+  const bool reusable = response_.stage() == http::Message::Stage::done && response_.keepsAlive() && isUp() &&
+                        allWritten() && response_.size() == buffer_.size();
   // The body of an ok answer stays in the buffer until attemptEnded() has written it to the client. After any
   // other outcome, the next attempt that attemptEnded() starts may use this connection.
   if (!reusable) owner_.closeConnection(ref());
@@ -98,12 +98,12 @@
 
 void UpstreamConnection::becomeIdle() {
   buffer_.consume(buffer_.size());
-  answer_.clear();
+  response_.clear();
   idleSince_ = loop_.now();
   owner_.connectionIdle(host_, ref());
 }
 
-void UpstreamConnection::logEnd(Outcome outcome) {
+void UpstreamConnection::logAttemptEnd(Outcome outcome) {
   if (!loop_.log.enabled(LogEvent::attemptEnded)) return;
   loop_.log(LogEvent::attemptEnded, LogField{"request_number", requestId_.value},
             LogField{"attempt", attemptNumber_.value}, LogField{"host", owner_.hostName(host_)},
--- a/src/net/upstream/upstream_connection.hpp
+++ b/src/net/upstream/upstream_connection.hpp
@@ -83,19 +83,19 @@
   void onConnected() override;
   void beforeWritingUnsent() override;
   bool mayWrite() const override;
-  bool expectsMore() const override { return state_ != State::idle && answer_.hasBegun(); }
+  bool expectsMore() const override { return state_ != State::idle && response_.hasBegun(); }
   TimePoint waitDeadline() const override;
   void onTimeout() override;
 
   bool write(std::string_view message);
   void finish(Outcome outcome, const core::UpstreamResponse& response = {});
   void becomeIdle();
-  void logEnd(Outcome outcome);
+  void logAttemptEnd(Outcome outcome);
 
   UpstreamConnectionOwner& owner_;
   const HostId host_;
   const UpstreamTimeouts timeouts_;
-  http::Message answer_{http::Message::Kind::response};
+  http::Message response_{http::Message::Kind::response};
   State state_ = State::idle;
   RequestId requestId_{};
   AttemptNumber attemptNumber_{};
--- a/src/net/upstream/upstream_outcome.cpp
+++ b/src/net/upstream/upstream_outcome.cpp
@@ -15,7 +15,7 @@
 
 // The number at the start of `text`; 0 if there is none. The parser also reads "nan" and "inf", which no
 // field allows.
-double numberOf(std::string_view text) {
+double leadingNumber(std::string_view text) {
   double value = 0;
   std::from_chars(text.data(), text.data() + text.size(), value);
   return std::isfinite(value) ? value : 0;
@@ -29,26 +29,26 @@
     const std::string_view word = list.substr(0, comma);
     const std::size_t equals = word.find('=');
     if (equals != std::string_view::npos)
-      config::readLoadFigure(load, word.substr(0, equals), numberOf(word.substr(equals + 1)));
+      config::readLoadFigure(load, word.substr(0, equals), leadingNumber(word.substr(equals + 1)));
     list.remove_prefix(std::min(list.size(), comma + 1));
   }
 }
 
 }  // namespace
 
-Outcome outcomeOf(const http::Message& answer) {
-  const int status = answer.status();
+Outcome outcomeOf(const http::Message& message) {
+  const int status = message.status();
   if (status == kStatusOk) return Outcome::ok;
-  const bool mayDecline = status == kStatusUnavailable || status == kStatusGatewayTimeout;
-  return mayDecline && answer.get("Srv-Declined") == "1" ? Outcome::rejected : Outcome::error;
+  const bool mayBeDeclined = status == kStatusUnavailable || status == kStatusGatewayTimeout;
+  return mayBeDeclined && message.get("Srv-Declined") == "1" ? Outcome::rejected : Outcome::error;
 }
 
-core::UpstreamResponse readUpstreamResponse(const http::Message& answer) {
-  core::UpstreamResponse response{answer.body(), {}, 0, {}};
-  for (std::size_t index = 0; index < answer.fieldCount(); ++index) {
-    const auto [name, value] = answer.field(index);
+core::UpstreamResponse readUpstreamResponse(const http::Message& message) {
+  core::UpstreamResponse response{message.body(), {}, 0, {}};
+  for (std::size_t index = 0; index < message.fieldCount(); ++index) {
+    const auto [name, value] = message.field(index);
     if (http::equalsIgnoringCase(name, "Content-Type")) response.contentType = value;
-    if (http::equalsIgnoringCase(name, "Billed-Units")) response.trueUnits = numberOf(value);
+    if (http::equalsIgnoringCase(name, "Billed-Units")) response.trueUnits = leadingNumber(value);
     if (http::equalsIgnoringCase(name, "Srv-Load")) readLoadReport(value, response.load);
   }
   return response;
--- a/src/net/upstream/upstream_pool.cpp
+++ b/src/net/upstream/upstream_pool.cpp
@@ -7,19 +7,19 @@
 namespace {
 
 // Part of the connect timeout for which a connection must have been quiet before it carries the next attempt.
-constexpr int kReuseDelayParts = 25;
+constexpr int kReuseDelayDivisor = 25;
 // Part of the hosts' idle timeout after which the gateway closes an idle connection: well before the host
 // does, so that no request crosses the host's close.
-constexpr int kIdleTimeoutParts = 2;
+constexpr int kIdleTimeoutDivisor = 2;
 
 }  // namespace
 
-UpstreamPool::UpstreamPool(EventLoop& loop, std::size_t maxConnections, Duration idle,
+UpstreamPool::UpstreamPool(EventLoop& loop, std::size_t maxConnections, Duration hostIdleTimeout,
                            Duration connectTimeout)
     : loop_(loop),
       maxConnections_(maxConnections),
-      timeouts_{connectTimeout, idle / kIdleTimeoutParts},
-      reuseDelay_(connectTimeout / kReuseDelayParts) {}
+      timeouts_{connectTimeout, hostIdleTimeout / kIdleTimeoutDivisor},
+      reuseDelay_(connectTimeout / kReuseDelayDivisor) {}
 
 std::variant<SlotRef, Outcome> UpstreamPool::startAttempt(HostId host, std::string_view message,
                                                           RequestId requestId, AttemptNumber attemptNumber,
--- a/src/net/upstream/upstream_pool.hpp
+++ b/src/net/upstream/upstream_pool.hpp
@@ -19,10 +19,11 @@
  public:
   /// `idle` is the time after which hosts close idle connections, by the settings. `loop` must outlive the
   /// pool.
-  UpstreamPool(EventLoop& loop, std::size_t maxConnections, Duration idle, Duration connectTimeout);
+  UpstreamPool(EventLoop& loop, std::size_t maxConnections, Duration hostIdleTimeout,
+               Duration connectTimeout);
 
   /// Sets the core to which attempts report their end; called once, before the first attempt.
-  void serve(core::GatewayCore& core) { core_ = &core; }
+  void setCore(core::GatewayCore& core) { core_ = &core; }
   /// Starts an attempt; `message` is the whole request with its deadline field, and is copied where it cannot
   /// be written at once. Returns the connection that carries the attempt, or the outcome that it had at once.
   /// In the first case, GatewayCore::attemptEnded() follows in a later turn, unless closeAttempt() is called.
--- a/tests/net/discovery_schedule_test.cpp
+++ b/tests/net/discovery_schedule_test.cpp
@@ -83,7 +83,7 @@
   CHECK(isDrawnAround(first[0], 250ms));
   CHECK(isDrawnAround(first[1], 500ms));
   CHECK(areDrawnAround({first.begin() + 2, first.end()}, 1s));
-  schedule.discoveryHeard();
+  schedule.resetBackoff();
   const std::vector<Duration> second = pausesAfter(schedule, DiscoveryOutcome::rejected, 3);
   CHECK(isDrawnAround(second[0], 250ms));
   CHECK(isDrawnAround(second[1], 500ms));
@@ -103,7 +103,7 @@
 TEST_CASE("a new address starts with a watch and the shortest backoff") {
   DiscoverySchedule schedule = scheduleOf();
   pausesAfter(schedule, DiscoveryOutcome::rejected, 5);
-  schedule.restart();
+  schedule.reset();
   CHECK(schedule.nextRequest() == DiscoveryRequest::watch);
   CHECK(isDrawnAround(schedule.requestEnded(DiscoveryOutcome::rejected), 250ms));
 }
