--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t kMaxCallBytes = 256;
-// The first letter of a counter's path says what is counted.
+// The first letter of a counter's name in the path tells what is counted.
 constexpr char kQuotaUsePrefix = 'u';
 constexpr char kInFlightTimePrefix = 'o';
 
@@ -47,8 +47,8 @@
   connection.call(key, {message.data(), std::min(end.size, message.size())});
 }
 
-// The first connection without calls, else the one with the fewest. Connections are made as they are needed:
-// the second one only once the first has a call in flight.
+// Returns the first connection without calls in flight, or else the one with the fewest. The second
+// connection is not opened before the first has a call in flight.
 CounterConnection& CounterClient::leastBusyConnection() {
   CounterConnection* leastBusy = &connectionAt(connections_.front());
   for (std::size_t at = 1; at < connections_.size() && leastBusy->callsInFlight() > 0; ++at) {
@@ -58,7 +58,7 @@
   return *leastBusy;
 }
 
-// The connection of that slot, which is dialled if there is none.
+// Returns the connection in `slot`; opens one if there is none.
 CounterConnection& CounterClient::connectionAt(SlotRef& slot) {
   if (auto* const existing = loop_.find<CounterConnection>(slot)) return *existing;
   CounterConnectionOwner& owner = *this;
--- a/src/net/counter/counter_client.hpp
+++ b/src/net/counter/counter_client.hpp
@@ -8,20 +8,22 @@
 
 namespace merlinbridge::net {
 
-/// The client of the counter service: sends each call over the least busy of a few pipelined connections and
-/// hands its result to the core. All functions run on the event loop's strand.
+/// Client of the counter service. Sends each call over the least busy of its pipelined connections and
+/// reports the result to the core. All functions run on the event loop's strand.
 class CounterClient final : private CounterConnectionOwner {
  public:
-  /// `address`: "host:port" of the counter service; empty if there is none. Throws std::invalid_argument.
+  /// `address`: "host:port" of the counter service; empty if there is none. Throws std::invalid_argument if
+  /// it cannot be parsed.
   CounterClient(EventLoop&, std::string address, const CounterTimeouts&);
 
-  /// Sets where results go; must be called before the first addToCounter(). The core outlives the client.
+  /// Sets the core that gets the results; must be called before the first addToCounter(). The core must
+  /// outlive the client.
   void setCore(core::GatewayCore& core) { core_ = &core; }
-  /// Adds units to the count under a key, which the service keeps for `keepFor`. The result goes to
-  /// GatewayCore::counterCallEnded(), never before this call has returned.
+  /// Adds units to the count under a key; the service keeps the count for `keepFor`. The result is reported
+  /// with GatewayCore::counterCallEnded(), after this function has returned.
   void addToCounter(const CounterKey&, double units, Duration keepFor);
-  /// Later calls go to this address; calls in flight end on their old connections. Throws
-  /// std::invalid_argument, and then nothing has changed.
+  /// Sends later calls to this address; calls in flight end on their old connections. Throws
+  /// std::invalid_argument if the address cannot be parsed, and then changes nothing.
   void setAddress(const std::string& address);
 
  private:
--- a/src/net/counter/counter_connection.cpp
+++ b/src/net/counter/counter_connection.cpp
@@ -6,8 +6,9 @@
 namespace merlinbridge::net {
 namespace {
 
-// In connect timeouts: how long a retired connection may still wait for answers. After a move, the old
-// address closes its connections after a second and a half or later, which is past this bound.
+// How long a retired connection may wait for responses, as a multiple of the connect timeout. After the
+// counter service has moved, its old address closes connections 1.5 s later at the earliest, which is past
+// this bound.
 constexpr int kMaxRetirementInConnectTimeouts = 4;
 
 }  // namespace
@@ -16,7 +17,7 @@
                                      const CounterTimeouts& timeouts)
     : Connection(loop), owner_(owner), timeouts_(timeouts), lastReceivedAt_(loop.now()) {}
 
-// inUse -> retired -> closed, or inUse -> closed. No state is entered again.
+// Transitions: inUse -> retired -> closed, or inUse -> closed. A state that was left is not entered again.
 void CounterConnection::enter(State next) {
   state_ = std::max(state_, next);
 }
@@ -33,9 +34,9 @@
   sendLater(message);
 }
 
-// The call stays in the queue, since its answer may still come and must be matched to it. A connection on
-// which nothing at all comes is replaced. The owner is called last: it may make calls, but not on this
-// connection once that has closed.
+// The call stays in the queue, since its response may still come and must be matched to it. A connection on
+// which nothing was received for the connect timeout is closed. The owner is called last, since it may start
+// calls, and must not start them on this connection if that closes.
 void CounterConnection::callTimedOut(TimePoint now, std::uint64_t number) {
   if (number < firstCallNumber_ || number - firstCallNumber_ >= calls_.size()) return;
   Call& pending = calls_[number - firstCallNumber_];
@@ -47,7 +48,7 @@
   if (isRetiredAndDone()) onClosed();
 }
 
-// Closing at once would let calls that the service has read end as lost, though they are added.
+// Does not close immediately: calls that the service has read, and adds, would end without their results.
 void CounterConnection::retire() {
   enter(State::retired);
   if (!isUp() || isRetiredAndDone()) return onClosed();
@@ -63,15 +64,15 @@
          std::all_of(calls_.begin(), calls_.end(), [](const Call& call) { return call.reported; });
 }
 
-// A reported result may lead to further calls, which are appended to the buffer behind what was received:
-// received() leaves them out.
+// The owner may start further calls when a result is reported. They are appended to the buffer behind the
+// received bytes, and received() does not count them.
 void CounterConnection::onData() {
   lastReceivedAt_ = loop_.now();
   while (isUp() && received() > 0)
     if (!readResponse()) return;
 }
 
-// Reads one answer and reports it. Returns false if the answer is not complete yet or the connection has
+// Reads one response and reports it. Returns false if the response is incomplete or the connection has
 // closed.
 bool CounterConnection::readResponse() {
   const auto stage = responseMessage_.advance(buffer_.data(), received());
@@ -100,12 +101,14 @@
   owner_.counterCallEnded(now, {call.key, response.outcome, response.total, now - call.startedAt});
 }
 
-// Nothing is written before the connection is up, and nothing after it has closed.
+// The outcome of a call without a response. Nothing is written before the connection is up or after it has
+// closed.
 CounterResponse CounterConnection::noResponse() const {
   return {outcomeWithoutResponse(isUp() ? CallDelivery::maybeWritten : CallDelivery::neverWritten), 0};
 }
 
-// The owner learns of the close first: calls that it makes for a reported result go to another connection.
+// Reports the close to the owner before the results, so that calls which the owner starts for a result go to
+// another connection.
 void CounterConnection::onClosed() {
   if (state_ == State::closed) return;
   enter(State::closed);
--- a/src/net/counter/counter_connection.hpp
+++ b/src/net/counter/counter_connection.hpp
@@ -12,14 +12,15 @@
 
 namespace merlinbridge::net {
 
-/// Bounds on the waits of a connection to the counter service.
+/// Timeouts of a connection to the counter service.
 struct CounterTimeouts {
-  Duration call{};     ///< From a call to its answer.
-  Duration connect{};  ///< To dial; also the silence after which a connection with a late answer is replaced.
-  Duration idle{};     ///< Without a call on the connection.
+  Duration call{};  ///< From a call to its response.
+  Duration
+      connect{};    ///< To connect. Also: if a call times out after so long a silence, the connection closes.
+  Duration idle{};  ///< Without a call in flight.
 };
 
-/// How one call ended.
+/// The result of one call.
 struct CounterCallResult {
   CounterKey key;
   CounterCallOutcome outcome = CounterCallOutcome::unknown;
@@ -27,42 +28,44 @@
   Duration duration{};  ///< From the call to its end.
 };
 
-/// What a CounterConnection reports to. Both functions run on the event loop's strand. The implementation
-/// outlives its connections, and may make further calls from counterCallEnded().
+/// Receives the reports of CounterConnections. Both functions run on the event loop's strand. The
+/// implementation must outlive its connections, and may start further calls from counterCallEnded().
 class CounterConnectionOwner {
  public:
   virtual ~CounterConnectionOwner() = default;
-  /// Runs exactly once for each call.
+  /// Called exactly once for each call.
   virtual void counterCallEnded(TimePoint now, const CounterCallResult&) = 0;
-  /// The connection takes no calls any more. The results of calls still on it follow.
+  /// The connection accepts no further calls. The results of its calls in flight follow.
   virtual void counterConnectionClosed(SlotRef connection) = 0;
 };
 
-/// One connection to the counter service. Calls are pipelined: they are written one after another, and their
-/// answers come in the same order. The event loop owns the connection.
+/// One connection to the counter service. Calls are pipelined: a call is written without waiting for the
+/// response to the previous one, and the responses come in the order of the calls. The event loop owns the
+/// connection.
 class CounterConnection final : public Connection {
  public:
   CounterConnection(EventLoop&, CounterConnectionOwner&, const CounterTimeouts&);
 
-  /// Writes a call at the end of the turn, or once the connection is up. `message`: the whole HTTP request.
+  /// Writes a call at the end of the turn, or once the connection is up. `message` is the whole HTTP request.
   void call(const CounterKey&, std::string_view message);
-  /// Calls that have had no answer yet, those that have timed out included.
+  /// Calls without a response, including those that have timed out.
   std::size_t callsInFlight() const { return calls_.size(); }
-  /// Takes no further calls. The connection closes when those on it have ended, at once if none is, and after
-  /// a bound in any case. Calls on it keep the outcomes of the protocol: they may still be added.
+  /// Stops accepting calls. The connection closes once all its calls have ended, immediately if there are
+  /// none, and after a fixed time in any case. Calls in flight may still be added and report their actual
+  /// outcomes.
   void retire();
 
  private:
   enum class State {
-    inUse,    ///< Takes calls, be it connected yet or not.
-    retired,  ///< Takes no further calls; waits for the answers to those in flight.
-    closed    ///< Closed; the object lives to the end of the turn.
+    inUse,    ///< Accepts calls, even before it is connected.
+    retired,  ///< Accepts no further calls; waits for the responses to those in flight.
+    closed    ///< The object exists until the end of the turn.
   };
   struct Call {
     CounterKey key;
     TimePoint startedAt;
     core::DeadlineQueue::Ticket timeout;
-    bool reported = false;  ///< The owner has its result; its answer has yet to be read past.
+    bool reported = false;  ///< The owner has the result; a response that still comes is skipped.
   };
 
   void onData() override;
@@ -84,7 +87,7 @@
   http::Message responseMessage_{http::Message::Kind::response};
   std::deque<Call> calls_;
   std::uint64_t firstCallNumber_ = 0;  ///< Of calls_.front(), counted from the connection's first call.
-  TimePoint lastReceivedAt_;           ///< Last byte received; the first call's time if none was in flight.
+  TimePoint lastReceivedAt_;           ///< Or the start of a later call with no other in flight.
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/counter/counter_outcome.cpp
+++ b/src/net/counter/counter_outcome.cpp
@@ -8,7 +8,7 @@
 namespace merlinbridge::net {
 namespace {
 
-// Statuses of the counter protocol. The three errors promise that nothing was added.
+// Statuses of the counter protocol. The three errors guarantee that nothing was added.
 constexpr int kStatusAdded = 200;
 constexpr int kStatusBadRequest = 400;
 constexpr int kStatusUnknownCounter = 404;
@@ -18,7 +18,7 @@
   return status == kStatusOverloaded || status == kStatusBadRequest || status == kStatusUnknownCounter;
 }
 
-// std::from_chars also accepts "inf" and "nan", neither of which is a total.
+// Returns nullopt for a body without a number, and for "inf" and "nan", which std::from_chars accepts.
 std::optional<double> parseTotal(std::string_view body) {
   double total = 0;
   const bool isNumber = std::from_chars(body.data(), body.data() + body.size(), total).ec == std::errc{};
--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -17,7 +17,7 @@
   simdjson::dom::parser parser;
   config::element root;
   if (parser.parse(json).get(root) || !root.is_object())
-    throw config::ConfigError("a line is not a JSON object");
+    throw config::ConfigError("endpoint list is not a JSON object");
   return config::readEndpointList(config::Fields("discovery", root));
 }
 
@@ -90,8 +90,8 @@
   nextRequestTimer_ = loop_.deadlines.add(loop_.now() + pause, [this](TimePoint) { sendRequest(); });
 }
 
-// The old address may take its time to end its watch, and changes would be missed meanwhile: the new one is
-// asked at once. The present address given once more only cuts a pause short.
+// Does not wait until the old address ends the watch: changes published at the new one would be missed in the
+// meantime. If the address is the current one and no request is open, this only ends the pause early.
 void DiscoveryClient::setAddress(const std::string& address) {
   const SocketAddress peerAddress = parseAddress(address);
   if (address == address_ && requestConnection_) return;
--- a/src/net/discovery/discovery_client.hpp
+++ b/src/net/discovery/discovery_client.hpp
@@ -9,22 +9,22 @@
 
 namespace merlinbridge::net {
 
-/// The client of discovery: keeps the core's endpoint list up to date. It holds a watch open from the last
-/// generation that it knows; while discovery rejects watches, it polls whole lists, and asks for a watch
-/// again after every few polls. At most one request is open at a time. All functions run on the event loop's
-/// strand.
+/// Client of discovery: keeps the core's endpoint list up to date. Holds a watch open that delivers all
+/// changes after the last applied generation. While discovery rejects watches, the client polls complete
+/// lists and retries the watch after a few polls. At most one request is open at a time. All functions run on
+/// the event loop's strand.
 class DiscoveryClient final : private DiscoveryResponseHandler {
  public:
-  /// `address`: "host:port". `generation`: of the endpoint list that the core has already. `drainGrace` and
-  /// `seed`: see DiscoverySchedule. Throws std::invalid_argument.
+  /// `address`: "host:port". `generation`: that of the core's initial endpoint list. `drainGrace` and `seed`:
+  /// see DiscoverySchedule. Throws std::invalid_argument if the address cannot be parsed.
   DiscoveryClient(EventLoop&, std::string address, std::uint64_t generation, Duration connectTimeout,
                   Duration drainGrace, std::uint64_t seed);
 
-  /// Sends the first request. The core outlives the client.
+  /// Sends the first request. Endpoint lists go to `core`, which must outlive the client.
   void start(core::GatewayCore& core);
-  /// Closes the present request and asks this address at once for all changes since the last generation. Has
-  /// no effect if the address is the present one and a request to it is open. Throws std::invalid_argument,
-  /// and then nothing has changed.
+  /// Closes the open request and immediately sends a watch request to this address, for all changes after the
+  /// last applied generation. No effect if the address is the current one and a request to it is open. Throws
+  /// std::invalid_argument if the address cannot be parsed, and then changes nothing.
   void setAddress(const std::string& address);
 
  private:
@@ -44,12 +44,12 @@
   core::GatewayCore* core_ = nullptr;
   std::string address_;
   SocketAddress peerAddress_;
-  std::uint64_t generation_;  ///< Of the last endpoint list applied.
+  std::uint64_t generation_;  ///< Of the last applied endpoint list.
   const Duration connectTimeout_;
   DiscoverySchedule schedule_;
   Reachability reachability_ = Reachability::reachable;
-  SlotRef requestConnection_{};                     ///< Its connection; empty between requests.
-  core::DeadlineQueue::Ticket nextRequestTimer_{};  ///< Between requests.
+  SlotRef requestConnection_{};  ///< Connection of the open request; empty between requests.
+  core::DeadlineQueue::Ticket nextRequestTimer_{};  ///< Sends the next request; empty while one is open.
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/discovery/discovery_response_handler.hpp
+++ b/src/net/discovery/discovery_response_handler.hpp
@@ -8,21 +8,22 @@
 
 namespace merlinbridge::net {
 
-/// Upper bound on an endpoint list, in bytes: enough for some thousands of hosts, indented.
+/// Upper bound on the size of an endpoint list, enough for several thousand hosts in indented JSON.
 inline constexpr std::size_t kMaxEndpointListBytes = 2 * 1024 * 1024;
 
-/// What a connection to discovery reports to. All functions run on the event loop's strand. The
-/// implementation outlives its connections.
+/// Receives what PollConnection and WatchConnection read. All functions run on the event loop's strand. The
+/// implementation must outlive the connections.
 class DiscoveryResponseHandler {
  public:
   virtual ~DiscoveryResponseHandler() = default;
-  /// Applies an endpoint list, or a change of it. `json`: one whole JSON object. Returns false if it cannot
-  /// be parsed; the connection then ends its request as failed.
+  /// Applies a complete endpoint list or a change to it. `json`: one complete JSON object. Returns false if
+  /// it cannot be parsed; the connection then ends its request as `failed`.
   virtual bool applyEndpointList(std::string json) = 0;
-  /// Bytes of a watch have come: a heartbeat, or a part of a list.
+  /// The watch has received a heartbeat or a complete object. Not called for the bytes of an incomplete
+  /// object.
   virtual void watchReceivedData() = 0;
-  /// The request of that connection has ended; the owner closes the connection. Has no effect for a
-  /// connection whose request has ended before.
+  /// The request on this connection has ended; the handler closes the connection. Ignored for a connection
+  /// whose request has ended before.
   virtual void requestEnded(SlotRef connection, DiscoveryOutcome) = 0;
 };
 
--- a/src/net/discovery/discovery_schedule.cpp
+++ b/src/net/discovery/discovery_schedule.cpp
@@ -5,19 +5,19 @@
 namespace merlinbridge::net {
 namespace {
 
-// Mean pauses, in heartbeat intervals: the longest backoff after a rejection, and how long a polled list is
-// used before the next poll. With two rejections, or one request that hangs, before a request that is
-// answered, a change is known within the 6 s after which it counts as notified; docs/event-races.md has the
-// sum.
+// Mean pauses in heartbeat intervals: the maximum backoff after a rejection, and the pause between two polls
+// that succeed. With these values a change is applied within 6 s, after which the gateway is expected to know
+// it, even if two requests are rejected or one hangs before one succeeds. docs/event-races.md has the
+// calculation.
 constexpr double kMaxBackoffInHeartbeats = 0.5;
 constexpr double kPollIntervalInHeartbeats = 0.75;
-// The least backoff, as a part of the connect timeout, for settings whose drain grace is zero.
+// The minimum backoff is the connect timeout divided by this; it applies if the drain grace is zero or short.
 constexpr int kMinBackoffDivisor = 8;
-// The first backoff is one connect timeout; each failure in a row doubles it, at most this often.
+// The first backoff is one connect timeout. Each consecutive failure doubles it, at most this many times.
 constexpr int kMaxBackoffDoublings = 8;
-// While discovery rejects watches: polls between one request for a watch and the next.
+// While discovery rejects watches: polls between two requests for a watch.
 constexpr int kPollsBetweenWatches = 3;
-// Each pause is its mean times a factor drawn from kMinJitterFactor to kMinJitterFactor + 1.
+// Each pause is its mean times a random factor from kMinJitterFactor to kMinJitterFactor + 1.
 constexpr double kMinJitterFactor = 0.5;
 
 }  // namespace
@@ -25,7 +25,8 @@
 DiscoverySchedule::DiscoverySchedule(Duration connectTimeout, Duration drainGrace, std::uint64_t seed)
     : connectTimeout_(connectTimeout), drainGrace_(drainGrace), random_(static_cast<std::uint32_t>(seed)) {}
 
-// Pauses are drawn, so that many gateways that lost discovery together do not ask it again in step.
+// Pauses are random so that gateways which lost discovery at the same time do not send their requests at
+// once.
 Duration DiscoverySchedule::requestEnded(DiscoveryOutcome outcome) {
   recordOutcome(outcome);
   const Duration mean = meanPauseAfter(outcome);
@@ -38,7 +39,8 @@
   pollsBeforeWatch_ = 0;
 }
 
-// A watch that ended other than by rejection is asked for again at once: discovery may serve watches.
+// After a watch that failed without a rejection the next request is a watch again: discovery may support
+// watches.
 void DiscoverySchedule::recordOutcome(DiscoveryOutcome outcome) {
   if (nextRequest() == DiscoveryRequest::poll)
     --pollsBeforeWatch_;
@@ -52,9 +54,9 @@
   return std::min(maxBackoff(outcome), connectTimeout_ * (1 << doublings));
 }
 
-// A discovery that rejects requests is overloaded and may be given more time. One that does not answer may
-// record a change the moment after, and that change counts as notified: then the backoff stays well under the
-// time in which a host's drain has to be noticed.
+// A discovery service that rejects requests is overloaded, so the backoff may grow to its maximum. One that
+// does not respond may publish a change at any moment, and the time to apply that change counts from then.
+// The backoff then stays well below the drain grace, within which a draining host must be noticed.
 Duration DiscoverySchedule::maxBackoff(DiscoveryOutcome outcome) const {
   const Duration longest = scaled(kHeartbeatInterval, kMaxBackoffInHeartbeats);
   if (outcome == DiscoveryOutcome::rejected) return longest;
--- a/src/net/discovery/discovery_schedule.hpp
+++ b/src/net/discovery/discovery_schedule.hpp
@@ -8,39 +8,39 @@
 
 namespace merlinbridge::net {
 
-/// While nothing changes, discovery sends an empty line on a watch this often: its protocol's heartbeat.
+/// The interval of heartbeats: discovery sends an empty line on a watch this often while nothing changes.
 inline constexpr Duration kHeartbeatInterval = std::chrono::seconds(2);
 
-/// The two ways to get the endpoint list from discovery.
+/// The two ways to request the endpoint list from discovery.
 enum class DiscoveryRequest {
-  watch,  ///< A response without end, with every change.
-  poll    ///< The whole list, once; for as long as discovery rejects watches.
+  watch,  ///< A response that stays open and delivers every change.
+  poll    ///< The complete list, once; used while discovery rejects watches.
 };
 
 /// How a request to discovery ended.
 enum class DiscoveryOutcome {
   updated,   ///< A poll's endpoint list was applied.
   rejected,  ///< Discovery answered with a status other than 200.
-  failed     ///< Anything else: not connected, timed out, closed, or not readable. Every watch ends so.
+  failed  ///< Anything else: not connected, timed out, closed or invalid. A watch that was accepted ends so.
 };
 
-/// Decides what the next request to discovery is, and after which pause it is sent. It decides from how the
-/// requests before ended, and makes one random draw for each pause.
+/// Chooses the next request to discovery and the pause before it, from the outcomes of the previous requests.
+/// Each pause uses one random number.
 class DiscoverySchedule {
  public:
-  /// `drainGrace`: how long a host that drains still takes requests; a change must be known well within it.
-  /// `seed`: of the random draws.
+  /// `drainGrace`: how long a draining host still accepts requests; changes must arrive well within it.
+  /// `seed`: of the random number generator.
   DiscoverySchedule(Duration connectTimeout, Duration drainGrace, std::uint64_t seed);
 
-  /// What to send next.
+  /// The request to send next.
   DiscoveryRequest nextRequest() const {
     return pollsBeforeWatch_ == 0 ? DiscoveryRequest::watch : DiscoveryRequest::poll;
   }
-  /// The request that nextRequest() named has ended. Returns the pause before the next one.
+  /// The request that nextRequest() returned has ended. Returns the pause before the next one.
   Duration requestEnded(DiscoveryOutcome);
-  /// Discovery has sent a list or a heartbeat: the next failure counts as the first in a row.
+  /// Discovery has sent a list or a heartbeat: the next failure is the first of a new series.
   void resetBackoff() { consecutiveFailures_ = 0; }
-  /// Starts afresh, for a new address: a watch is next.
+  /// Forgets all previous outcomes, for a new address: a watch is next.
   void reset();
 
  private:
--- a/src/net/discovery/poll_connection.hpp
+++ b/src/net/discovery/poll_connection.hpp
@@ -8,8 +8,9 @@
 
 namespace merlinbridge::net {
 
-/// One poll: a request to discovery for the whole endpoint list. It ends as failed after a heartbeat interval
-/// and a connect timeout, the time to dial included. The event loop owns the connection.
+/// One poll: a request to discovery for the complete endpoint list. It ends as `failed` if it takes longer
+/// than a heartbeat interval plus the connect timeout, including the connect. The event loop owns the
+/// connection.
 class PollConnection final : public Connection {
  public:
   /// `message`: the whole HTTP request, written once the connection is up.
--- a/src/net/discovery/watch_connection.cpp
+++ b/src/net/discovery/watch_connection.cpp
@@ -25,7 +25,7 @@
   if (isUp() && (end != http::ChunkedDecoder::End::more || decodedBytes_ > kMaxEndpointListBytes)) onClosed();
 }
 
-// Returns true once the head is complete and announces a watch; what follows it in the buffer is the body.
+// Returns true once the head is complete with status 200; the buffer then starts with the body.
 bool WatchConnection::readHead() {
   const auto stage = head_.advance(buffer_.data(), buffer_.size());
   if (stage == http::Message::Stage::head) return false;
@@ -65,7 +65,8 @@
   }
 }
 
-// Notes when the present object began, and reports what came apart from the bytes of an incomplete object.
+// Records when an object started. Tells the handler of heartbeats and complete objects, but not of the bytes
+// of an incomplete object.
 void WatchConnection::trackObjectProgress(std::size_t scannedBytesBefore, bool wasInObject,
                                           config::JsonStreamSplitter::End end) {
   if (!wasInObject && (splitter_.begun() || end == config::JsonStreamSplitter::End::object))
@@ -73,7 +74,7 @@
   if (completeBytes() > scannedBytesBefore) handler_.watchReceivedData();
 }
 
-// Drops what is complete from the buffer: whole objects, and what stands between them.
+// Removes complete objects, and the bytes between objects, from the buffer.
 void WatchConnection::dropCompleteBytes() {
   const std::size_t bytes = completeBytes();
   if (bytes == 0) return;
@@ -91,9 +92,9 @@
   return state_ == State::readingBody ? splitter_.begun() : head_.hasBegun();
 }
 
-// Discovery sends a heartbeat every kHeartbeatInterval: a peer that vanished without closing the connection
-// is detected by its absence. An object that is begun and never completed counts as silence, too, even if
-// heartbeats come inside of it.
+// Discovery sends a heartbeat every kHeartbeatInterval, so a peer that vanished without closing the
+// connection is detected by missing heartbeats. An object that is never completed times out as well, even if
+// heartbeats arrive inside it.
 TimePoint WatchConnection::waitDeadline() const {
   if (!isUp()) return waitStartedAt() + connectTimeout_;
   return waitStartedAt() + kHeartbeatInterval + connectTimeout_;
--- a/src/net/discovery/watch_connection.hpp
+++ b/src/net/discovery/watch_connection.hpp
@@ -11,9 +11,10 @@
 
 namespace merlinbridge::net {
 
-/// One watch: a request to discovery whose response does not end. Its body is a JSON object for each change,
-/// and an empty line as a heartbeat. The watch ends as failed when no byte comes for a heartbeat interval and
-/// a connect timeout, or when an object takes longer than that. The event loop owns the connection.
+/// One watch: a request to discovery whose response stays open. The body has a JSON object for each change
+/// and an empty line for each heartbeat. The watch ends as `failed` if no byte is received, or an object
+/// stays incomplete, for longer than a heartbeat interval plus the connect timeout. The event loop owns the
+/// connection.
 class WatchConnection final : public Connection {
  public:
   /// `message`: the whole HTTP request, written once the connection is up.
@@ -43,10 +44,11 @@
   State state_ = State::readingHead;
   http::Message head_{http::Message::Kind::response, http::Message::Body::streamed};
   http::ChunkedDecoder chunkedDecoder_;
-  std::size_t decodedBytes_ = 0;  ///< Of the body, at the front of the buffer.
+  std::size_t decodedBytes_ = 0;  ///< Bytes of the decoded body at the front of the buffer.
   config::JsonStreamSplitter splitter_;
-  TimePoint lastReceivedAt_;     ///< Last byte received; before, when the connection was made or came up.
-  TimePoint objectStartedAt_{};  ///< While an object is incomplete.
+  TimePoint lastReceivedAt_;  ///< When the last byte was received; before, when the connection was created or
+                              ///< came up.
+  TimePoint objectStartedAt_{};  ///< Valid while an object is incomplete.
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/forwarded_request.cpp
+++ b/src/net/forwarded_request.cpp
@@ -39,7 +39,7 @@
                            std::string& message) {
   message.clear();
   fmt::format_to(std::back_inserter(message), FMT_COMPILE("{} {} HTTP/1.1\r\nHost: {}{}{}\r\n"),
-                 request.method(), request.target(), hostAddress, kDeadlineLinePrefix, millisecondsLeft(timeLeft));
+                 request.method(), request.target(), hostAddress, kDeadlineLine, millisecondsLeft(timeLeft));
   const std::string_view connectionField = request.get(kConnectionField);
   for (std::size_t at = 0; at < request.fieldCount(); ++at) {
     const auto [name, value] = request.field(at);
--- a/src/net/upstream/deadline_field.cpp
+++ b/src/net/upstream/deadline_field.cpp
@@ -11,7 +11,7 @@
 
 std::string withDeadline(std::string_view message, Duration left) {
   std::string text(message);
-  const std::size_t valueAt = text.find(kDeadlineLinePrefix) + kDeadlineLinePrefix.size();
+  const std::size_t valueAt = text.find(kDeadlineLine) + kDeadlineLine.size();
   text.replace(valueAt, text.find('\r', valueAt) - valueAt, std::to_string(millisecondsLeft(left)));
   return text;
 }
--- a/src/net/upstream/deadline_field.hpp
+++ b/src/net/upstream/deadline_field.hpp
@@ -7,15 +7,16 @@
 
 namespace merlinbridge::net {
 
-/// The header field that tells a host for how many milliseconds its answer is still of use, as the gateway
-/// writes it: with the end of the line before.
-inline constexpr std::string_view kDeadlineLinePrefix = "\r\nReq-Deadline-Ms: ";
+/// Everything that the gateway writes before the value of the Req-Deadline-Ms field: the end of the previous
+/// header line and the field's name. The value tells the host how many milliseconds remain until the client
+/// no longer needs the response.
+inline constexpr std::string_view kDeadlineLine = "\r\nReq-Deadline-Ms: ";
 
-/// The field's value for a time left: whole milliseconds, rounded up, at least 1.
+/// The field's value for the remaining time `left`: whole milliseconds, rounded up, at least 1.
 long millisecondsLeft(Duration left);
 
 /// Returns `message` with the field's value set to `left`. The message's head must contain
-/// kDeadlineLinePrefix.
+/// kDeadlineLine.
 std::string withDeadline(std::string_view message, Duration left);
 
 }  // namespace merlinbridge::net
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -24,7 +24,8 @@
   return std::nullopt;
 }
 
-// Returns false if the connection broke before the last byte was written: the attempt has not run.
+// Returns false if the connection failed inside send(), before the request was written in full: the host does
+// not execute it.
 bool UpstreamConnection::write(std::string_view message) {
   state_ = State::starting;
   requestBytes_ = message.size();
@@ -44,9 +45,9 @@
     owner_.attemptEnded(loop_.now(), requestId_, attemptNumber_, Outcome::noConnection, {});
 }
 
-// Rewrites the deadline header just before the request is written, as long as none of it has been. Time spent
-// waiting for the socket has already used up part of the deadline; a stale value would let the host work on
-// after the client has given up.
+// Updates the deadline field if no byte of the request has been written yet. The time spent waiting for the
+// socket counts towards the deadline; with the old value the host would still work on the request after the
+// client has stopped waiting.
 void UpstreamConnection::beforeWritingUnsent() {
   if (state_ == State::idle || unsentBytes() != requestBytes_) return;
   const std::string message = withDeadline(unsent(), deadline_.abandonAt - loop_.now());
@@ -54,28 +55,30 @@
   replaceUnsent(message);
 }
 
-// A request that was kept for the dial or for a full socket must not go out after its window, or once its
-// client has gone. While it is starting, the core has just looked for the client.
+// A request that waited for the connection or for socket buffer space must not be written after its `writeBy`
+// time or after its client has disconnected. In state `starting` the core has just checked that the client is
+// connected.
 bool UpstreamConnection::mayWrite() const {
   if (loop_.now() >= deadline_.writeBy) return false;
   return state_ == State::idle || state_ == State::starting || owner_.isPending(requestId_);
 }
 
-// An answer that cannot be read counts as an error, not as no answer: the request may have run.
+// An invalid response is an error, since the host may have executed the request.
 void UpstreamConnection::onData() {
-  if (state_ == State::idle) return owner_.closeConnection(ref());  // stray bytes, no request is out
+  if (state_ == State::idle) return owner_.closeConnection(ref());  // unsolicited bytes
   const auto stage = response_.advance(buffer_.data(), received());
   if (stage == http::Message::Stage::bad) return finish(Outcome::error);
   if (stage == http::Message::Stage::done) finish(outcomeOf(response_), readUpstreamResponse(response_));
 }
 
-// An answer without a length is complete only if the stream ended in good order; a reset has cut it short.
+// A response without a length is complete only if the peer ended its stream in good order; after a reset it
+// may be truncated.
 void UpstreamConnection::onClosed() {
-  response_.bufferMoved(buffer_.data());  // the read that found the end may have moved the buffer
-  const bool answered =
+  response_.bufferMoved(buffer_.data());  // the read that reached the end may have moved the buffer
+  const bool isComplete =
       peerEnded() && response_.hasBegun() && response_.peerClosed() == http::Message::Stage::done;
   if (state_ == State::idle) return owner_.closeConnection(ref());
-  if (answered) return finish(outcomeOf(response_), readUpstreamResponse(response_));
+  if (isComplete) return finish(outcomeOf(response_), readUpstreamResponse(response_));
   if (isUnsent() && !mayWrite()) return finish(Outcome::notSent);
   finish(isUp() && allWritten() ? Outcome::lost : Outcome::noConnection);
 }
@@ -87,8 +90,9 @@
   if (previousState == State::starting) return owner_.closeConnection(ref());  // write() reports the failure
   const bool reusable = response_.stage() == http::Message::Stage::done && response_.keepsAlive() && isUp() &&
                         allWritten() && response_.size() == buffer_.size();
-  // The body of an ok answer stays in the buffer until attemptEnded() has written it to the client. After any
-  // other outcome, the next attempt that attemptEnded() starts may use this connection.
+  // The body of an ok response stays in the buffer until attemptEnded() has written it to the client, so the
+  // connection becomes idle only afterwards. After any other outcome it becomes idle first, so that a retry
+  // started by attemptEnded() may use it.
   if (!reusable) owner_.closeConnection(ref());
   if (reusable && outcome != Outcome::ok) becomeIdle();
   const SlotRef self = ref();
@@ -113,7 +117,7 @@
 TimePoint UpstreamConnection::waitDeadline() const {
   if (!isUp()) return std::min(idleSince_ + timeouts_.connect, deadline_.writeBy);
   if (state_ == State::idle) return idleSince_ + timeouts_.idle;
-  // The core ends an attempt that awaits its answer, by a deadline of its own.
+  // While the response is awaited, the core enforces the attempt's deadline.
   return allWritten() ? loop_.now() + timeouts_.idle : deadline_.writeBy;
 }
 
@@ -121,8 +125,8 @@
   if (state_ == State::idle) return owner_.closeConnection(ref());
   if (isUnsent() && !mayWrite()) return finish(Outcome::notSent);
   if (failedLocally()) return finish(Outcome::notSent);
-  // If the host's machine has vanished, its idle connections are dead, too, though nothing has been heard of
-  // it.
+  // The connect timed out: the host's machine may have vanished, which would leave its idle connections dead
+  // without any event on them.
   if (!isUp()) owner_.closeIdle(host_);
   finish(isUp() ? Outcome::noAnswer : Outcome::noConnection);
 }
--- a/src/net/upstream/upstream_connection.hpp
+++ b/src/net/upstream/upstream_connection.hpp
@@ -10,61 +10,61 @@
 
 namespace merlinbridge::net {
 
-/// What an upstream connection reports to its owner, the pool, and asks of it. The calls come on the event
-/// loop's strand, in the middle of a turn.
+/// Callbacks and queries of an upstream connection, implemented by the pool. They are called on the event
+/// loop's strand, during a turn.
 class UpstreamConnectionOwner {
  public:
   virtual ~UpstreamConnectionOwner() = default;
 
-  /// Closes the connection: it leaves the pool at once and lives on until the turn ends.
+  /// Closes the connection and removes it from the pool. The object exists until the turn ends.
   virtual void closeConnection(SlotRef connection) = 0;
-  /// Closes all idle connections to a host: a dial to it has timed out, so its machine may be gone.
+  /// Closes all idle connections to a host. Called after a connect timeout: the machine may have vanished.
   virtual void closeIdle(HostId host) = 0;
-  /// The connection is idle and may carry the next attempt.
+  /// The connection has become idle and may carry the next attempt.
   virtual void connectionIdle(HostId host, SlotRef connection) = 0;
-  /// An attempt has ended. May start the next attempt, also on this connection. `response` points into the
-  /// connection's buffer and is valid during the call.
+  /// An attempt has ended. The implementation may start the next attempt, possibly on this connection.
+  /// `response` points into the connection's buffer and is valid during the call.
   virtual void attemptEnded(TimePoint now, RequestId requestId, AttemptNumber attemptNumber, Outcome outcome,
                             const core::UpstreamResponse& response) = 0;
-  /// Returns true if the request has no answer yet and its client is still connected.
+  /// Returns true if the request has not been answered and its client is still connected.
   virtual bool isPending(RequestId requestId) = 0;
-  /// The host's name, for the log.
+  /// The host's name for the log.
   virtual std::string_view hostName(HostId host) const = 0;
 };
 
-/// How long an upstream connection waits.
+/// Timeouts of an upstream connection.
 struct UpstreamTimeouts {
-  Duration connect;  ///< For a dial.
-  Duration idle;     ///< Between two attempts.
+  Duration connect;  ///< From the start of the connect until the connection is up.
+  Duration idle;     ///< Without an attempt.
 };
 
-/// A connection to a host: carries one attempt at a time and is idle between attempts. An UpstreamPool
-/// creates and closes it.
+/// A connection to a host. It carries one attempt at a time and is idle between attempts. An UpstreamPool
+/// opens and closes it.
 class UpstreamConnection final : public Connection {
  public:
   /// `owner` must outlive the connection.
   UpstreamConnection(EventLoop& loop, UpstreamConnectionOwner& owner, HostId host,
                      const UpstreamTimeouts& timeouts);
 
-  /// Carries an attempt; the connection is idle, or dials and has carried none. `message` is the whole
-  /// request, which is copied where it cannot be written at once. Returns the outcome if the attempt ends at
-  /// once, and then the connection is closed; otherwise UpstreamConnectionOwner::attemptEnded() follows in a
-  /// later turn.
+  /// Starts an attempt. The connection must be idle: connected, or still dialling and without an attempt.
+  /// `message` is the whole request; what cannot be written immediately is copied. Returns the outcome if the
+  /// attempt ends immediately; the connection is then closed. Otherwise
+  /// UpstreamConnectionOwner::attemptEnded() is called in a later turn.
   std::optional<Outcome> start(std::string_view message, RequestId requestId, AttemptNumber attemptNumber,
                                AttemptDeadline deadline);
   HostId host() const { return host_; }
   bool idle() const { return state_ == State::idle; }
-  /// Returns true if the attempt's request has not been written in full: given up now, the attempt does not
-  /// run at the host.
+  /// Returns true if the attempt's request has not been written in full. If the attempt is abandoned now, the
+  /// host does not execute it.
   bool isUnsent() const {
     const bool written = isUp() && allWritten() && state_ != State::queued;
     return state_ != State::idle && !written;
   }
-  /// Since when the connection has been idle; the time of its creation before its first attempt.
+  /// When the connection became idle; before its first attempt, when it was created.
   TimePoint idleSince() const { return idleSince_; }
 
  private:
-  /// All transitions; finish() leads to idle, and the connection then goes back to the pool or is closed:
+  /// All transitions. After finish() the connection returns to the pool or is closed.
   ///
   ///     idle   --start(), still dialling--> queued
   ///     idle   --start(), connected-------> starting
@@ -72,10 +72,10 @@
   ///     starting --send() has returned----> inFlight
   ///     queued, starting, inFlight --finish()--> idle
   enum class State {
-    idle,      ///< No attempt. A connection that dials is idle until start().
-    queued,    ///< The attempt waits for the dial.
-    starting,  ///< send() is writing the request; a failure goes to the caller instead of the owner.
-    inFlight   ///< The request is written, at least in part, and the answer is awaited.
+    idle,      ///< No attempt. A connection that is still dialling is idle until start().
+    queued,    ///< The attempt waits until the connection is up.
+    starting,  ///< send() is running; a failure is returned to the caller, not reported to the owner.
+    inFlight   ///< send() has returned; the response is not complete.
   };
 
   void onData() override;
@@ -101,7 +101,7 @@
   AttemptNumber attemptNumber_{};
   AttemptDeadline deadline_{.abandonAt = {}, .writeBy = TimePoint::max()};  ///< Of the attempt.
   TimePoint idleSince_;
-  std::string queuedRequest_;     ///< The request in state `queued`.
+  std::string queuedRequest_;     ///< The request while the state is `queued`.
   std::size_t requestBytes_ = 0;  ///< Size of the request that is being written.
 };
 
--- a/src/net/upstream/upstream_outcome.cpp
+++ b/src/net/upstream/upstream_outcome.cpp
@@ -13,16 +13,16 @@
 constexpr int kStatusUnavailable = 503;
 constexpr int kStatusGatewayTimeout = 504;
 
-// The number at the start of `text`; 0 if there is none. The parser also reads "nan" and "inf", which no
-// field allows.
+// The number at the start of `text`; 0 if there is none. std::from_chars also accepts "nan" and "inf", which
+// no field allows.
 double leadingNumber(std::string_view text) {
   double value = 0;
   std::from_chars(text.data(), text.data() + text.size(), value);
   return std::isfinite(value) ? value : 0;
 }
 
-// Reads "name=value,name=value,..." into `load`; words without "=" and unknown names are ignored. Of a field
-// that stands twice, the later figure counts.
+// Reads "name=value,name=value,..." into `load`. Words without "=" and unknown names are ignored. If a name
+// occurs twice, the later value is used.
 void readLoadReport(std::string_view list, LoadReport& load) {
   while (!list.empty()) {
     const std::size_t comma = std::min(list.find(','), list.size());
--- a/src/net/upstream/upstream_pool.cpp
+++ b/src/net/upstream/upstream_pool.cpp
@@ -6,10 +6,11 @@
 namespace merlinbridge::net {
 namespace {
 
-// Part of the connect timeout for which a connection must have been quiet before it carries the next attempt.
+// A connection must have been idle for the connect timeout divided by this before it carries the next
+// attempt.
 constexpr int kReuseDelayDivisor = 25;
-// Part of the hosts' idle timeout after which the gateway closes an idle connection: well before the host
-// does, so that no request crosses the host's close.
+// The gateway closes an idle connection after the hosts' idle timeout divided by this: well before the host
+// does, so that no request is written to a connection that the host is closing.
 constexpr int kIdleTimeoutDivisor = 2;
 
 }  // namespace
@@ -37,9 +38,10 @@
   return open(host);
 }
 
-// Passes over connections that were used within the reuse delay: a second answer some milliseconds after the
-// first would be taken for the answer to the next attempt. A host that is asked again at once gets a further
-// connection for that. Closes connections on which stray bytes or an end came in this very turn.
+// Skips connections that became idle within the reuse delay: a duplicate response that arrives a few
+// milliseconds after the first would be taken for the response to the next attempt. An attempt in that time
+// gets another connection. Closes connections on which unsolicited bytes or the end of the stream have
+// arrived but are yet to be handled in this turn.
 UpstreamConnection* UpstreamPool::takeIdle(HostId host) {
   std::vector<SlotRef>& idle = idleConnectionsTo(host);
   for (std::size_t index = idle.size(); index-- > 0;) {
@@ -53,7 +55,7 @@
   return nullptr;
 }
 
-// Returns nullptr, and logs it, if the host's address in the endpoint list cannot be parsed.
+// Logs an event and returns nullptr if the host's address in the endpoint list cannot be parsed.
 UpstreamConnection* UpstreamPool::open(HostId host) {
   try {
     const SocketAddress address = parseAddress(core_->addressOf(host));
--- a/src/net/upstream/upstream_pool.hpp
+++ b/src/net/upstream/upstream_pool.hpp
@@ -12,28 +12,30 @@
 
 namespace merlinbridge::net {
 
-/// The connections to all hosts. Takes the connection to a host that was used last for the next attempt,
-/// opens one if none is idle, and keeps their number within the gateway's descriptors by closing the one that
-/// has been idle longest. Used on the event loop's strand.
+/// The connections to all hosts. An attempt uses the idle connection to its host that was used most recently,
+/// or a new one. At the limit of connections, the one that has been idle longest is closed to make room. All
+/// functions run on the event loop's strand.
 class UpstreamPool final : private UpstreamConnectionOwner {
  public:
-  /// `idle` is the time after which hosts close idle connections, by the settings. `loop` must outlive the
-  /// pool.
+  /// `maxConnections`: limit over all hosts, for the gateway's file descriptors. `hostIdleTimeout`: the
+  /// configured time after which hosts close idle connections. `loop` must outlive the pool.
   UpstreamPool(EventLoop& loop, std::size_t maxConnections, Duration hostIdleTimeout,
                Duration connectTimeout);
 
-  /// Sets the core to which attempts report their end; called once, before the first attempt.
+  /// Sets the core to which the ends of attempts are reported. Called once, before the first attempt.
   void setCore(core::GatewayCore& core) { core_ = &core; }
-  /// Starts an attempt; `message` is the whole request with its deadline field, and is copied where it cannot
-  /// be written at once. Returns the connection that carries the attempt, or the outcome that it had at once.
-  /// In the first case, GatewayCore::attemptEnded() follows in a later turn, unless closeAttempt() is called.
+  /// Starts an attempt. `message` is the whole request with its deadline field; what cannot be written
+  /// immediately is copied. Returns the connection that carries the attempt, or the outcome of an attempt
+  /// that ended immediately. In the first case GatewayCore::attemptEnded() is called in a later turn, unless
+  /// closeAttempt() is called before.
   std::variant<SlotRef, Outcome> startAttempt(HostId host, std::string_view message, RequestId requestId,
                                               AttemptNumber attemptNumber, AttemptDeadline deadline);
-  /// Gives an attempt up and closes its connection; nothing is reported. Has no effect if it is gone.
+  /// Abandons an attempt and closes its connection without a report. No effect if the connection is closed
+  /// already.
   void closeAttempt(SlotRef connection);
   /// Returns true if the attempt's request has not been written in full.
   bool isUnsent(SlotRef connection);
-  /// Closes the idle connections to that host.
+  /// Closes all idle connections to the host.
   void closeIdle(HostId host) override;
 
  private:
@@ -55,8 +57,8 @@
   const std::size_t maxConnections_;
   const UpstreamTimeouts timeouts_;
   const Duration reuseDelay_;
-  std::vector<SlotRef> connections_;                   ///< All, in the order in which they were opened.
-  std::vector<std::vector<SlotRef>> idleConnections_;  ///< By HostId; the one used last is at the end.
+  std::vector<SlotRef> connections_;                   ///< All, in the order of opening.
+  std::vector<std::vector<SlotRef>> idleConnections_;  ///< By HostId; most recently used last.
 };
 
 }  // namespace merlinbridge::net
