--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -60,7 +60,7 @@
 // connected.
 bool UpstreamConnection::mayWrite() const {
   if (loop_.now() >= deadline_.writeBy) return false;
-  return state_ == State::idle || state_ == State::starting || owner_.isPending(requestId_);
+  return state_ == State::idle || state_ == State::starting || owner_.clientAwaitsAnswer(requestId_);
 }
 
 // An invalid response is an error, since the host may have executed the request.
--- a/src/net/upstream/upstream_connection.hpp
+++ b/src/net/upstream/upstream_connection.hpp
@@ -27,7 +27,7 @@
   virtual void attemptEnded(TimePoint now, RequestId requestId, AttemptNumber attemptNumber, Outcome outcome,
                             const core::UpstreamResponse& response) = 0;
   /// Returns true if the request has not been answered and its client is still connected.
-  virtual bool isPending(RequestId requestId) = 0;
+  virtual bool clientAwaitsAnswer(RequestId requestId) = 0;
   /// The host's name for the log.
   virtual std::string_view hostName(HostId host) const = 0;
 };
--- a/src/net/upstream/upstream_pool.cpp
+++ b/src/net/upstream/upstream_pool.cpp
@@ -117,7 +117,7 @@
   core_->attemptEnded(now, requestId, attemptNumber, outcome, response);
 }
 
-bool UpstreamPool::isPending(RequestId requestId) {
+bool UpstreamPool::clientAwaitsAnswer(RequestId requestId) {
   return core_->isPending(requestId);
 }
 
--- a/src/net/upstream/upstream_pool.hpp
+++ b/src/net/upstream/upstream_pool.hpp
@@ -43,7 +43,7 @@
   void connectionIdle(HostId host, SlotRef connection) override;
   void attemptEnded(TimePoint now, RequestId requestId, AttemptNumber attemptNumber, Outcome outcome,
                     const core::UpstreamResponse& response) override;
-  bool isPending(RequestId requestId) override;
+  bool clientAwaitsAnswer(RequestId requestId) override;
   std::string_view hostName(HostId host) const override;
 
   UpstreamConnection* connectionTo(HostId host);
