--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -51,8 +51,8 @@
 // connection is not opened before the first has a call in flight.
 CounterConnection& CounterClient::leastBusyConnection() {
   CounterConnection* leastBusy = &connectionAt(connections_.front());
-  for (std::size_t at = 1; at < connections_.size() && leastBusy->callsInFlight() > 0; ++at) {
-    CounterConnection& other = connectionAt(connections_[at]);
+  for (std::size_t index = 1; index < connections_.size() && leastBusy->callsInFlight() > 0; ++index) {
+    CounterConnection& other = connectionAt(connections_[index]);
     if (other.callsInFlight() < leastBusy->callsInFlight()) leastBusy = &other;
   }
   return *leastBusy;
--- a/src/net/counter/counter_connection.cpp
+++ b/src/net/counter/counter_connection.cpp
@@ -34,9 +34,9 @@
   sendLater(message);
 }
 
-// The call stays in the queue, since its response may still come and must be matched to it. A connection on
-// which nothing was received for the connect timeout is closed. The owner is called last, since it may start
-// calls, and must not start them on this connection if that closes.
+// The call stays in the queue, since its response may still come and must be matched to it. A connection that
+// is not up, or on which nothing was received for the connect timeout, is closed. That comes before the
+// report, since the owner may then start calls, which must not use the closed connection.
 void CounterConnection::callTimedOut(TimePoint now, std::uint64_t number) {
   if (number < firstCallNumber_ || number - firstCallNumber_ >= calls_.size()) return;
   Call& pending = calls_[number - firstCallNumber_];
@@ -48,7 +48,7 @@
   if (isRetiredAndDone()) onClosed();
 }
 
-// Does not close immediately: calls that the service has read, and adds, would end without their results.
+// Closing immediately would lose the results of calls that the service has read and will add.
 void CounterConnection::retire() {
   enter(State::retired);
   if (!isUp() || isRetiredAndDone()) return onClosed();
--- a/src/net/counter/counter_connection.hpp
+++ b/src/net/counter/counter_connection.hpp
@@ -14,10 +14,12 @@
 
 /// Timeouts of a connection to the counter service.
 struct CounterTimeouts {
-  Duration call{};  ///< From a call to its response.
-  Duration
-      connect{};    ///< To connect. Also: if a call times out after so long a silence, the connection closes.
-  Duration idle{};  ///< Without a call in flight.
+  /// From a call to its response.
+  Duration call{};
+  /// To connect. A connection on which a call times out is also closed if nothing was received for this long.
+  Duration connect{};
+  /// Without a call in flight.
+  Duration idle{};
 };
 
 /// The result of one call.
@@ -87,7 +89,7 @@
   http::Message responseMessage_{http::Message::Kind::response};
   std::deque<Call> calls_;
   std::uint64_t firstCallNumber_ = 0;  ///< Of calls_.front(), counted from the connection's first call.
-  TimePoint lastReceivedAt_;           ///< Or the start of a later call with no other in flight.
+  TimePoint lastReceivedAt_;           ///< Or when a call started with no other in flight, if later.
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/discovery/discovery_schedule.hpp
+++ b/src/net/discovery/discovery_schedule.hpp
@@ -21,7 +21,7 @@
 enum class DiscoveryOutcome {
   updated,   ///< A poll's endpoint list was applied.
   rejected,  ///< Discovery answered with a status other than 200.
-  failed  ///< Anything else: not connected, timed out, closed or invalid. A watch that was accepted ends so.
+  failed     ///< Not connected, timed out, closed or invalid. An accepted watch always ends so.
 };
 
 /// Chooses the next request to discovery and the pause before it, from the outcomes of the previous requests.
