--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr std::size_t kMaxCallBytes = 256;
-// The first letter of a counter's path says what is counted.
-constexpr char kQuotaUseLetter = 'u';
-constexpr char kInFlightTimeLetter = 'o';
+// The first letter of a counter's name in the path tells what is counted.
+constexpr char kQuotaUsePrefix = 'u';
+constexpr char kInFlightTimePrefix = 'o';
 
 SocketAddress counterAddress(const std::string& address) {
   return address.empty() ? SocketAddress() : parseAddress(address);
@@ -21,13 +21,16 @@
 }  // namespace
 
 CounterClient::CounterClient(EventLoop& loop, std::string address, const CounterTimeouts& timeouts)
-    : loop_(loop), address_(std::move(address)), peer_(counterAddress(address_)), timeouts_(timeouts) {}
+    : loop_(loop),
+      address_(std::move(address)),
+      peerAddress_(counterAddress(address_)),
+      timeouts_(timeouts) {}
 
 void CounterClient::setAddress(const std::string& address) {
-  const SocketAddress peer = counterAddress(address);
+  const SocketAddress peerAddress = counterAddress(address);
   if (address == address_) return;
   address_ = address;
-  peer_ = peer;
+  peerAddress_ = peerAddress;
   for (const SlotRef old : std::exchange(connections_, {}))
     if (auto* const connection = loop_.find<CounterConnection>(old)) connection->retire();
 }
@@ -35,7 +38,7 @@
 void CounterClient::addToCounter(const CounterKey& key, double units, Duration keepFor) {
   CounterConnection& connection = leastBusyConnection();
   const auto keepMs = std::chrono::duration_cast<std::chrono::milliseconds>(keepFor).count();
-  const char kind = key.kind == CounterKey::Kind::quotaUsage ? kQuotaUseLetter : kInFlightTimeLetter;
+  const char kind = key.kind == CounterKey::Kind::quotaUsage ? kQuotaUsePrefix : kInFlightTimePrefix;
   std::array<char, kMaxCallBytes> message{};
   const auto end = fmt::format_to_n(
       message.data(), message.size(),
@@ -44,24 +47,24 @@
   connection.call(key, {message.data(), std::min(end.size, message.size())});
 }
 
-// The first connection without calls, else the one with the fewest. Connections are made as they are needed:
-// the second one only once the first has a call in flight.
+// Returns the first connection without calls in flight, or else the one with the fewest. The second
+// connection is not opened before the first has a call in flight.
 CounterConnection& CounterClient::leastBusyConnection() {
   CounterConnection* leastBusy = &connectionAt(connections_.front());
-  for (std::size_t at = 1; at < connections_.size() && leastBusy->callsInFlight() > 0; ++at) {
-    CounterConnection& other = connectionAt(connections_[at]);
+  for (std::size_t index = 1; index < connections_.size() && leastBusy->callsInFlight() > 0; ++index) {
+    CounterConnection& other = connectionAt(connections_[index]);
     if (other.callsInFlight() < leastBusy->callsInFlight()) leastBusy = &other;
   }
   return *leastBusy;
 }
 
-// The connection of that slot, which is dialled if there is none.
+// Returns the connection in `slot`; opens one if there is none.
 CounterConnection& CounterClient::connectionAt(SlotRef& slot) {
   if (auto* const existing = loop_.find<CounterConnection>(slot)) return *existing;
   CounterConnectionOwner& owner = *this;
   auto& connection = loop_.open<CounterConnection>(owner, timeouts_);
   slot = connection.ref();
-  connection.connect(peer_);
+  connection.connect(peerAddress_);
   return connection;
 }
 
@@ -70,7 +73,7 @@
 }
 
 void CounterClient::counterCallEnded(TimePoint now, const CounterCallResult& result) {
-  core_->counterCallEnded(now, result.key, result.outcome, result.total, result.took);
+  core_->counterCallEnded(now, result.key, result.outcome, result.total, result.duration);
 }
 
 }  // namespace merlinbridge::net
