--- a/src/net/client/client_acceptor.cpp
+++ b/src/net/client/client_acceptor.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // Connections that broke while they were accepted: after so many in a row, other handlers have their turn.
-constexpr int kMaxBrokenInRow = 16;
+constexpr int kMaxConsecutiveBroken = 16;
 // The pause after a failed accept doubles with each failure in a row, at most this often.
 constexpr int kMaxBackoffDoublings = 4;
 
@@ -42,14 +42,14 @@
         yield waitForClients();
       }
       while (owner_.isFull()) {
-        owner_.makeRoom();
+        owner_.evictConnections();
         state_ = State::paused;
         yield return;
       }
       lastAccept_ = acceptOne();
       if (lastAccept_ == CallStatus::done) continue;
-      if (lastAccept_ == CallStatus::broken && ++brokenInRow_ < kMaxBrokenInRow) continue;
-      brokenInRow_ = 0;
+      if (lastAccept_ == CallStatus::broken && ++consecutiveBroken_ < kMaxConsecutiveBroken) continue;
+      consecutiveBroken_ = 0;
       if (lastAccept_ == CallStatus::wouldBlock) {
         owner_.backlogEmpty();
         yield waitForClients();
@@ -66,7 +66,7 @@
   state_ = State::waiting;
   acceptor_.async_wait(decltype(acceptor_)::wait_read, [this](const Error& error) {
     state_ = State::accepting;
-    readyUnnoticed_ = false;
+    readyAtLastCheck_ = false;
     acceptStep(error);
     loop_.endTurn();
   });
@@ -78,9 +78,9 @@
   if (state_ != State::waiting || !acceptor_.is_open()) return;
   pollfd listener{acceptor_.native_handle(), POLLIN, 0};
   if (::poll(&listener, 1, 0) <= 0) return;
-  readyUnnoticed_ = true;
+  readyAtLastCheck_ = true;
   loop_.io.poll();
-  if (!std::exchange(readyUnnoticed_, false)) return;
+  if (!std::exchange(readyAtLastCheck_, false)) return;
   loop_.faults.record(loop_.now(), SystemCall::wait, ETIME, kReadinessMissed);
   Error ignored;
   acceptor_.cancel(ignored);
@@ -103,8 +103,8 @@
     return CallStatus::shortage;
   }
   accepted_.release();
-  brokenInRow_ = 0;
-  backoffsInRow_ = 0;
+  consecutiveBroken_ = 0;
+  consecutiveBackoffs_ = 0;
   owner_.clientAccepted(std::move(socket));
   return CallStatus::done;
 }
@@ -120,7 +120,7 @@
 // is short.
 void ClientAcceptor::backOff() {
   state_ = State::paused;
-  const Duration pause = loop_.retryPause() * (1 << std::min(backoffsInRow_++, kMaxBackoffDoublings));
+  const Duration pause = loop_.retryPause() * (1 << std::min(consecutiveBackoffs_++, kMaxBackoffDoublings));
   loop_.deadlines.add(loop_.now() + pause, [this](TimePoint) { resume(); });
 }
 
@@ -140,7 +140,7 @@
 bool ClientAcceptor::stop() {
   bool accepted = false;
   CallStatus status = CallStatus::wouldBlock;
-  for (int broken = 0; acceptor_.is_open() && !owner_.isFull() && broken < kMaxBrokenInRow;) {
+  for (int broken = 0; acceptor_.is_open() && !owner_.isFull() && broken < kMaxConsecutiveBroken;) {
     status = acceptOne();
     if (status == CallStatus::done)
       accepted = true;
--- a/src/net/client/client_acceptor.hpp
+++ b/src/net/client/client_acceptor.hpp
@@ -16,7 +16,7 @@
   /// Whether there is no free slot for another connection.
   virtual bool isFull() const = 0;
   /// A client waits while isFull(): some connection should close. The acceptor pauses until it is resumed.
-  virtual void makeRoom() = 0;
+  virtual void evictConnections() = 0;
   /// No client waits to be accepted.
   virtual void backlogEmpty() = 0;
   /// Takes over an accepted connection.
@@ -67,10 +67,10 @@
   asio::coroutine accepting_;
   State state_ = State::accepting;
   CallStatus lastAccept_{};
-  int brokenInRow_ = 0;          ///< Connections that broke while they were accepted.
-  int backoffsInRow_ = 0;        ///< Each doubles the pause.
-  bool readyUnnoticed_ = false;  ///< While waiting: the socket was ready at the last check.
-  Descriptor accepted_;          ///< Accepted, but not registered with the event loop yet.
+  int consecutiveBroken_ = 0;      ///< Connections that broke while they were accepted.
+  int consecutiveBackoffs_ = 0;    ///< Each doubles the pause.
+  bool readyAtLastCheck_ = false;  ///< While waiting: the socket was ready at the last check.
+  Descriptor accepted_;            ///< Accepted, but not registered with the event loop yet.
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/client/client_connection.cpp
+++ b/src/net/client/client_connection.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 // After its client has left, a request may start no attempt later than this.
-constexpr Duration kClientGoneWithin = std::chrono::milliseconds(100);
+constexpr Duration kDisconnectDetectionTime = std::chrono::milliseconds(100);
 // Checks in that time for an end of stream that stands behind much pipelined data.
-constexpr int kEndChecks = 3;
+constexpr int kDisconnectChecks = 3;
 // Bound on what all clients together may have buffered only so that such an end is read.
 constexpr std::size_t kMaxPipelinedBytes = 32 * (http::kMaxHeadBytes + http::kMaxBodyBytes);
 // Of a Req-Id: the rest is cut off in the log.
@@ -24,42 +24,44 @@
                                    const ClientTimeouts& timeouts)
     : Connection(loop, std::move(socket)), owner_(owner), deadlines_(loop.now(), timeouts) {}
 
-// receiving -> deciding -> awaitingAnswer -> receiving; any answer leads back to receiving. lingering is the
-// last state and may follow any other.
+// receiving -> submitting -> awaitingResponse -> receiving; any answer leads back to receiving. lingering is
+// the last state and may follow any other.
 void ClientConnection::enter(State next) {
   if (state_ != State::lingering) state_ = next;
 }
 
 void ClientConnection::onData() {
   if (state_ == State::lingering) return buffer_.consume(buffer_.size());
-  if (state_ != State::awaitingAnswer) {
+  if (state_ != State::awaitingResponse) {
     if (!message_.hasBegun()) deadlines_.startWait(loop_.now());
     parseRequests();
   }
-  if (state_ != State::awaitingAnswer && message_.hasBegun()) updateWaitTimer();
-  if (readBufferFull()) scheduleEndCheck();
+  if (state_ != State::awaitingResponse && message_.hasBegun()) updateWaitTimer();
+  if (readBufferFull()) scheduleDisconnectCheck();
 }
 
 // A client may pipeline much and leave: its end of stream stands behind data that is not read, and may even
 // be held back at the client until buffers here are free. While its request waits for an answer, more of that
 // data is read, as long as all clients together stay below kMaxPipelinedBytes. Above that, only an end that
 // has reached this machine is seen.
-void ClientConnection::scheduleEndCheck() {
-  if (std::exchange(endCheckScheduled_, true)) return;
-  loop_.deadlines.add(loop_.now() + kClientGoneWithin / kEndChecks, [&loop = loop_, self = ref()](TimePoint) {
-    if (auto* const client = loop.find<ClientConnection>(self)) client->checkForEnd();
-  });
+void ClientConnection::scheduleDisconnectCheck() {
+  if (std::exchange(disconnectCheckScheduled_, true)) return;
+  loop_.deadlines.add(loop_.now() + kDisconnectDetectionTime / kDisconnectChecks,
+                      [&loop = loop_, self = ref()](TimePoint) {
+                        if (auto* const client = loop.find<ClientConnection>(self))
+                          client->checkForDisconnect();
+                      });
 }
 
-void ClientConnection::checkForEnd() {
-  endCheckScheduled_ = false;
+void ClientConnection::checkForDisconnect() {
+  disconnectCheckScheduled_ = false;
   if (!readBufferFull()) return;
   if (peerHungUp()) return onClosed();
   const std::size_t buffered = owner_.bufferedBytes();
   const std::size_t free = buffered < kMaxPipelinedBytes ? kMaxPipelinedBytes - buffered : 0;
-  if (free > 0) pipelineAllowance_ = std::max(pipelineAllowance_, buffer_.size() + free);
+  if (free > 0) pipelineBufferLimit_ = std::max(pipelineBufferLimit_, buffer_.size() + free);
   resumeReading();
-  scheduleEndCheck();
+  scheduleDisconnectCheck();
 }
 
 // Handles the requests in the buffer as long as there are complete ones and none waits for its answer.
@@ -116,11 +118,11 @@
   core::GatewayCore& core = owner_.core();
   const core::ParsedRequest parsed = core::parseRequest(message_, core.names(), core.settings(), now);
   if (parsed.error) return answerText({kStatusBadRequest, std::string(core::textOf(*parsed.error)) + "\n"});
-  enter(State::deciding);
+  enter(State::submitting);
   const RequestId requestId = core.requestArrived(now, ref(), parsed.request);
-  if (state_ != State::deciding) return;
+  if (state_ != State::submitting) return;
   requestId_ = requestId;
-  enter(State::awaitingAnswer);
+  enter(State::awaitingResponse);
 }
 
 void ClientConnection::answerText(const TextResponse& response) {
@@ -132,7 +134,7 @@
 Persistence ClientConnection::persistenceAfter(bool messageComplete) const {
   if (persistence_ == Persistence::close || !message_.keepsAlive()) return Persistence::close;
   if (!owner_.isDraining()) return Persistence::keepAlive;
-  const bool isKept = hasNextRequest(messageComplete) && loop_.now() < owner_.lastAnswerBy();
+  const bool isKept = hasNextRequest(messageComplete) && loop_.now() < owner_.keepAliveEndsAt();
   return isKept ? Persistence::keepAlive : Persistence::close;
 }
 
@@ -148,13 +150,13 @@
   persistence_ = persistenceAfter(messageComplete);
   const bool headOnly = message().method() == "HEAD";
   const ResponseHead head(status, body.size(), fields, persistence_);
-  answeredRequest_.assign(message_.get(kRequestIdField).substr(0, kMaxLoggedIdBytes));
+  answeredRequestId_.assign(message_.get(kRequestIdField).substr(0, kMaxLoggedIdBytes));
   buffer_.consume(messageComplete ? message_.size() : buffer_.size());
-  pipelineAllowance_ = 0;
+  pipelineBufferLimit_ = 0;
   message_.clear();
   deadlines_.startWait(loop_.now());
   send({head.text(), headOnly ? std::string_view() : body});
-  logRequestAnswered(loop_.log, answeredRequest_, status, writeProgress());
+  logRequestAnswered(loop_.log, answeredRequestId_, status, writeProgress());
   if (!allWritten()) updateWaitTimer();
 }
 
@@ -164,7 +166,7 @@
 }
 
 void ClientConnection::onAllWritten() {
-  if (persistence_ == Persistence::close && state_ != State::awaitingAnswer && !message_.hasBegun())
+  if (persistence_ == Persistence::close && state_ != State::awaitingResponse && !message_.hasBegun())
     return lingeringClose(deadlines_.maxDeadline());
   resumeReading();
   if (!parsing_ && !buffer_.empty()) parseRequestsLater();
@@ -193,32 +195,32 @@
 }
 
 // While a request is in hand, at most a head's length of what is pipelined behind it is buffered, or what
-// checkForEnd() has allowed.
+// checkForDisconnect() has allowed.
 bool ClientConnection::readBufferFull() const {
-  return (state_ == State::awaitingAnswer || parsing_) &&
-         buffer_.size() > std::max(message_.size() + http::kMaxHeadBytes, pipelineAllowance_);
+  return (state_ == State::awaitingResponse || parsing_) &&
+         buffer_.size() > std::max(message_.size() + http::kMaxHeadBytes, pipelineBufferLimit_);
 }
 
 // A client whose end of stream comes right behind its request has left, and the request must not be
 // forwarded: the end is read in the same turn.
 std::size_t ClientConnection::readAheadLimit() const {
-  const bool isReceiving = state_ == State::receiving || state_ == State::deciding;
+  const bool isReceiving = state_ == State::receiving || state_ == State::submitting;
   return isReceiving ? http::kMaxHeadBytes + http::kMaxBodyBytes : 0;
 }
 
 // The core enforces the deadline of a request that it has.
 TimePoint ClientConnection::waitDeadline() const {
   if (state_ == State::lingering) return lingerUntil_;
-  if (state_ == State::awaitingAnswer) return loop_.now() + deadlines_.maxDeadline();
+  if (state_ == State::awaitingResponse) return loop_.now() + deadlines_.maxDeadline();
   if (!allWritten()) return deadlines_.writeDeadline();
   return message_.hasBegun() ? deadlines_.requestDeadline() : deadlines_.idleDeadline();
 }
 
-void ClientConnection::timeOutRequest(Duration closeWithin) {
+void ClientConnection::timeOutRequest(Duration closeTimeout) {
   persistence_ = Persistence::close;
   answerText(kRequestIncomplete);
   if (state_ != State::lingering) return;
-  lingerUntil_ = std::min(lingerUntil_, loop_.now() + closeWithin);
+  lingerUntil_ = std::min(lingerUntil_, loop_.now() + closeTimeout);
   updateWaitTimer();
 }
 
@@ -228,22 +230,22 @@
   closeCause_ = ClientConnectionEnd::Cause::timeout;
   if (state_ == State::lingering || !allWritten()) return onClosed();
   if (message_.hasBegun()) return timeOutRequest(deadlines_.maxDeadline());
-  if (nothingReceived()) return lingeringClose(deadlines_.maxDeadline());
+  if (hasNothingToRead()) return lingeringClose(deadlines_.maxDeadline());
   closeCause_ = ClientConnectionEnd::Cause::peerOrFault;
   deadlines_.startWait(loop_.now());
   updateWaitTimer();
 }
 
-ClientConnectionEnd ClientConnection::presentEnd() const {
-  return {closeCause_, peerEnded(), lastError()};
+ClientConnectionEnd ClientConnection::connectionEnd() const {
+  return {closeCause_, halfClosedByPeer(), lastError()};
 }
 
 // The core is called last: it may answer or start other requests from clientLeft().
 void ClientConnection::onClosed() {
-  if (!allWritten() && !answeredRequest_.empty())
-    logIncompleteResponse(loop_.log, answeredRequest_, presentEnd());
-  const bool isUnanswered = state_ == State::awaitingAnswer;
-  if (isUnanswered) logUnansweredRequest(loop_.log, message().get(kRequestIdField), presentEnd());
+  if (!allWritten() && !answeredRequestId_.empty())
+    logIncompleteResponse(loop_.log, answeredRequestId_, connectionEnd());
+  const bool isUnanswered = state_ == State::awaitingResponse;
+  if (isUnanswered) logUnansweredRequest(loop_.log, message().get(kRequestIdField), connectionEnd());
   if (isUnanswered) enter(State::receiving);
   owner_.connectionClosed(ref());
   loop_.closeDeferred(ref());
--- a/src/net/client/client_connection.hpp
+++ b/src/net/client/client_connection.hpp
@@ -25,7 +25,7 @@
   /// Whether a graceful shutdown has begun.
   virtual bool isDraining() const = 0;
   /// While draining: from this time on, each answer is its connection's last.
-  virtual TimePoint lastAnswerBy() const = 0;
+  virtual TimePoint keepAliveEndsAt() const = 0;
   /// Bytes in the buffers of all clients' connections.
   virtual std::size_t bufferedBytes() = 0;
   /// The connection has no request in hand and may be evicted. Must not close a connection before returning.
@@ -59,8 +59,8 @@
   /// When hasIncompleteRequest(): from when on timeOutRequest() may be called to make room for another
   /// client.
   TimePoint evictableAt() const { return deadlines_.evictableAt(); }
-  /// Answers 408 to an incomplete request and closes; the client has `closeWithin` to close as well.
-  void timeOutRequest(Duration closeWithin);
+  /// Answers 408 to an incomplete request and closes; the client has `closeTimeout` to close as well.
+  void timeOutRequest(Duration closeTimeout);
   bool isLingering() const { return state_ == State::lingering; }
   std::size_t bufferedBytes() const { return buffer_.size(); }
   /// Starts a lingering close: ends the gateway's stream, then reads and drops what still comes until the
@@ -69,10 +69,10 @@
 
  private:
   enum class State {
-    receiving,       ///< No request in hand, or an incomplete one.
-    deciding,        ///< The core has been handed a request and has not returned.
-    awaitingAnswer,  ///< The core has the request.
-    lingering        ///< The gateway's stream has ended; see lingeringClose().
+    receiving,         ///< No request in hand, or an incomplete one.
+    submitting,        ///< The core has been handed a request and has not returned.
+    awaitingResponse,  ///< The core has the request.
+    lingering          ///< The gateway's stream has ended; see lingeringClose().
   };
 
   void onData() override;
@@ -95,23 +95,23 @@
   void answerText(const TextResponse& response);
   Persistence persistenceAfter(bool messageComplete) const;
   bool hasNextRequest(bool messageComplete) const;
-  void scheduleEndCheck();
-  void checkForEnd();
+  void scheduleDisconnectCheck();
+  void checkForDisconnect();
   WriteProgress writeProgress() const;
-  ClientConnectionEnd presentEnd() const;
+  ClientConnectionEnd connectionEnd() const;
 
   ClientConnectionOwner& owner_;
   ClientDeadlines deadlines_;
   http::Message message_{http::Message::Kind::request};
   State state_ = State::receiving;
-  RequestId requestId_{};  ///< While awaitingAnswer.
+  RequestId requestId_{};  ///< While awaitingResponse.
   Persistence persistence_ = Persistence::keepAlive;
   ClientConnectionEnd::Cause closeCause_ = ClientConnectionEnd::Cause::peerOrFault;
-  bool parsing_ = false;               ///< parseRequests() is on the stack.
-  bool endCheckScheduled_ = false;     ///< checkForEnd() will run.
-  std::size_t pipelineAllowance_ = 0;  ///< Bytes that may be buffered beyond the usual bound.
-  std::string answeredRequest_;        ///< Req-Id of the last answer, for the log.
-  TimePoint lingerUntil_{};            ///< While lingering.
+  bool parsing_ = false;                   ///< parseRequests() is on the stack.
+  bool disconnectCheckScheduled_ = false;  ///< checkForDisconnect() will run.
+  std::size_t pipelineBufferLimit_ = 0;    ///< Bytes that may be buffered beyond the usual bound.
+  std::string answeredRequestId_;          ///< Req-Id of the last answer, for the log.
+  TimePoint lingerUntil_{};                ///< While lingering.
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/client/client_connection_log.cpp
+++ b/src/net/client/client_connection_log.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view kTimedOut = "timed out";
 
-bool clientLeft(const ClientConnectionEnd& end) {
+bool clientDisconnected(const ClientConnectionEnd& end) {
   if (end.cause == ClientConnectionEnd::Cause::timeout) return false;
   return end.endOfStream || end.error == 0 || end.error == ECONNRESET;
 }
@@ -33,7 +33,7 @@
   return "connection_closed";
 }
 
-std::string incompleteBecauseOf(const ClientConnectionEnd& end) {
+std::string incompleteReason(const ClientConnectionEnd& end) {
   if (end.cause == ClientConnectionEnd::Cause::timeout) return std::string(kTimedOut);
   return end.error != 0 ? errorText(end.error) : "client disconnected";
 }
@@ -47,7 +47,7 @@
 }
 
 void logUnansweredRequest(Log& log, std::string_view requestId, const ClientConnectionEnd& end) {
-  if (!clientLeft(end)) {
+  if (!clientDisconnected(end)) {
     log(LogEvent::requestDropped, LogField{"request", requestId},
         LogField{"error", end.error != 0 ? errorText(end.error) : std::string(kTimedOut)});
   } else if (log.enabled(LogEvent::clientDisconnected)) {
@@ -56,8 +56,7 @@
 }
 
 void logIncompleteResponse(Log& log, std::string_view requestId, const ClientConnectionEnd& end) {
-  log(LogEvent::responseIncomplete, LogField{"request", requestId},
-      LogField{"error", incompleteBecauseOf(end)});
+  log(LogEvent::responseIncomplete, LogField{"request", requestId}, LogField{"error", incompleteReason(end)});
 }
 
 }  // namespace merlinbridge::net
--- a/src/net/client/client_eviction.hpp
+++ b/src/net/client/client_eviction.hpp
@@ -15,33 +15,34 @@
 /// are never evicted. It is asked when a client waits and all slots are taken.
 class ClientEviction {
  public:
-  /// `closeWithin`: the time that a client has to close an evicted connection.
-  ClientEviction(EventLoop& loop, std::size_t maxConnections, Duration closeWithin)
-      : loop_(loop), maxConnections_(maxConnections), closeWithin_(closeWithin) {}
+  /// `closeTimeout`: the time that a client has to close an evicted connection.
+  ClientEviction(EventLoop& loop, std::size_t maxConnections, Duration closeTimeout)
+      : loop_(loop), maxConnections_(maxConnections), closeTimeout_(closeTimeout) {}
 
   /// Begins to close some of the connections, unless enough are closing already. Asks for one at first and
   /// for twice as many at each further call, up to a bound. Returns when the next incomplete request may be
-  /// evicted, if that was too early for one; makeRoom() is to be called again then.
-  std::optional<TimePoint> makeRoom(const std::vector<SlotRef>& connections);
-  /// No client waits: the next makeRoom() asks for one connection.
-  void reset() { wanted_ = 1; }
+  /// evicted, if that was too early for one; evictConnections() is to be called again then.
+  std::optional<TimePoint> evictConnections(const std::vector<SlotRef>& connections);
+  /// No client waits: the next evictConnections() asks for one connection.
+  void reset() { evictionTarget_ = 1; }
 
  private:
-  struct IncompleteEvicted {
+  struct IncompleteEvictions {
     std::size_t count = 0;
     std::optional<TimePoint> nextAt;
   };
 
   std::size_t countClosing(const std::vector<SlotRef>& connections);
-  std::size_t evictIdle(const std::vector<SlotRef>& connections, std::size_t wanted);
-  IncompleteEvicted evictIncomplete(const std::vector<SlotRef>& connections, std::size_t wanted);
+  std::size_t evictIdle(const std::vector<SlotRef>& connections, std::size_t maxCount);
+  IncompleteEvictions evictIncomplete(const std::vector<SlotRef>& connections, std::size_t maxCount);
   template <class Predicate>
-  std::vector<ClientConnection*> select(const std::vector<SlotRef>& connections, Predicate isWanted);
+  std::vector<ClientConnection*> selectConnections(const std::vector<SlotRef>& connections,
+                                                   Predicate predicate);
 
   EventLoop& loop_;
   const std::size_t maxConnections_;
-  const Duration closeWithin_;
-  std::size_t wanted_ = 1;
+  const Duration closeTimeout_;
+  std::size_t evictionTarget_ = 1;
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/client/client_listener.cpp
+++ b/src/net/client/client_listener.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // The time that a client has to close an evicted connection, as a part of the longest deadline.
-constexpr int kEvictionTimeoutParts = 8;
+constexpr int kEvictionTimeoutDivisor = 8;
 
 }  // namespace
 
@@ -17,7 +17,7 @@
       maxConnections_(maxConnections),
       timeouts_(timeouts),
       acceptor_(loop, address, static_cast<int>(maxConnections), *this),
-      eviction_(loop, maxConnections, timeouts.maxDeadline / kEvictionTimeoutParts) {}
+      eviction_(loop, maxConnections, timeouts.maxDeadline / kEvictionTimeoutDivisor) {}
 
 void ClientListener::serve(core::GatewayCore& core) {
   core_ = &core;
@@ -42,8 +42,8 @@
   if (acceptor_.isPaused() && isFull()) acceptor_.resumeLater();
 }
 
-void ClientListener::makeRoom() {
-  if (const auto nextAt = eviction_.makeRoom(connections_))
+void ClientListener::evictConnections() {
+  if (const auto nextAt = eviction_.evictConnections(connections_))
     loop_.deadlines.add(*nextAt, [this](TimePoint) { acceptor_.resume(); });
 }
 
@@ -62,9 +62,9 @@
   });
 }
 
-void ClientListener::drain(TimePoint lastAnswerBy) {
+void ClientListener::drain(TimePoint keepAliveEndsAt) {
   phase_ = Phase::draining;
-  lastAnswerBy_ = lastAnswerBy;
+  keepAliveEndsAt_ = keepAliveEndsAt;
 }
 
 // Works on a copy of the list, from which a connection that closes is removed.
@@ -72,7 +72,7 @@
   for (const SlotRef ref : std::vector(connections_))
     if (ClientConnection* const client = loop_.find<ClientConnection>(ref);
         client && client->isIdle() && loop_.now() - client->idleSince() >= idleFor &&
-        client->nothingReceived())
+        client->hasNothingToRead())
       client->lingeringClose(timeouts_.maxDeadline);
 }
 
--- a/src/net/client/client_listener.hpp
+++ b/src/net/client/client_listener.hpp
@@ -22,8 +22,8 @@
   /// Accepts clients from now on, and is ready. The core outlives the listener's connections.
   void serve(core::GatewayCore& core);
   /// Graceful shutdown: the gateway is not ready any more. Each answer is its connection's last, unless the
-  /// next request is there already; from `lastAnswerBy` on, each answer is the last.
-  void drain(TimePoint lastAnswerBy);
+  /// next request is there already; from `keepAliveEndsAt` on, each answer is the last.
+  void drain(TimePoint keepAliveEndsAt);
   /// Begins a lingering close of the connections that have been idle for at least `idleFor`.
   void closeIdle(Duration idleFor);
   /// See ClientAcceptor::stop().
@@ -42,12 +42,12 @@
   core::GatewayCore& core() override { return *core_; }
   bool isReady() const override { return phase_ == Phase::ready; }
   bool isDraining() const override { return phase_ == Phase::draining; }
-  TimePoint lastAnswerBy() const override { return lastAnswerBy_; }
+  TimePoint keepAliveEndsAt() const override { return keepAliveEndsAt_; }
   std::size_t bufferedBytes() override;
   void connectionIdle() override;
   void connectionClosed(SlotRef) override;
   bool isFull() const override { return connections_.size() >= maxConnections_; }
-  void makeRoom() override;
+  void evictConnections() override;
   void backlogEmpty() override { eviction_.reset(); }
   void clientAccepted(Socket) override;
 
@@ -58,7 +58,7 @@
   ClientAcceptor acceptor_;
   ClientEviction eviction_;
   Phase phase_ = Phase::starting;
-  TimePoint lastAnswerBy_ = TimePoint::max();
+  TimePoint keepAliveEndsAt_ = TimePoint::max();
   std::vector<SlotRef> connections_;
 };
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -57,7 +57,7 @@
   return status == CallStatus::done || status == CallStatus::shortage;
 }
 
-bool Connection::nothingReceived() const {
+bool Connection::hasNothingToRead() const {
   return isUp() && peek(socket_.descriptor()).status == CallStatus::wouldBlock;
 }
 
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -44,7 +44,7 @@
   /// Returns true if the peer has ended its stream or reset it, even if not all it sent has been read.
   bool peerHungUp() const;
   /// Returns true if the connection is up and neither bytes nor the peer's end wait to be read.
-  bool nothingReceived() const;
+  bool hasNothingToRead() const;
   /// Dials until the connection is up or waitDeadline() passes. A shortage of this machine does not end the
   /// dial; it is repeated after a pause. Called once; onConnected() or onClosed() come in a later turn.
   void connect(const SocketAddress& peer);
@@ -84,7 +84,7 @@
   /// Replaces all unsent bytes. `text` must not point into the buffer.
   void replaceUnsent(std::string_view text) { writer_.replaceUnsent(text); }
   /// Returns true if the peer has ended its stream in good order and the connection is not closed yet.
-  bool peerEnded() const { return socket_.state() == ConnectionState::peerEnded; }
+  bool halfClosedByPeer() const { return socket_.state() == ConnectionState::halfClosedByPeer; }
   /// The errno that broke the connection; 0 if none did.
   int lastError() const { return socket_.lastError(); }
   /// Reads on if reading has paused; to be called where readBufferFull() may have become false.
--- a/src/net/connection_callbacks.hpp
+++ b/src/net/connection_callbacks.hpp
@@ -21,7 +21,7 @@
   /// callback drops what it has used. Called again within one turn while expectsMore() is true.
   virtual void onData() = 0;
   /// The connection is over: the dial failed, the peer ended its stream or reset it, or a system call failed
-  /// for good. Connection::peerEnded() and Connection::lastError() say which. The callback closes the
+  /// for good. Connection::halfClosedByPeer() and Connection::lastError() say which. The callback closes the
   /// connection; nothing is read afterwards.
   virtual void onClosed() = 0;
   /// Returns true while the read buffer is as full as this connection allows. Reading then stops until
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -58,36 +58,37 @@
 // ignores: a connection that poll() finds ready, and whose wait is still open once all pending events are
 // handled, goes on as if its wait had ended. See ReadinessWatchdog.
 void EventLoop::recoverMissedReadiness() {
-  polled_.clear();
+  pollDescriptors_.clear();
   polledConnections_.clear();
   connections_.forEach([this](SlotRef ref, const std::unique_ptr<Connection>& connection) {
     const pollfd awaited = connection->socket().awaitedReadiness();
     if (awaited.events == 0) return;
-    polled_.push_back(awaited);
+    pollDescriptors_.push_back(awaited);
     polledConnections_.push_back(ref);
   });
-  if (polled_.empty() || ::poll(polled_.data(), polled_.size(), 0) <= 0) return;
-  for (std::size_t row = 0; row < polled_.size(); ++row)
-    if (polled_[row].revents != 0) find(polledConnections_[row])->socket().readiness().markReady();
+  if (pollDescriptors_.empty() || ::poll(pollDescriptors_.data(), pollDescriptors_.size(), 0) <= 0) return;
+  for (std::size_t row = 0; row < pollDescriptors_.size(); ++row)
+    if (pollDescriptors_[row].revents != 0) find(polledConnections_[row])->socket().readiness().markReady();
   io.poll();
   for (const SlotRef ref : polledConnections_)
     if (Connection* const connection = find(ref)) connection->socket().endMissedWait();
 }
 
 void EventLoop::endTurn() {
-  runDue();
+  runDueDeadlines();
   // By index: a flush may add connections to be flushed.
-  for (std::size_t row = 0; row < toFlush_.size(); ++row)  // NOLINT(modernize-loop-convert): grows meanwhile
-    if (Connection* const connection = find(toFlush_[row])) connection->flush();
-  toFlush_.clear();
+  for (std::size_t row = 0; row < pendingFlushes_.size();
+       ++row)  // NOLINT(modernize-loop-convert): grows meanwhile
+    if (Connection* const connection = find(pendingFlushes_[row])) connection->flush();
+  pendingFlushes_.clear();
   closing_.clear();
   if (const TimePoint next = deadlines.nextDueAt();
-      next != TimePoint::max() && next + coalesceWithin_ != armedFor_)
-    arm(next + coalesceWithin_);
-  turnAt_.reset();
+      next != TimePoint::max() && next + coalescingWindow_ != armedFor_)
+    armTimer(next + coalescingWindow_);
+  turnTime_.reset();
 }
 
-void EventLoop::runDue() {
+void EventLoop::runDueDeadlines() {
   const TimePoint due = deadlines.nextDueAt();
   if (due > now()) return;
   if (now() - due >= kStallThreshold) faults.recordEventLoopStall(now(), now() - due);
@@ -96,7 +97,7 @@
 
 // A turn that only runs deadlines costs more than the deadlines do, so the timer is set late by the
 // coalescing window: any earlier turn runs them in passing.
-void EventLoop::arm(TimePoint at) {
+void EventLoop::armTimer(TimePoint at) {
   armedFor_ = at;
   timer_.expires_after(std::max(Duration{0}, at - clock_.now()));
   timer_.async_wait([this, at](const Error& error) {
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -56,8 +56,8 @@
 
   /// The time of this turn; the clock is read once in a turn.
   TimePoint now() {
-    if (!turnAt_) turnAt_ = clock_.now();
-    return *turnAt_;
+    if (!turnTime_) turnTime_ = clock_.now();
+    return *turnTime_;
   }
   /// The connection in that slot; nullptr if it has been closed, also if the slot is in use again.
   Connection* find(SlotRef);
@@ -70,12 +70,12 @@
   template <class Kind, class... Args>
   Kind& open(Args&&... args) {
     const SlotRef ref = connections_.add(std::make_unique<Kind>(*this, std::forward<Args>(args)...));
-    auto& made = static_cast<Kind&>(**connections_.find(ref));
-    made.assignSlot(ref);
-    return made;
+    auto& connection = static_cast<Kind&>(**connections_.find(ref));
+    connection.assignSlot(ref);
+    return connection;
   }
   /// Deadlines may run up to `window` late, in the turn of another event, instead of in a turn of their own.
-  void setTimerCoalescing(Duration window) { coalesceWithin_ = window; }
+  void setTimerCoalescing(Duration window) { coalescingWindow_ = window; }
   /// Sets the first pause before a call is repeated that failed for a shortage of this machine.
   void setRetryPause(Duration pause) { retryPause_ = pause; }
   Duration retryPause() const { return retryPause_; }
@@ -83,7 +83,7 @@
   /// that its callers on the stack may return through it. Has no effect if the connection is gone.
   void closeDeferred(SlotRef);
   /// Calls the connection's flush() at the end of this turn.
-  void flushLater(SlotRef ref) { toFlush_.push_back(ref); }
+  void flushLater(SlotRef ref) { pendingFlushes_.push_back(ref); }
   /// Sets the longest time that run() waits without a check; see run().
   void setCheckInterval(Duration interval) { checkInterval_ = interval; }
   /// Handles events until `io` is stopped. After each check interval it looks for missed readiness, calls
@@ -104,21 +104,21 @@
   using SystemTimer = asio::basic_waitable_timer<std::chrono::steady_clock,
                                                  asio::wait_traits<std::chrono::steady_clock>, Strand>;
 
-  void arm(TimePoint at);
-  void runDue();
+  void armTimer(TimePoint at);
+  void runDueDeadlines();
   void recoverMissedReadiness();
 
   const Clock& clock_;
-  Duration coalesceWithin_{0};
+  Duration coalescingWindow_{0};
   Duration checkInterval_ = std::chrono::milliseconds(125);
   Duration retryPause_ = std::chrono::milliseconds(5);
-  std::optional<TimePoint> turnAt_;  ///< Empty until now() is called in this turn.
+  std::optional<TimePoint> turnTime_;  ///< Empty until now() is called in this turn.
   core::SlotTable<std::unique_ptr<Connection>> connections_;
   std::vector<std::unique_ptr<Connection>> closing_;  ///< Closed in this turn.
-  std::vector<SlotRef> toFlush_;
+  std::vector<SlotRef> pendingFlushes_;
   /// Of recoverMissedReadiness(), kept to reuse their memory: row by row, what is polled and for which
   /// connection.
-  std::vector<pollfd> polled_;
+  std::vector<pollfd> pollDescriptors_;
   std::vector<SlotRef> polledConnections_;
   SystemTimer timer_;
   TimePoint armedFor_ = TimePoint::max();  ///< When the system timer fires; max() if it is not set.
--- a/src/net/fault_log.cpp
+++ b/src/net/fault_log.cpp
@@ -35,7 +35,7 @@
   return "unknown";
 }
 
-bool FaultLog::countedDueForLog(FailureCount& count, TimePoint now) {
+bool FaultLog::countAndCheckDue(FailureCount& count, TimePoint now) {
   ++count.total;
   ++count.sinceLogged;
   if (count.loggedAt != TimePoint{} && now - count.loggedAt < kLogInterval) return false;
@@ -45,14 +45,14 @@
 
 void FaultLog::record(TimePoint now, SystemCall call, int error, std::string_view consequence) {
   FailureCount& count = failures_[{call, error}];
-  if (!countedDueForLog(count, now)) return;
+  if (!countAndCheckDue(count, now)) return;
   log_(LogEvent::systemCallFailed, LogField{"call", nameOf(call)}, LogField{"error", errorText(error)},
        LogField{"action", consequence}, LogField{"since_last_line", std::exchange(count.sinceLogged, 0)});
 }
 
 void FaultLog::recordEventLoopStall(TimePoint now, Duration late) {
   longestStall_ = std::max(longestStall_, late);
-  if (!countedDueForLog(eventLoopStalls_, now)) return;
+  if (!countAndCheckDue(eventLoopStalls_, now)) return;
   log_(LogEvent::eventLoopStalled,
        LogField{"late_ms", std::chrono::duration_cast<std::chrono::milliseconds>(longestStall_).count()},
        LogField{"since_last_line", std::exchange(eventLoopStalls_.sinceLogged, 0)});
--- a/src/net/fault_log.hpp
+++ b/src/net/fault_log.hpp
@@ -50,7 +50,7 @@
     TimePoint loggedAt{};
   };
   /// Counts one more. Returns true if a line is due.
-  static bool countedDueForLog(FailureCount& count, TimePoint now);
+  static bool countAndCheckDue(FailureCount& count, TimePoint now);
 
   Log& log_;
   std::map<std::pair<SystemCall, int>, FailureCount> failures_;  ///< By call and errno.
--- a/src/net/readiness_watchdog.hpp
+++ b/src/net/readiness_watchdog.hpp
@@ -12,7 +12,7 @@
 /// Events are bits as poll() names them: POLLIN, POLLOUT.
 class ReadinessWatchdog {
  public:
-  void waitBegins(short events) { awaitedEvents_ |= events; }
+  void waitStarted(short events) { awaitedEvents_ |= events; }
   /// A completion of this connection has run; `events` are those whose wait it ends, 0 if none.
   void completionRan(short events) {
     awaitedEvents_ &= static_cast<short>(~events);
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -15,13 +15,13 @@
 // Descriptors for the log, the event loop, the listening socket, the counter service and discovery.
 constexpr std::size_t kReservedDescriptors = 32;
 // The first pause after a call that this machine could not serve, as a part of the connect timeout.
-constexpr int kRetryPauseParts = 50;
+constexpr int kRetryPauseDivisor = 50;
 // The longest wait of the event loop, as a part of the connect timeout.
-constexpr int kCheckIntervalParts = 2;
+constexpr int kCheckIntervalDivisor = 2;
 
 constexpr int kStatusOk = 200;
-constexpr int kStatusRejected = 429;
-constexpr int kStatusFailed = 502;
+constexpr int kStatusTooManyRequests = 429;
+constexpr int kStatusBadGateway = 502;
 
 // A longer content type of a host's answer is left out: the head of a response is bounded.
 constexpr std::size_t kMaxContentTypeBytes = 100;
@@ -46,8 +46,8 @@
       discovery_(loop, config.discovery, config.known.generation, config.settings.connectTimeout,
                  config.drainGrace, config.seed),
       core_(config, loop.now(), loop.deadlines, *this) {
-  loop_.setCheckInterval(config.settings.connectTimeout / kCheckIntervalParts);
-  loop_.setRetryPause(config.settings.connectTimeout / kRetryPauseParts);
+  loop_.setCheckInterval(config.settings.connectTimeout / kCheckIntervalDivisor);
+  loop_.setRetryPause(config.settings.connectTimeout / kRetryPauseDivisor);
 }
 
 void Server::serve() {
@@ -81,10 +81,10 @@
   if (!client) return;
   if (loop_.log.enabled(LogEvent::requestRejected))
     loop_.log(LogEvent::requestRejected, LogField{"request", client->message().get(kRequestIdField)},
-              LogField{"status", kStatusRejected});
-  if (retryAfter <= Duration{0}) return client->answer(kStatusRejected, "", "");
-  client->answer(kStatusRejected, fmt::format(FMT_COMPILE("Retry-After: {:.3f}\r\n"), seconds(retryAfter)),
-                 "");
+              LogField{"status", kStatusTooManyRequests});
+  if (retryAfter <= Duration{0}) return client->answer(kStatusTooManyRequests, "", "");
+  client->answer(kStatusTooManyRequests,
+                 fmt::format(FMT_COMPILE("Retry-After: {:.3f}\r\n"), seconds(retryAfter)), "");
 }
 
 void Server::answerFailed(SlotRef ref) {
@@ -92,8 +92,8 @@
   if (!client) return;
   if (loop_.log.enabled(LogEvent::requestFailed))
     loop_.log(LogEvent::requestFailed, LogField{"request", client->message().get(kRequestIdField)},
-              LogField{"status", kStatusFailed});
-  client->answer(kStatusFailed, "", "");
+              LogField{"status", kStatusBadGateway});
+  client->answer(kStatusBadGateway, "", "");
 }
 
 std::variant<SlotRef, Outcome> Server::startAttempt(RequestId requestId, AttemptNumber attemptNumber,
--- a/src/net/shortage_backoff.hpp
+++ b/src/net/shortage_backoff.hpp
@@ -15,15 +15,15 @@
   /// Counts one more shortage. Returns the pause before the next try; `firstPause` is
   /// EventLoop::retryPause().
   Duration nextPause(Duration firstPause) {
-    const int doublings = std::min(shortagesInRow_, kMaxDoublings);
-    ++shortagesInRow_;
+    const int doublings = std::min(consecutiveShortages_, kMaxDoublings);
+    ++consecutiveShortages_;
     return firstPause * (1 << doublings);
   }
   /// A call has succeeded: the next shortage starts again with the first pause.
-  void reset() { shortagesInRow_ = 0; }
+  void reset() { consecutiveShortages_ = 0; }
 
  private:
-  int shortagesInRow_ = 0;
+  int consecutiveShortages_ = 0;
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/stream_dialer.cpp
+++ b/src/net/stream_dialer.cpp
@@ -33,10 +33,10 @@
 
 CallResult StreamDialer::dial() {
   if (const CallResult opened = socket_.openFor(peer_); opened.status != CallStatus::done) return opened;
-  const CallResult begun =
+  const CallResult started =
       startConnect(socket_.descriptor(), peer_.data(), static_cast<socklen_t>(peer_.size()));
-  socket_.recordResult(SystemCall::connect, begun);
-  return begun;
+  socket_.recordResult(SystemCall::connect, started);
+  return started;
 }
 
 CallResult StreamDialer::resultAfterWait(const Error& error) {
--- a/src/net/stream_reader.cpp
+++ b/src/net/stream_reader.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 // The least free space, in bytes, that a read into an empty buffer is given.
-constexpr std::size_t kMinReadSize = 2048;
+constexpr std::size_t kMinReadBytes = 2048;
 // Reads of one connection in one turn, so that one that never stops sending cannot hold the event loop.
 constexpr int kMaxReadsPerTurn = 256;
 // Discarded reads before a close, for the same reason.
 constexpr int kMaxDiscardedReads = 64;
-constexpr std::size_t kDiscardSize = 4096;
+constexpr std::size_t kDiscardBytes = 4096;
 
 }  // namespace
 
@@ -51,35 +51,35 @@
 // Reads and calls onData() for as long as a message that has begun is incomplete. Returns the status of the
 // last read.
 CallStatus StreamReader::readMessages() {
-  CallStatus status = fill();
+  CallStatus status = fillBuffer();
   for (int reads = 1; status == CallStatus::done; ++reads) {
     callbacks_.onData();
-    const bool goesOn = socket_.isUp() && writer_.allWritten() && !callbacks_.readBufferFull() &&
-                        callbacks_.expectsMore() && reads < kMaxReadsPerTurn;
-    if (!goesOn) return CallStatus::wouldBlock;
-    status = fill();
+    const bool readAgain = socket_.isUp() && writer_.allWritten() && !callbacks_.readBufferFull() &&
+                           callbacks_.expectsMore() && reads < kMaxReadsPerTurn;
+    if (!readAgain) return CallStatus::wouldBlock;
+    status = fillBuffer();
   }
   return status;
 }
 
 // Reads into the buffer. Returns `done` if at least one byte came; an end or a failure right behind it wins.
-CallStatus StreamReader::fill() {
+CallStatus StreamReader::fillBuffer() {
   const std::size_t sizeBefore = buffer_.size();
   do {
-    char* const into = buffer_.reserve(buffer_.size() == sizeBefore ? kMinReadSize : 1);
+    char* const into = buffer_.reserve(buffer_.size() == sizeBefore ? kMinReadBytes : 1);
     const CallResult got = receive(socket_.descriptor(), into, buffer_.freeBytes());
-    if (got.status == CallStatus::endOfStream) socket_.recordPeerEnd();
+    if (got.status == CallStatus::endOfStream) socket_.recordEndOfStream();
     socket_.recordResult(SystemCall::receive, got);
-    const bool over = got.status == CallStatus::endOfStream || got.status == CallStatus::broken;
+    const bool ended = got.status == CallStatus::endOfStream || got.status == CallStatus::broken;
     if (got.status != CallStatus::done)
-      return over || buffer_.size() == sizeBefore ? got.status : CallStatus::done;
+      return ended || buffer_.size() == sizeBefore ? got.status : CallStatus::done;
     buffer_.commit(got.bytes);
   } while (buffer_.size() < callbacks_.readAheadLimit());
   return CallStatus::done;
 }
 
 void StreamReader::discard() {
-  std::array<char, kDiscardSize> bytes{};
+  std::array<char, kDiscardBytes> bytes{};
   for (int reads = 0; reads < kMaxDiscardedReads && socket_.isUp(); ++reads)
     if (receive(socket_.descriptor(), bytes.data(), bytes.size()).status != CallStatus::done) return;
 }
--- a/src/net/stream_reader.hpp
+++ b/src/net/stream_reader.hpp
@@ -29,7 +29,7 @@
 
  private:
   CallStatus readMessages();
-  CallStatus fill();
+  CallStatus fillBuffer();
 
   StreamSocket& socket_;
   Buffer& buffer_;
--- a/src/net/stream_socket.cpp
+++ b/src/net/stream_socket.cpp
@@ -43,8 +43,8 @@
   ensureNoDelay();
 }
 
-void StreamSocket::recordPeerEnd() {
-  enter(ConnectionState::peerEnded);
+void StreamSocket::recordEndOfStream() {
+  enter(ConnectionState::halfClosedByPeer);
 }
 
 void StreamSocket::close() {
@@ -84,7 +84,7 @@
 
 void StreamSocket::waitFor(Socket::wait_type readiness, ConnectionStep step) {
   const short events = readiness == Socket::wait_read ? POLLIN : POLLOUT;
-  readiness_.waitBegins(events);
+  readiness_.waitStarted(events);
   socket_.async_wait(readiness, StepCompletion{&loop_, ref_, step, events});
 }
 
--- a/src/net/stream_socket.hpp
+++ b/src/net/stream_socket.hpp
@@ -11,13 +11,14 @@
 
 /// The states of a connection. All transitions are in StreamSocket:
 ///
-///     connecting --becomeOpen()--> open --recordPeerEnd()--> peerEnded
+///     connecting --becomeOpen()--> open --recordEndOfStream()--> halfClosedByPeer
 ///     any state  --close()--> closed
 enum class ConnectionState {
-  connecting,  ///< Created; connect() dials, or start() has not been called yet.
-  open,        ///< Both directions are usable.
-  peerEnded,   ///< The peer has ended its stream in good order; the gateway's direction is still usable.
-  closed       ///< close() has been called; final.
+  connecting,        ///< Created; connect() dials, or start() has not been called yet.
+  open,              ///< Both directions are usable.
+  halfClosedByPeer,  ///< The peer has ended its stream in good order; the gateway's direction is still
+                     ///< usable.
+  closed             ///< close() has been called; final.
 };
 
 /// The step of a connection that goes on when a wait ends; see Connection::runStep().
@@ -46,11 +47,11 @@
 
   /// Transitions; see ConnectionState.
   void becomeOpen();
-  void recordPeerEnd();
+  void recordEndOfStream();
   void close();
   ConnectionState state() const { return state_; }
   /// Returns true if bytes can be written: open, or ended by the peer alone.
-  bool isUp() const { return state_ == ConnectionState::open || state_ == ConnectionState::peerEnded; }
+  bool isUp() const { return state_ == ConnectionState::open || state_ == ConnectionState::halfClosedByPeer; }
 
   /// Opens a new socket for a dial to `peer` and closes the one before, if any. `done`, or `shortage` with
   /// the errno.
--- a/src/net/stream_writer.cpp
+++ b/src/net/stream_writer.cpp
@@ -9,10 +9,10 @@
 WriteEvent StreamWriter::send(std::initializer_list<std::string_view> parts) {
   std::size_t written = 0;
   if (socket_.isUp() && unsent_ == 0) {
-    SendParts atOnce{};
-    std::copy(parts.begin(), parts.end(), atOnce.begin());
+    SendParts partArray{};
+    std::copy(parts.begin(), parts.end(), partArray.begin());
     socket_.ensureNoDelay();
-    const CallResult sent = net::send(socket_.descriptor(), atOnce);
+    const CallResult sent = net::send(socket_.descriptor(), partArray);
     socket_.recordResult(SystemCall::send, sent);
     if (sent.status == CallStatus::broken) return WriteEvent::failed;
     written = sent.bytes;
--- a/src/net/system_calls.cpp
+++ b/src/net/system_calls.cpp
@@ -10,18 +10,18 @@
 namespace {
 
 // Repeats of one interrupted call; after that, the interruption counts as a shortage.
-constexpr int kMaxInterruptions = 64;
+constexpr int kMaxEintrRetries = 64;
 
 // Repeats the call while a signal interrupts it. Returns the last call's result, with errno as that left it.
 template <class Call>
-auto uninterrupted(const Call& call) {
+auto retryOnEintr(const Call& call) {
   auto result = call();
-  for (int repeats = 0; result < 0 && errno == EINTR && repeats < kMaxInterruptions; ++repeats)
+  for (int repeats = 0; result < 0 && errno == EINTR && repeats < kMaxEintrRetries; ++repeats)
     result = call();
   return result;
 }
 
-// EINTR: interrupted more than kMaxInterruptions times in a row.
+// EINTR: interrupted more than kMaxEintrRetries times in a row.
 bool isShortage(int error) {
   return error == ENFILE || error == EMFILE || error == ENOBUFS || error == ENOMEM || error == ENOSPC ||
          error == EINTR;
@@ -35,14 +35,14 @@
 }
 
 CallResult receiveWith(int flags, int socket, char* into, std::size_t size) {
-  const ssize_t got = uninterrupted([&] { return ::recv(socket, into, size, flags | MSG_DONTWAIT); });
+  const ssize_t got = retryOnEintr([&] { return ::recv(socket, into, size, flags | MSG_DONTWAIT); });
   if (got < 0) return failureFromErrno();
   if (got == 0) return {CallStatus::endOfStream};
   return {CallStatus::done, static_cast<std::size_t>(got)};
 }
 
 // Errors of connect() whose cause is this machine: its ports, its routes, its firewall.
-bool isLocalFailureOfConnect(int error) {
+bool isLocalConnectFailure(int error) {
   return isShortage(error) || error == EADDRNOTAVAIL || error == EADDRINUSE || error == EAGAIN ||
          error == ENETUNREACH || error == ENETDOWN || error == EPERM || error == EACCES;
 }
@@ -76,8 +76,7 @@
   msghdr message{};
   message.msg_iov = vectors.data();
   message.msg_iovlen = count;
-  const ssize_t sent =
-      uninterrupted([&] { return ::sendmsg(socket, &message, MSG_NOSIGNAL | MSG_DONTWAIT); });
+  const ssize_t sent = retryOnEintr([&] { return ::sendmsg(socket, &message, MSG_NOSIGNAL | MSG_DONTWAIT); });
   if (sent < 0) return failureFromErrno();
   return {CallStatus::done, static_cast<std::size_t>(sent)};
 }
@@ -86,7 +85,7 @@
 // connection alone, and the listener goes on.
 CallResult acceptConnection(int listener, Descriptor& accepted) {
   const int number =
-      uninterrupted([&] { return ::accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC); });
+      retryOnEintr([&] { return ::accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC); });
   if (number < 0) return failureFromErrno();
   accepted = Descriptor(number);
   return {};
@@ -94,7 +93,7 @@
 
 CallResult openStream(int family, Descriptor& opened) {
   const int number =
-      uninterrupted([&] { return ::socket(family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); });
+      retryOnEintr([&] { return ::socket(family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); });
   if (number < 0) return {CallStatus::shortage, 0, errno};
   opened = Descriptor(number);
   return {};
@@ -105,14 +104,14 @@
   if (::connect(socket, address, size) == 0 || errno == EISCONN) return {};
   const int error = errno;
   if (error == EINPROGRESS || error == EALREADY || error == EINTR) return {CallStatus::wouldBlock, 0, error};
-  return {isLocalFailureOfConnect(error) ? CallStatus::shortage : CallStatus::broken, 0, error};
+  return {isLocalConnectFailure(error) ? CallStatus::shortage : CallStatus::broken, 0, error};
 }
 
 // Unlike in startConnect(), an error such as ENETUNREACH comes from the network here and not from this
 // machine.
 CallResult connectResult(int socket) {
   pollfd ready{socket, POLLOUT, 0};
-  const int count = uninterrupted([&] { return ::poll(&ready, 1, 0); });
+  const int count = retryOnEintr([&] { return ::poll(&ready, 1, 0); });
   if (count < 0) return {CallStatus::shortage, 0, errno};
   if (count == 0) return {CallStatus::wouldBlock};
   int error = 0;
@@ -124,7 +123,7 @@
 
 bool peerHungUp(int socket) {
   pollfd state{socket, POLLRDHUP, 0};
-  return uninterrupted([&] { return ::poll(&state, 1, 0); }) > 0 &&
+  return retryOnEintr([&] { return ::poll(&state, 1, 0); }) > 0 &&
          (state.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -73,7 +73,7 @@
 void UpstreamConnection::onClosed() {
   answer_.bufferMoved(buffer_.data());  // the read that found the end may have moved the buffer
   const bool answered =
-      peerEnded() && answer_.hasBegun() && answer_.peerClosed() == http::Message::Stage::done;
+      halfClosedByPeer() && answer_.hasBegun() && answer_.peerClosed() == http::Message::Stage::done;
   if (state_ == State::idle) return owner_.closeConnection(ref());
   if (answered) return finish(outcomeOf(answer_), readUpstreamResponse(answer_));
   if (isUnsent() && !mayWrite()) return finish(Outcome::notSent);
--- a/src/net/upstream/upstream_pool.cpp
+++ b/src/net/upstream/upstream_pool.cpp
@@ -47,7 +47,7 @@
     auto* const connection = loop_.find<UpstreamConnection>(ref);
     if (connection && loop_.now() - connection->idleSince() < reuseDelay_) continue;
     idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(index));
-    if (connection && connection->nothingReceived()) return connection;
+    if (connection && connection->hasNothingToRead()) return connection;
     if (connection) closeConnection(ref);
   }
   return nullptr;
--- a/tests/net/readiness_watchdog_test.cpp
+++ b/tests/net/readiness_watchdog_test.cpp
@@ -8,7 +8,7 @@
 
 TEST_CASE("a wait that is still open after its descriptor was marked ready is missed, once") {
   net::ReadinessWatchdog watchdog;
-  watchdog.waitBegins(POLLIN);
+  watchdog.waitStarted(POLLIN);
   CHECK_FALSE(watchdog.takeMissedWait());
   watchdog.markReady();
   CHECK(watchdog.takeMissedWait());
@@ -17,8 +17,8 @@
 
 TEST_CASE("any completion after the mark shows that the connection's events arrive") {
   net::ReadinessWatchdog watchdog;
-  watchdog.waitBegins(POLLIN);
-  watchdog.waitBegins(POLLOUT);
+  watchdog.waitStarted(POLLIN);
+  watchdog.waitStarted(POLLOUT);
   watchdog.markReady();
   const short ended = GENERATE(short{0}, short{POLLOUT});
   watchdog.completionRan(ended);
@@ -27,7 +27,7 @@
 
 TEST_CASE("no wait, no missed readiness") {
   net::ReadinessWatchdog watchdog;
-  watchdog.waitBegins(POLLIN);
+  watchdog.waitStarted(POLLIN);
   watchdog.completionRan(POLLIN);
   watchdog.markReady();
   CHECK_FALSE(watchdog.takeMissedWait());
@@ -36,8 +36,8 @@
 TEST_CASE("reading and writing are awaited and ended independently") {
   net::ReadinessWatchdog watchdog;
   CHECK(watchdog.awaitedEvents() == 0);
-  watchdog.waitBegins(POLLIN);
-  watchdog.waitBegins(POLLOUT);
+  watchdog.waitStarted(POLLIN);
+  watchdog.waitStarted(POLLOUT);
   CHECK(watchdog.awaitedEvents() == (POLLIN | POLLOUT));
   watchdog.completionRan(POLLIN);
   CHECK(watchdog.awaitedEvents() == POLLOUT);
