--- a/src/net/buffer.hpp
+++ b/src/net/buffer.hpp
@@ -8,10 +8,10 @@
 
 namespace merlinbridge::net {
 
-/// A growing queue of bytes in one contiguous block: appended at the end, dropped from the front. It moves
-/// its bytes to the start of the block before it grows, grows by half at least, and gives a large block back
-/// as soon as it is empty. The owner bounds the size. Every function that is not const invalidates views and
-/// pointers into the buffer.
+/// A growable FIFO byte buffer in one contiguous block: bytes are appended at the end and consumed from the
+/// front. It compacts before it grows, grows by at least half, and frees a large block as soon as it is
+/// empty. The owner bounds the size. Every non-const function invalidates views of and pointers into the
+/// buffer.
 class Buffer {
  public:
   char* data() { return block_.get() + begin_; }
@@ -19,7 +19,8 @@
   bool empty() const { return begin_ == end_; }
   std::string_view view() const { return {block_.get() + begin_, size()}; }
 
-  /// Makes room for at least `bytes` more and returns where they go; commit() adds those that were written.
+  /// Ensures free space for at least `bytes` more and returns a pointer to it. The caller writes there and
+  /// then calls commit().
   char* reserve(std::size_t bytes) {
     if (capacity_ - end_ >= bytes) return block_.get() + end_;
     const std::size_t used = size();
@@ -35,9 +36,9 @@
     end_ = used;
     return block_.get() + end_;
   }
-  /// Bytes that can be written behind the present ones without a further reserve().
+  /// Bytes that can be appended without another reserve().
   std::size_t freeBytes() const { return capacity_ - end_; }
-  /// Adds `bytes` that were written where reserve() pointed; freeBytes() at the most.
+  /// Appends the `bytes` written at the pointer that reserve() returned; at most freeBytes().
   void commit(std::size_t bytes) { end_ += bytes; }
   /// Appends a copy of `text`, which must not point into the buffer.
   void append(std::string_view text) {
@@ -45,7 +46,7 @@
     std::memcpy(reserve(text.size()), text.data(), text.size());
     end_ += text.size();
   }
-  /// Removes the first `bytes`; size() at the most.
+  /// Removes the first `bytes`; at most size().
   void consume(std::size_t bytes) {
     begin_ += bytes;
     if (begin_ == end_) {
@@ -57,7 +58,7 @@
       capacity_ = 0;
     }
   }
-  /// Removes the bytes from offset `from` up to, not including, offset `to`, both counted from the front.
+  /// Removes the bytes in [from, to), as offsets from the front.
   void erase(std::size_t from, std::size_t to) {
     if (from == to) return;
     std::memmove(data() + from, data() + to, size() - to);
@@ -68,9 +69,9 @@
   static constexpr std::size_t kInitialCapacity = 2048;   // bytes
   static constexpr std::size_t kRetainedCapacity = 8192;  // bytes; an empty buffer keeps no larger block
   std::unique_ptr<char[]> block_;
-  std::size_t capacity_ = 0;  ///< Of the block.
-  std::size_t begin_ = 0;     ///< Offsets of the bytes in the block.
-  std::size_t end_ = 0;
+  std::size_t capacity_ = 0;  ///< Size of the block.
+  std::size_t begin_ = 0;     ///< Offset in the block of the first byte.
+  std::size_t end_ = 0;       ///< Offset in the block just past the last byte.
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -6,7 +6,7 @@
 
 namespace merlinbridge::net {
 
-/// The source of the gateway's time; tests set it by hand.
+/// The gateway's time source; tests substitute a manual one.
 class Clock {
  public:
   virtual ~Clock() = default;
@@ -14,9 +14,9 @@
   virtual TimePoint now() const = 0;
 };
 
-/// Unix time as read once when the clock is made, advanced by the monotonic clock: all machines agree on it
-/// (counter slots and the start times of hosts are compared across machines), and a step of the system's wall
-/// clock does not move any deadline.
+/// Unix time, read once at construction and advanced by the monotonic clock. Unix time is needed because
+/// counter slots and host start times are compared across machines; advancing it monotonically keeps
+/// deadlines from moving when the system's wall clock is adjusted.
 class SystemClock final : public Clock {
  public:
   TimePoint now() const override {
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -9,7 +9,7 @@
 namespace merlinbridge::net {
 namespace {
 
-// Timers that run later than this show that the event loop stalled; the slack of the deadlines is smaller.
+// A deadline that runs this late indicates a stalled event loop: the coalescing window is shorter.
 constexpr Duration kStallThreshold = std::chrono::milliseconds(150);
 
 }  // namespace
@@ -19,11 +19,12 @@
   std::uint16_t port = 0;
   Error error;
   const auto host = asio::ip::make_address(address.substr(0, std::min(colon, address.size())), error);
-  if (error || colon == std::string::npos) throw std::invalid_argument("'" + address + "' is no address");
+  if (error || colon == std::string::npos)
+    throw std::invalid_argument("invalid address '" + address + "': expected IP:PORT");
   const char* const textEnd = address.data() + address.size();
   const auto [portEnd, portError] = std::from_chars(address.data() + colon + 1, textEnd, port);
   if (portError != std::errc{} || portEnd != textEnd)
-    throw std::invalid_argument("'" + address + "' has no port");
+    throw std::invalid_argument("invalid port in address '" + address + "'");
   return {host, port};
 }
 
@@ -54,9 +55,9 @@
   }
 }
 
-// Ends waits whose readiness the system does not report, as after a failed epoll_ctl, whose result Asio
-// ignores: a connection that poll() finds ready, and whose wait is still open once all pending events are
-// handled, goes on as if its wait had ended. See ReadinessWatchdog.
+// Ends waits whose readiness the system does not report, for example after a failed epoll_ctl(), whose result
+// Asio ignores. If poll() finds a connection ready and its wait is still open after all pending events have
+// been handled, the connection continues as if the wait had ended. See ReadinessWatchdog.
 void EventLoop::recoverMissedReadiness() {
   pollDescriptors_.clear();
   polledConnections_.clear();
@@ -76,9 +77,9 @@
 
 void EventLoop::endTurn() {
   runDueDeadlines();
-  // By index: a flush may add connections to be flushed.
+  // Iterates by index because a flush may append to the vector.
   for (std::size_t row = 0; row < pendingFlushes_.size();
-       ++row)  // NOLINT(modernize-loop-convert): grows meanwhile
+       ++row)  // NOLINT(modernize-loop-convert): grows in the loop
     if (Connection* const connection = find(pendingFlushes_[row])) connection->flush();
   pendingFlushes_.clear();
   closing_.clear();
@@ -95,8 +96,8 @@
   deadlines.run(now());
 }
 
-// A turn that only runs deadlines costs more than the deadlines do, so the timer is set late by the
-// coalescing window: any earlier turn runs them in passing.
+// A turn costs more than the deadlines it runs, so endTurn() sets the timer late by the coalescing window:
+// usually another event's turn runs the due deadlines first.
 void EventLoop::armTimer(TimePoint at) {
   armedFor_ = at;
   timer_.expires_after(std::max(Duration{0}, at - clock_.now()));
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -21,11 +21,11 @@
 namespace merlinbridge::net {
 
 namespace asio = boost::asio;
-/// The result of an Asio call or wait; false if it succeeded.
+/// The result of an Asio operation; converts to false on success.
 using Error = boost::system::error_code;
-/// Handlers bound to it never run concurrently; the gateway has one, EventLoop::strand.
+/// Serializes the handlers bound to it; the gateway has only one, EventLoop::strand.
 using Strand = asio::strand<asio::io_context::executor_type>;
-/// A TCP socket whose completions run on the strand.
+/// A TCP socket whose completion handlers run on the strand.
 using Socket = asio::basic_stream_socket<asio::ip::tcp, Strand>;
 /// An IP address with a port.
 using SocketAddress = asio::ip::tcp::endpoint;
@@ -33,19 +33,20 @@
 
 class Connection;
 
-/// Parses "10.0.0.4:8080" or an IPv6 address with a port; names are not resolved. Throws
-/// std::invalid_argument.
+/// Parses an IP address with a port, such as "10.0.0.4:8080" or its IPv6 counterpart; host names are not
+/// resolved. Throws std::invalid_argument if it is invalid.
 SocketAddress parseAddress(const std::string& address);
 
-/// The event loop of the daemon's one thread. It owns all connections in numbered slots and all deadlines,
-/// and defines the turn: everything that one completion handler does, from its start to endTurn(). Every
-/// function is called on the strand.
+/// The event loop of the daemon's single thread. It owns all connections, in numbered slots, and all
+/// deadlines. A turn is everything one completion handler does, from its start to endTurn(). All functions
+/// are called on the strand.
 ///
-/// Within a turn the time stands still, connections that are closed live on, and writes of sendLater() are
-/// collected; endTurn() runs what is due, flushes, destroys closed connections and sets the one system timer.
+/// Within a turn, now() is constant, closed connections stay allocated, and the writes of sendLater() are
+/// batched. endTurn() runs the deadlines that are due, flushes the batched writes, destroys closed
+/// connections and sets the system timer.
 class EventLoop {
  public:
-  /// What run() calls after each check interval.
+  /// Called by run() after each check interval.
   using PeriodicCheck = std::function<void()>;
 
   /// `eventLog` and `clock` must outlive the loop.
@@ -54,19 +55,19 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  /// The time of this turn; the clock is read once in a turn.
+  /// The time of this turn; the clock is read once per turn.
   TimePoint now() {
     if (!turnTime_) turnTime_ = clock_.now();
     return *turnTime_;
   }
-  /// The connection in that slot; nullptr if it has been closed, also if the slot is in use again.
+  /// The connection in that slot; nullptr if it has been closed, even if the slot has been reused since.
   Connection* find(SlotRef);
-  /// The same for a connection of known kind. The caller knows that `ref` names a `Kind`; there is no check.
+  /// As above, cast to `Kind`. Unchecked: the caller guarantees that `ref` refers to a `Kind`.
   template <class Kind>
   Kind* find(SlotRef ref) {
     return static_cast<Kind*>(find(ref));
   }
-  /// Creates a connection, `Kind(loop, args...)`, which the loop owns until closeDeferred().
+  /// Creates a connection as `Kind(loop, args...)`. The loop owns it until closeDeferred().
   template <class Kind, class... Args>
   Kind& open(Args&&... args) {
     const SlotRef ref = connections_.add(std::make_unique<Kind>(*this, std::forward<Args>(args)...));
@@ -74,33 +75,33 @@
     connection.assignSlot(ref);
     return connection;
   }
-  /// Deadlines may run up to `window` late, in the turn of another event, instead of in a turn of their own.
+  /// Lets deadlines run up to `window` late, so that they can share the turn of another event.
   void setTimerCoalescing(Duration window) { coalescingWindow_ = window; }
-  /// Sets the first pause before a call is repeated that failed for a shortage of this machine.
+  /// Sets the initial pause before retrying a call that failed for a local resource shortage.
   void setRetryPause(Duration pause) { retryPause_ = pause; }
   Duration retryPause() const { return retryPause_; }
-  /// Closes a connection's socket at once and frees its slot; the object lives on until the turn ends, so
-  /// that its callers on the stack may return through it. Has no effect if the connection is gone.
+  /// Closes a connection's socket and frees its slot immediately. The object is destroyed at the end of the
+  /// turn, so its callers on the stack can still return into it. No effect if already closed.
   void closeDeferred(SlotRef);
-  /// Calls the connection's flush() at the end of this turn.
+  /// Schedules the connection's flush() for the end of this turn.
   void flushLater(SlotRef ref) { pendingFlushes_.push_back(ref); }
-  /// Sets the longest time that run() waits without a check; see run().
+  /// Sets the interval between the periodic checks of run().
   void setCheckInterval(Duration interval) { checkInterval_ = interval; }
   /// Handles events until `io` is stopped. After each check interval it looks for missed readiness, calls
-  /// `check` and ends a turn, so that what is due is done even if the system has lost the timer or reports no
-  /// readiness.
+  /// `check` and ends the turn, so that due work is done even if the system misses the timer or fails to
+  /// report readiness.
   void run(const PeriodicCheck& check);
-  /// Ends a turn; every completion handler calls it last. See the class.
+  /// Ends a turn, as described at the class. Every completion handler must call it last.
   void endTurn();
 
-  asio::io_context io{BOOST_ASIO_CONCURRENCY_HINT_UNSAFE};  ///< One thread: no locks.
-  Strand strand;                                            ///< The only one; all handlers run on it.
-  core::DeadlineQueue deadlines;                            ///< Its callbacks run in endTurn().
+  asio::io_context io{BOOST_ASIO_CONCURRENCY_HINT_UNSAFE};  ///< Single-threaded: no locking.
+  Strand strand;                                            ///< All handlers run on it.
+  core::DeadlineQueue deadlines;                            ///< The callbacks run in endTurn().
   Log& log;
   FaultLog faults;  ///< Failed system calls and stalls.
 
  private:
-  /// Counts on the monotonic clock, whatever `clock_` is.
+  /// Always uses the monotonic clock, whatever `clock_` is.
   using SystemTimer = asio::basic_waitable_timer<std::chrono::steady_clock,
                                                  asio::wait_traits<std::chrono::steady_clock>, Strand>;
 
@@ -114,14 +115,14 @@
   Duration retryPause_ = std::chrono::milliseconds(5);
   std::optional<TimePoint> turnTime_;  ///< Empty until now() is called in this turn.
   core::SlotTable<std::unique_ptr<Connection>> connections_;
-  std::vector<std::unique_ptr<Connection>> closing_;  ///< Closed in this turn.
+  std::vector<std::unique_ptr<Connection>> closing_;  ///< Closed in this turn, destroyed at its end.
   std::vector<SlotRef> pendingFlushes_;
-  /// Of recoverMissedReadiness(), kept to reuse their memory: row by row, what is polled and for which
-  /// connection.
+  /// Scratch space of recoverMissedReadiness(), kept as members to reuse the memory: the polled descriptors
+  /// and, at the same index, their connections.
   std::vector<pollfd> pollDescriptors_;
   std::vector<SlotRef> polledConnections_;
   SystemTimer timer_;
-  TimePoint armedFor_ = TimePoint::max();  ///< When the system timer fires; max() if it is not set.
+  TimePoint armedFor_ = TimePoint::max();  ///< Expiry of the system timer; max() if it is not set.
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/fault_log.cpp
+++ b/src/net/fault_log.cpp
@@ -6,7 +6,7 @@
 namespace merlinbridge::net {
 namespace {
 
-// Between two lines of one kind.
+// Minimum time between two log lines for the same kind of failure.
 constexpr Duration kLogInterval = std::chrono::seconds(10);
 
 }  // namespace
@@ -43,11 +43,11 @@
   return true;
 }
 
-void FaultLog::record(TimePoint now, SystemCall call, int error, std::string_view consequence) {
+void FaultLog::record(TimePoint now, SystemCall call, int error, std::string_view action) {
   FailureCount& count = failures_[{call, error}];
   if (!countAndCheckDue(count, now)) return;
   log_(LogEvent::systemCallFailed, LogField{"call", nameOf(call)}, LogField{"error", errorText(error)},
-       LogField{"action", consequence}, LogField{"since_last_line", std::exchange(count.sinceLogged, 0)});
+       LogField{"action", action}, LogField{"since_last_line", std::exchange(count.sinceLogged, 0)});
 }
 
 void FaultLog::recordEventLoopStall(TimePoint now, Duration late) {
--- a/src/net/forwarded_request.cpp
+++ b/src/net/forwarded_request.cpp
@@ -12,8 +12,7 @@
 namespace merlinbridge::net {
 namespace {
 
-// Fields that are not forwarded: those that concern one connection only (hop-by-hop), and those that the
-// gateway writes itself.
+// Fields that are not forwarded: hop-by-hop fields, and those that the gateway sets itself.
 constexpr std::array kFieldsNotForwarded{kHostField,
                                          kConnectionField,
                                          kContentLengthField,
@@ -26,7 +25,7 @@
                                          std::string_view("Expect"),
                                          std::string_view("Proxy-Connection")};
 
-// `connectionField`: the request's Connection field, which lists further hop-by-hop fields.
+// `connectionField` is the value of the request's Connection field, which lists additional hop-by-hop fields.
 bool isForwarded(std::string_view name, std::string_view connectionField) {
   const auto isSame = [name](std::string_view other) { return http::equalsIgnoringCase(name, other); };
   return std::none_of(kFieldsNotForwarded.begin(), kFieldsNotForwarded.end(), isSame) &&
--- a/src/net/forwarded_request.hpp
+++ b/src/net/forwarded_request.hpp
@@ -8,10 +8,10 @@
 
 namespace merlinbridge::net {
 
-/// Writes a client's request as it is forwarded to a host: the same method, target, end-to-end header fields
-/// and body, with a Host, Req-Deadline-Ms and Content-Length of the gateway's own. `hostAddress`:
-/// "host:port". `timeLeft`: until the attempt is abandoned. `message` is overwritten; its memory is used
-/// again.
+/// Writes a client's request as it is forwarded to a host: with the same method, target, end-to-end header
+/// fields and body, but with Host, Req-Deadline-Ms and Content-Length set by the gateway. `hostAddress` is
+/// "host:port"; `timeLeft` is the time until the attempt is abandoned. Overwrites `message`, reusing its
+/// memory.
 void writeForwardedRequest(const http::Message& request, std::string_view hostAddress, Duration timeLeft,
                            std::string& message);
 
--- a/src/net/header_fields.hpp
+++ b/src/net/header_fields.hpp
@@ -2,13 +2,12 @@
 
 #include <string_view>
 
-/// Names of the header fields that the gateway reads or writes itself, as they stand on the wire. Names are
-/// compared without regard to case.
+/// Names of the header fields that the gateway reads or writes itself. Field names are case-insensitive.
 namespace merlinbridge::net {
 
-/// A client's name for its request; it goes with the request to the host, and into the log.
+/// The request identifier that the client chose; forwarded to the host and logged.
 inline constexpr std::string_view kRequestIdField = "Req-Id";
-/// How long the sender waits for the answer, in milliseconds.
+/// How long the sender waits for the response, in milliseconds.
 inline constexpr std::string_view kRequestDeadlineField = "Req-Deadline-Ms";
 inline constexpr std::string_view kHostField = "Host";
 inline constexpr std::string_view kConnectionField = "Connection";
--- a/src/net/readiness_watchdog.hpp
+++ b/src/net/readiness_watchdog.hpp
@@ -4,30 +4,31 @@
 
 namespace merlinbridge::net {
 
-/// Finds waits for readiness that the system does not end although the descriptor is ready, as after a failed
-/// epoll_ctl, whose result Asio ignores. EventLoop::run() checks all connections after each check interval:
-/// it polls the awaited events, marks those that are ready, handles all pending completions, and then takes
-/// every wait that is still open on a marked descriptor for missed.
+/// Detects readiness that the system does not report, for example after a failed epoll_ctl(), whose result
+/// Asio ignores. After each check interval, EventLoop::run() polls the awaited events of all connections,
+/// marks the connections that are ready, and handles all pending completions. A wait that is still open on a
+/// marked connection has then missed its readiness.
 ///
-/// Events are bits as poll() names them: POLLIN, POLLOUT.
+/// Events are poll() flags: POLLIN, POLLOUT.
 class ReadinessWatchdog {
  public:
+  /// A wait for `events` has started.
   void waitStarted(short events) { awaitedEvents_ |= events; }
-  /// A completion of this connection has run; `events` are those whose wait it ends, 0 if none.
+  /// A completion handler of this connection has run. `events`: those whose wait has ended; 0 if none.
   void completionRan(short events) {
     awaitedEvents_ &= static_cast<short>(~events);
     readySinceCheck_ = false;
   }
-  /// The events that are waited for; 0 if there is no wait.
+  /// The events that open waits are for; 0 if there are none.
   short awaitedEvents() const { return awaitedEvents_; }
-  /// poll() reports an awaited event.
+  /// poll() has reported an awaited event.
   void markReady() { readySinceCheck_ = true; }
-  /// Returns true if a wait is still open although its descriptor was marked ready, and forgets the mark.
+  /// Returns true if a wait is still open although its descriptor was marked ready. Clears the mark.
   bool takeMissedWait() { return std::exchange(readySinceCheck_, false) && awaitedEvents_ != 0; }
 
  private:
   short awaitedEvents_ = 0;
-  bool readySinceCheck_ = false;  ///< Marked ready by the last check, and no completion has run since.
+  bool readySinceCheck_ = false;  ///< Marked ready by the last check; no completion has run since.
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -12,22 +12,22 @@
 namespace merlinbridge::net {
 namespace {
 
-// Descriptors for the log, the event loop, the listening socket, the counter service and discovery.
+// Descriptors reserved for the log, the event loop, the listening socket, the counter service and discovery.
 constexpr std::size_t kReservedDescriptors = 32;
-// The first pause after a call that this machine could not serve, as a part of the connect timeout.
+// The initial pause after a local resource shortage is the connect timeout divided by this.
 constexpr int kRetryPauseDivisor = 50;
-// The longest wait of the event loop, as a part of the connect timeout.
+// The event loop's check interval is the connect timeout divided by this.
 constexpr int kCheckIntervalDivisor = 2;
 
 constexpr int kStatusOk = 200;
 constexpr int kStatusTooManyRequests = 429;
 constexpr int kStatusBadGateway = 502;
 
-// A longer content type of a host's answer is left out: the head of a response is bounded.
+// A longer Content-Type from a host is omitted, because the size of a response head is limited.
 constexpr std::size_t kMaxContentTypeBytes = 100;
 
-// How many connections clients may have, and hosts, if `descriptors` are allowed to the process. Each side
-// has half of what is left, since a request needs one of each.
+// The maximum number of client connections, and likewise of host connections, if the process may use
+// `descriptors`. Each side gets half of those not reserved, since a request needs one connection of each.
 std::size_t connectionsPerSide(std::size_t descriptors) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) == 0) descriptors = std::min<std::size_t>(descriptors, limit.rlim_cur);
@@ -57,7 +57,7 @@
   clients_.serve(core_);
 }
 
-// The counter's address is parsed first, so that nothing changes if it is not valid.
+// Parses the counter's address first, so that nothing changes if it is invalid.
 void Server::setAddresses(const std::string& discovery, const std::string& counter) {
   if (!counter.empty()) parseAddress(counter);
   discovery_.setAddress(discovery);
@@ -109,7 +109,7 @@
   return hosts_.startAttempt(host, forwardedRequest_, requestId, attemptNumber, deadline);
 }
 
-// Closing the connection ends the attempt at once, and the pool reports no outcome for it.
+// Closing the connection ends the attempt immediately; the pool reports no outcome for it.
 bool Server::closeAttempt(SlotRef /*client*/, AttemptNumber /*attemptNumber*/, SlotRef connection) {
   hosts_.closeAttempt(connection);
   return true;
--- a/src/net/server.hpp
+++ b/src/net/server.hpp
@@ -14,35 +14,35 @@
 
 namespace merlinbridge::net {
 
-/// The gateway's sockets around its core: the core's Transport to clients, hosts and the counter service. It
-/// owns the core, and the part for each kind of peer. All functions run on the event loop's strand; the loop
-/// outlives the server, and is stopped before the server is destroyed.
+/// The network side of the gateway: implements the core's Transport to clients, hosts and the counter
+/// service. Owns the core and one component per kind of peer. All functions run on the event loop's strand.
+/// The event loop outlives the server and must be stopped before the server is destroyed.
 class Server final : private core::Transport {
  public:
-  /// Binds and listens; nothing is accepted before serve(). Throws std::invalid_argument for an address that
-  /// cannot be parsed, and boost::system::system_error where the gateway cannot listen.
+  /// Binds and listens; serve() starts accepting. Throws std::invalid_argument for an invalid address, and
+  /// boost::system::system_error if the gateway cannot listen on its address.
   Server(EventLoop&, const config::GatewayConfig&);
 
-  /// Accepts clients, and watches discovery, from now on.
+  /// Starts accepting clients and watching discovery.
   void serve();
-  /// Sets the addresses of discovery and the counter service; an empty `counter`: there is none. Throws
-  /// std::invalid_argument, and then nothing has changed.
+  /// Sets the addresses of discovery and the counter service; an empty `counter` means no counter service.
+  /// Throws std::invalid_argument for an invalid address and then changes nothing.
   void setAddresses(const std::string& discovery, const std::string& counter);
-  /// Begins a graceful shutdown: the gateway is not ready, and answers all requests by `answerBy`.
+  /// Begins a graceful shutdown: the gateway reports not ready, and answers every request by `answerBy`.
   void startDraining(TimePoint answerBy);
-  /// Closes the clients' connections that have been idle for at least `idleFor`.
+  /// Closes the client connections that have been idle for at least `idleFor`.
   void closeIdle(Duration idleFor = Duration{0}) { clients_.closeIdle(idleFor); }
-  /// Stops accepting if no client waits; see ClientAcceptor::stop().
+  /// Stops accepting if no client is waiting; see ClientAcceptor::stop().
   bool stopAccepting() { return clients_.stopAccepting(); }
-  /// Looks whether clients wait unnoticed; the event loop does the same for its connections.
+  /// Checks the listening socket for missed readiness; the event loop does the same for its connections.
   void recoverMissedReadiness() { clients_.recoverMissedReadiness(); }
-  /// Drops unread data of all clients, so that the exit of the process resets no connection.
+  /// Discards unread data from all clients, so that process exit does not reset their connections.
   void discardUnread() { clients_.discardUnread(); }
-  /// Requests that the core has not answered yet.
+  /// The number of requests that the core has not answered yet.
   std::size_t unanswered() const { return core_.unanswered(); }
-  /// Whether no request is unanswered, and no client is in the middle of a request or of an answer.
+  /// Returns true if every request is answered and no client is sending a request or receiving a response.
   bool allAnswered() { return unanswered() == 0 && clients_.allIdle(); }
-  /// Whether the connections of all clients have closed.
+  /// Returns true if all client connections are closed.
   bool allClosed() { return clients_.allClosed(); }
 
  private:
@@ -66,7 +66,7 @@
   UpstreamPool hosts_;
   CounterClient counter_;
   DiscoveryClient discovery_;
-  std::string forwardedRequest_;  ///< The request that is being written to a host; its memory is kept.
+  std::string forwardedRequest_;  ///< Scratch space for startAttempt(), kept to reuse its memory.
   core::GatewayCore core_;
 };
 
--- a/src/net/stream_dialer.hpp
+++ b/src/net/stream_dialer.hpp
@@ -6,25 +6,25 @@
 
 namespace merlinbridge::net {
 
-/// How far a dial has come.
+/// The state of a dial.
 enum class DialProgress {
   pending,    ///< ConnectionStep::dial runs again when its wait ends.
   connected,  ///< The socket is connected.
-  failed      ///< The peer or the network path refused; StreamSocket::lastError() is the errno.
+  failed      ///< The peer refused or is unreachable; StreamSocket::lastError() is the errno.
 };
 
-/// Dials one peer. A shortage of this machine (descriptors, ports, routes) does not end a dial: it is
-/// repeated after a pause, for as long as the connection's wait timer allows.
+/// Connects to one peer. A local resource shortage (descriptors, ports, routes) does not end the dial: it is
+/// retried after a pause until the connection's wait timer fires.
 class StreamDialer {
  public:
   explicit StreamDialer(StreamSocket& socket) : socket_(socket) {}
 
-  /// Starts to dial. Always pending afterwards: the outcome comes in a later turn, so the caller is not
-  /// called back before this returns.
+  /// Starts the dial. Its outcome always follows in a later turn, so the caller is never called back before
+  /// this returns.
   void begin(const SocketAddress& peer);
-  /// Goes on when a wait has ended; `error` is that of the wait.
+  /// Continues after a wait that ended with `error`.
   DialProgress step(const Error& error);
-  /// Returns true if the last try failed for a shortage of this machine.
+  /// Returns true if the last system call of the dial failed for a local resource shortage.
   bool failedLocally() const { return result_.status == CallStatus::shortage; }
 
  private:
@@ -33,7 +33,7 @@
 
   StreamSocket& socket_;
   SocketAddress peer_;
-  CallResult result_;  ///< Of the last try.
+  CallResult result_;  ///< Of the last system call.
   asio::coroutine coroutine_;
 };
 
--- a/src/net/stream_reader.cpp
+++ b/src/net/stream_reader.cpp
@@ -7,11 +7,12 @@
 namespace merlinbridge::net {
 namespace {
 
-// The least free space, in bytes, that a read into an empty buffer is given.
+// Minimum free buffer space, in bytes, for the first read of fillBuffer().
 constexpr std::size_t kMinReadBytes = 2048;
-// Reads of one connection in one turn, so that one that never stops sending cannot hold the event loop.
+// Bounds the reads per connection and turn, so that a peer that sends continuously cannot block the event
+// loop.
 constexpr int kMaxReadsPerTurn = 256;
-// Discarded reads before a close, for the same reason.
+// Bounds the reads that discard data before a close, for the same reason.
 constexpr int kMaxDiscardedReads = 64;
 constexpr std::size_t kDiscardBytes = 4096;
 
@@ -48,8 +49,8 @@
     step({});
 }
 
-// Reads and calls onData() for as long as a message that has begun is incomplete. Returns the status of the
-// last read.
+// Reads and calls onData() while a message is incomplete. Returns `wouldBlock` if reading is to continue
+// after the next wait, otherwise the status of the last read.
 CallStatus StreamReader::readMessages() {
   CallStatus status = fillBuffer();
   for (int reads = 1; status == CallStatus::done; ++reads) {
@@ -62,7 +63,8 @@
   return status;
 }
 
-// Reads into the buffer. Returns `done` if at least one byte came; an end or a failure right behind it wins.
+// Reads into the buffer. Returns `done` if at least one byte was read, unless the stream ended or broke right
+// after it: that status takes precedence.
 CallStatus StreamReader::fillBuffer() {
   const std::size_t sizeBefore = buffer_.size();
   do {
--- a/src/net/stream_reader.hpp
+++ b/src/net/stream_reader.hpp
@@ -10,21 +10,21 @@
 namespace merlinbridge::net {
 
 /// Reads a connection's bytes into its buffer and calls ConnectionCallbacks::onData(). Reading pauses while
-/// bytes are unsent, since these stand behind the received ones in the same buffer, and while
-/// ConnectionCallbacks::readBufferFull() is true; resume() ends the pause.
+/// ConnectionCallbacks::readBufferFull() is true, and while bytes are unsent, since these follow the received
+/// bytes in the same buffer. resume() ends the pause.
 class StreamReader {
  public:
   StreamReader(StreamSocket& socket, Buffer& buffer, const StreamWriter& writer,
                ConnectionCallbacks& callbacks)
       : socket_(socket), buffer_(buffer), writer_(writer), callbacks_(callbacks) {}
 
-  /// Begins to read when first called; goes on when a wait has ended, `error` being that of the wait. Calls
+  /// The first call starts reading; later calls continue after a wait that ended with `error`. Calls
   /// ConnectionCallbacks::onClosed() when the stream has ended or the connection is broken.
   void step(const Error& error);
-  /// Goes on if reading has paused and the cause of the pause is gone.
+  /// Resumes reading if it is paused and nothing prevents it any longer.
   void resume();
-  /// Reads and drops what has come. Called before a close: closing a socket with unread bytes resets the
-  /// connection, and a reset takes with it what the peer has not read yet.
+  /// Reads and discards unread bytes. Called before a close: closing a socket with unread bytes resets the
+  /// connection, and a reset discards data that the peer has not read yet.
   void discard();
 
  private:
--- a/src/net/stream_writer.cpp
+++ b/src/net/stream_writer.cpp
@@ -63,13 +63,13 @@
       if (lastStatus_ == CallStatus::broken) return WriteEvent::failed;
     } while (unsent_ > 0);
   }
-  // A yield leaves the block above, too: only a completed coroutine has written all.
+  // A yield also reaches this point; everything has been written only if the coroutine is complete.
   const bool completed = coroutine_.is_complete() && socket_.isUp() && std::exchange(waiting_, false);
   return completed ? WriteEvent::allWritten : WriteEvent::none;
 }
 
-// Writes until all is written or the socket takes no more. Returns the status of the last call, or `broken`
-// if nothing may be written any more.
+// Writes until everything is written or the socket accepts no more. Returns the status of the last call, or
+// `broken` if mayWrite() forbids writing.
 CallStatus StreamWriter::writeUnsent() {
   if (!callbacks_.mayWrite()) return CallStatus::broken;
   callbacks_.beforeWritingUnsent();
--- a/src/net/stream_writer.hpp
+++ b/src/net/stream_writer.hpp
@@ -11,28 +11,29 @@
 
 namespace merlinbridge::net {
 
-/// What a call of the writer has brought about and the connection has to act on.
+/// The result of a StreamWriter call that the connection must act on.
 enum class WriteEvent {
-  none,        ///< Bytes are still unsent and a wait is open, or there was nothing to write.
-  allWritten,  ///< The last unsent byte has been written by this call.
+  none,        ///< Nothing to act on: some bytes are still unsent, or there was nothing to write.
+  allWritten,  ///< This call has written the last unsent byte.
   failed       ///< The connection is broken, or ConnectionCallbacks::mayWrite() forbids the rest.
 };
 
-/// Writes a connection's bytes. What the socket does not take at once is kept at the end of the connection's
-/// buffer, behind the received bytes, and written when the socket is ready or a shortage has passed.
+/// Writes a connection's bytes. Bytes that the socket does not accept immediately are kept at the end of the
+/// connection's buffer, after the received bytes, and written once the socket is writable or, after a local
+/// resource shortage, when the retry pause is over.
 class StreamWriter {
  public:
   StreamWriter(StreamSocket& socket, Buffer& buffer, ConnectionCallbacks& callbacks)
       : socket_(socket), buffer_(buffer), callbacks_(callbacks) {}
 
-  /// Writes `parts` (four at the most) with one call if nothing is unsent, and appends the rest to the unsent
-  /// bytes; the caller flushes them. After `failed`, nothing has been appended.
+  /// Writes `parts` (at most four) with one system call if nothing is unsent, and appends what is left over
+  /// to the unsent bytes, which the caller must flush. Appends nothing if it returns `failed`.
   WriteEvent send(std::initializer_list<std::string_view> parts);
-  /// Appends to the unsent bytes, which the event loop flushes at the end of this turn.
+  /// Appends to the unsent bytes and schedules a flush for the end of this turn.
   void sendLater(std::string_view part);
-  /// Tries to write the unsent bytes, and begins to wait for the socket if some remain.
+  /// Tries to write the unsent bytes, and starts a wait if some remain.
   WriteEvent flush();
-  /// Goes on when a wait has ended; `error` is that of the wait.
+  /// Continues after a wait that ended with `error`.
   WriteEvent step(const Error& error);
 
   std::size_t unsentBytes() const { return unsent_; }
@@ -46,10 +47,10 @@
   StreamSocket& socket_;
   Buffer& buffer_;
   ConnectionCallbacks& callbacks_;
-  std::size_t unsent_ = 0;       ///< Bytes at the end of the buffer.
+  std::size_t unsent_ = 0;       ///< Number of unsent bytes, which are at the end of the buffer.
   CallStatus lastStatus_{};      ///< Of the last write.
-  bool waiting_ = false;         ///< A wait is open after which step() writes on.
-  bool flushScheduled_ = false;  ///< The event loop flushes at the end of this turn.
+  bool waiting_ = false;         ///< A wait is open, after which step() continues.
+  bool flushScheduled_ = false;  ///< A flush is scheduled for the end of this turn.
   asio::coroutine coroutine_;
 };
 
