--- a/src/net/stream_socket.cpp
+++ b/src/net/stream_socket.cpp
@@ -8,7 +8,7 @@
 namespace merlinbridge::net {
 namespace {
 
-// The completion of a wait: lets the connection's step go on if the connection still exists, and ends the
+// Completion handler of a wait: runs the connection's step if the connection still exists, then ends the
 // turn.
 struct StepCompletion {
   EventLoop* loop;
@@ -25,7 +25,7 @@
   }
 };
 
-// Errors that the peer or the network path causes; all others are failures of this machine.
+// Returns true for errors caused by the peer or the network; all others are local failures.
 bool isCausedByPeer(int error) {
   return error == ECONNRESET || error == EPIPE || error == ECONNREFUSED || error == ETIMEDOUT ||
          error == EHOSTUNREACH;
@@ -55,7 +55,7 @@
 
 CallResult StreamSocket::openFor(const SocketAddress& peer) {
   Error error;
-  socket_.close(error);  // after a failed dial, a socket is of no further use
+  socket_.close(error);  // a socket cannot be reused after a failed dial
   Descriptor opened;
   if (const CallResult result = openStream(peer.protocol().family(), opened); !opened) {
     recordResult(SystemCall::socket, result);
@@ -92,7 +92,7 @@
   asio::post(loop_.strand, [completion = StepCompletion{&loop_, ref_, step, 0}] { completion({}); });
 }
 
-// The retry is bounded by the connection's wait timer, as every wait is.
+// Needs no limit on retries: the connection's wait timer bounds this wait like any other.
 void StreamSocket::retryLater(ConnectionStep step) {
   const Duration pause = backoff_.nextPause(loop_.retryPause());
   loop_.deadlines.add(loop_.now() + pause, [&loop = loop_, ref = ref_, step](TimePoint) {
@@ -102,23 +102,22 @@
 
 void StreamSocket::endMissedWait() {
   if (!readiness_.takeMissedWait()) return;
-  loop_.faults.record(loop_.now(), SystemCall::wait, ETIME, "readiness was missed");
+  loop_.faults.record(loop_.now(), SystemCall::wait, ETIME, "resuming after missed readiness");
   Error ignored;
   socket_.cancel(ignored);
 }
 
 void StreamSocket::recordResult(SystemCall call, const CallResult& result) {
   if (result.status == CallStatus::done) backoff_.reset();
-  if (result.status == CallStatus::shortage)
-    loop_.faults.record(loop_.now(), call, result.error, "tried again");
+  if (result.status == CallStatus::shortage) loop_.faults.record(loop_.now(), call, result.error, "retrying");
   if (result.status != CallStatus::broken) return;
   lastError_ = result.error;
   if (!isCausedByPeer(result.error))
-    loop_.faults.record(loop_.now(), call, result.error, "the connection is closed");
+    loop_.faults.record(loop_.now(), call, result.error, "closing the connection");
 }
 
 void StreamSocket::recordFailedWait(const Error& error) {
-  loop_.faults.record(loop_.now(), SystemCall::wait, error.value(), "tried again");
+  loop_.faults.record(loop_.now(), SystemCall::wait, error.value(), "retrying");
 }
 
 }  // namespace merlinbridge::net
--- a/src/net/stream_socket.hpp
+++ b/src/net/stream_socket.hpp
@@ -14,26 +14,25 @@
 ///     connecting --becomeOpen()--> open --recordEndOfStream()--> halfClosedByPeer
 ///     any state  --close()--> closed
 enum class ConnectionState {
-  connecting,        ///< Created; connect() dials, or start() has not been called yet.
+  connecting,        ///< Initial state, until connect() succeeds or start() is called.
   open,              ///< Both directions are usable.
-  halfClosedByPeer,  ///< The peer has ended its stream in good order; the gateway's direction is still
-                     ///< usable.
+  halfClosedByPeer,  ///< The peer has sent a FIN; the gateway can still send.
   closed             ///< close() has been called; final.
 };
 
-/// The step of a connection that goes on when a wait ends; see Connection::runStep().
+/// The operation that continues when a wait ends; see Connection::runStep().
 enum class ConnectionStep { dial, read, write };
 
-/// Returns true if a wait for readiness ended with an error. A cancelled wait is no error: it is one whose
-/// readiness was missed (StreamSocket::endMissedWait()), and the step goes on as if it were ready.
+/// Returns true if a wait for readiness failed. Cancellation does not count as a failure: it means that the
+/// readiness was missed (StreamSocket::endMissedWait()), and the step continues as if it had been reported.
 inline bool waitFailed(const Error& error) {
   return error && error != asio::error::operation_aborted;
 }
 
-/// The socket of one connection with what dialling, reading and writing share: the connection's state, the
-/// waits after which a step goes on, the backoff after shortages of this machine, and the record of failures.
-/// Owned by its Connection and used on the strand only. A wait holds the connection's slot reference, not a
-/// pointer: when the connection is gone by then, the wait ends without effect.
+/// The socket of one connection, with everything that dialling, reading and writing share: the connection's
+/// state, the waits between steps, the backoff after local resource shortages, and failure reporting. Owned
+/// by its Connection and used on the strand only. A wait holds the connection's slot reference, not a
+/// pointer: if the connection is gone when the wait ends, nothing happens.
 class StreamSocket {
  public:
   explicit StreamSocket(EventLoop& loop) : loop_(loop), socket_(loop.strand) {}
@@ -45,40 +44,40 @@
   EventLoop& loop() const { return loop_; }
   int descriptor() const { return socket_.native_handle(); }
 
-  /// Transitions; see ConnectionState.
+  /// State transitions; see ConnectionState.
   void becomeOpen();
   void recordEndOfStream();
   void close();
   ConnectionState state() const { return state_; }
-  /// Returns true if bytes can be written: open, or ended by the peer alone.
+  /// Returns true if bytes can be written: the connection is open or half-closed by the peer.
   bool isUp() const { return state_ == ConnectionState::open || state_ == ConnectionState::halfClosedByPeer; }
 
-  /// Opens a new socket for a dial to `peer` and closes the one before, if any. `done`, or `shortage` with
-  /// the errno.
+  /// Opens a new socket for a dial to `peer`, closing the previous one if any. Returns `done`, or `shortage`
+  /// with the errno.
   CallResult openFor(const SocketAddress& peer);
-  /// Sets TCP_NODELAY unless it is set. Without it, small writes may wait in the system and are lost with a
-  /// reset.
+  /// Sets TCP_NODELAY if it is not set yet. Without it, the system may hold back small writes, and a reset
+  /// would discard them.
   void ensureNoDelay() {
     if (!delayDisabled_) disableDelay();
   }
   void shutdownSend();
 
-  /// Runs `step` once the socket is ready. At most one wait for each kind of readiness is open.
+  /// Runs `step` when the socket becomes ready. At most one wait per kind of readiness may be open.
   void waitFor(Socket::wait_type readiness, ConnectionStep step);
-  /// Runs `step` in a turn of its own.
+  /// Runs `step` in a separate turn.
   void postStep(ConnectionStep step);
-  /// Runs `step` after the pause that follows a shortage of this machine; see ShortageBackoff.
+  /// Runs `step` after the backoff pause for a local resource shortage; see ShortageBackoff.
   void retryLater(ConnectionStep step);
 
-  /// The descriptor and the events that are waited for, as poll() takes them; `events` is 0 without a wait.
+  /// The descriptor and its awaited events, in the form that poll() takes; `events` is 0 if no wait is open.
   pollfd awaitedReadiness() const { return {descriptor(), readiness_.awaitedEvents(), 0}; }
   ReadinessWatchdog& readiness() { return readiness_; }
-  /// Cancels the waits if the watchdog finds that their readiness was missed; their steps then run as if the
+  /// Cancels the open waits if the watchdog finds that readiness was missed; their steps then run as if the
   /// system had reported it.
   void endMissedWait();
 
-  /// Records how a call ended: success resets the backoff, a shortage is counted in the fault log, a broken
-  /// connection sets lastError() and is counted if the cause is this machine.
+  /// Records the result of a call: success resets the backoff; a shortage is counted in the fault log; a
+  /// broken connection sets lastError() and is counted in the fault log if the cause is local.
   void recordResult(SystemCall call, const CallResult& result);
   void recordFailedWait(const Error& error);
   /// The errno that broke the connection; 0 if none did.
--- a/src/net/system_calls.cpp
+++ b/src/net/system_calls.cpp
@@ -9,10 +9,10 @@
 namespace merlinbridge::net {
 namespace {
 
-// Repeats of one interrupted call; after that, the interruption counts as a shortage.
+// Bounds the repeats of a call interrupted by signals; one more interruption counts as a shortage.
 constexpr int kMaxEintrRetries = 64;
 
-// Repeats the call while a signal interrupts it. Returns the last call's result, with errno as that left it.
+// Repeats the call while a signal interrupts it. Returns the result of the last call and preserves its errno.
 template <class Call>
 auto retryOnEintr(const Call& call) {
   auto result = call();
@@ -27,7 +27,7 @@
          error == EINTR;
 }
 
-// The failure of a call on an established connection or a listener, from errno.
+// Classifies errno after a failed call on an established connection or a listener.
 CallResult failureFromErrno() {
   const int error = errno;
   if (error == EAGAIN || error == EWOULDBLOCK) return {CallStatus::wouldBlock, 0, error};
@@ -41,7 +41,7 @@
   return {CallStatus::done, static_cast<std::size_t>(got)};
 }
 
-// Errors of connect() whose cause is this machine: its ports, its routes, its firewall.
+// Returns true for connect() errors with a local cause: ports, routes, firewall.
 bool isLocalConnectFailure(int error) {
   return isShortage(error) || error == EADDRNOTAVAIL || error == EADDRINUSE || error == EAGAIN ||
          error == ENETUNREACH || error == ENETDOWN || error == EPERM || error == EACCES;
@@ -54,7 +54,7 @@
   return *this;
 }
 
-// Linux frees the descriptor even if close() reports an error: no repeat.
+// Not retried on error: Linux frees the descriptor even if close() fails.
 Descriptor::~Descriptor() {
   if (number_ >= 0) ::close(number_);
 }
@@ -81,8 +81,8 @@
   return {CallStatus::done, static_cast<std::size_t>(sent)};
 }
 
-// On Linux, accept() also returns errors that are pending on the new connection: these concern that
-// connection alone, and the listener goes on.
+// On Linux, accept() also returns errors that are pending on the new connection. These affect that connection
+// only, and the listener remains usable.
 CallResult acceptConnection(int listener, Descriptor& accepted) {
   const int number =
       retryOnEintr([&] { return ::accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC); });
@@ -99,7 +99,7 @@
   return {};
 }
 
-// An interrupted connect() goes on by itself; a repeat would only return EALREADY.
+// An interrupted connect() continues in the background; calling it again would only return EALREADY.
 CallResult startConnect(int socket, const sockaddr* address, socklen_t size) {
   if (::connect(socket, address, size) == 0 || errno == EISCONN) return {};
   const int error = errno;
@@ -107,8 +107,7 @@
   return {isLocalConnectFailure(error) ? CallStatus::shortage : CallStatus::broken, 0, error};
 }
 
-// Unlike in startConnect(), an error such as ENETUNREACH comes from the network here and not from this
-// machine.
+// Unlike in startConnect(), errors such as ENETUNREACH come from the network here, not from this machine.
 CallResult connectResult(int socket) {
   pollfd ready{socket, POLLOUT, 0};
   const int count = retryOnEintr([&] { return ::poll(&ready, 1, 0); });
