--- a/src/net/client/client_acceptor.cpp
+++ b/src/net/client/client_acceptor.cpp
@@ -11,14 +11,15 @@
 namespace merlinbridge::net {
 namespace {
 
-// Connections that broke while they were accepted: after so many in a row, other handlers have their turn.
+// After this many consecutive connections that broke while being accepted, accepting pauses so that other
+// handlers can run.
 constexpr int kMaxConsecutiveBroken = 16;
-// The pause after a failed accept doubles with each failure in a row, at most this often.
+// The pause after a failed accept doubles with each consecutive failure, up to this many times.
 constexpr int kMaxBackoffDoublings = 4;
 
-constexpr std::string_view kAcceptingPauses = "accepting pauses";
-constexpr std::string_view kNextIsAccepted = "the next one is accepted";
-constexpr std::string_view kReadinessMissed = "readiness was missed";
+constexpr std::string_view kAcceptingPaused = "accepting paused";
+constexpr std::string_view kAcceptingNext = "accepting the next connection";
+constexpr std::string_view kResumingAfterMissedReadiness = "resuming after missed readiness";
 
 }  // namespace
 
@@ -32,12 +33,12 @@
   acceptor_.non_blocking(true);
 }
 
-// NOLINTNEXTLINE(readability-function-cognitive-complexity): the macros of the coroutine count as branches
+// NOLINTNEXTLINE(readability-function-cognitive-complexity): Asio's coroutine macros are counted
 void ClientAcceptor::acceptStep(Error error) {
   if (!acceptor_.is_open()) return;
   reenter(accepting_) {
     while (acceptor_.is_open()) {
-      // No connection is evicted before another client waits.
+      // Evict no connection until another client is actually waiting.
       if (owner_.isFull()) {
         yield waitForClients();
       }
@@ -54,7 +55,7 @@
         owner_.backlogEmpty();
         yield waitForClients();
         if (!error || error == asio::error::operation_aborted) continue;
-        loop_.faults.record(loop_.now(), SystemCall::wait, error.value(), kAcceptingPauses);
+        loop_.faults.record(loop_.now(), SystemCall::wait, error.value(), kAcceptingPaused);
       }
       backOff();
       yield return;
@@ -72,8 +73,8 @@
   });
 }
 
-// Handlers that the system has made ready run first; if the wait is still there after them, its notification
-// was lost, and cancelling the wait lets acceptStep() go on.
+// Pending completion handlers run first. If the wait is still open afterwards, its readiness was not
+// reported, and cancelling the wait lets acceptStep() continue.
 void ClientAcceptor::recoverMissedReadiness() {
   if (state_ != State::waiting || !acceptor_.is_open()) return;
   pollfd listener{acceptor_.native_handle(), POLLIN, 0};
@@ -81,12 +82,12 @@
   readyAtLastCheck_ = true;
   loop_.io.poll();
   if (!std::exchange(readyAtLastCheck_, false)) return;
-  loop_.faults.record(loop_.now(), SystemCall::wait, ETIME, kReadinessMissed);
+  loop_.faults.record(loop_.now(), SystemCall::wait, ETIME, kResumingAfterMissedReadiness);
   Error ignored;
   acceptor_.cancel(ignored);
 }
 
-// Takes one connection from the backlog. A connection that could not be registered before comes first.
+// Accepts one connection, or first retries to register one that was accepted but could not be registered.
 CallStatus ClientAcceptor::acceptOne() {
   if (accepted_) return registerAccepted();
   const CallResult result = acceptConnection(acceptor_.native_handle(), accepted_);
@@ -99,7 +100,7 @@
   Error error;
   socket.assign(protocol_, accepted_.get(), error);
   if (error) {
-    loop_.faults.record(loop_.now(), SystemCall::registration, error.value(), kAcceptingPauses);
+    loop_.faults.record(loop_.now(), SystemCall::registration, error.value(), kAcceptingPaused);
     return CallStatus::shortage;
   }
   accepted_.release();
@@ -111,13 +112,12 @@
 
 void ClientAcceptor::recordFailure(const CallResult& result) {
   if (result.status == CallStatus::shortage)
-    loop_.faults.record(loop_.now(), SystemCall::accept, result.error, kAcceptingPauses);
+    loop_.faults.record(loop_.now(), SystemCall::accept, result.error, kAcceptingPaused);
   if (result.status == CallStatus::broken)
-    loop_.faults.record(loop_.now(), SystemCall::accept, result.error, kNextIsAccepted);
+    loop_.faults.record(loop_.now(), SystemCall::accept, result.error, kAcceptingNext);
 }
 
-// The system has accepted the clients of the backlog, and their requests may be on the way: the first pause
-// is short.
+// The first pause is short: the clients in the backlog are already connected and may have sent requests.
 void ClientAcceptor::backOff() {
   state_ = State::paused;
   const Duration pause = loop_.retryPause() * (1 << std::min(consecutiveBackoffs_++, kMaxBackoffDoublings));
--- a/src/net/client/client_acceptor.hpp
+++ b/src/net/client/client_acceptor.hpp
@@ -8,51 +8,51 @@
 
 namespace merlinbridge::net {
 
-/// What a ClientAcceptor asks of its listener, and reports to it. All functions run on the event loop's
-/// strand. The implementation outlives the acceptor.
+/// Interface of a ClientAcceptor to its listener. All functions run on the event loop's strand. The
+/// implementation outlives the acceptor.
 class ClientAcceptorOwner {
  public:
   virtual ~ClientAcceptorOwner() = default;
-  /// Whether there is no free slot for another connection.
+  /// Returns true if the maximum number of connections is reached.
   virtual bool isFull() const = 0;
-  /// A client waits while isFull(): some connection should close. The acceptor pauses until it is resumed.
+  /// Closes connections, since a client is waiting while isFull(). The acceptor pauses until resume().
   virtual void evictConnections() = 0;
-  /// No client waits to be accepted.
+  /// No client is waiting to be accepted.
   virtual void backlogEmpty() = 0;
-  /// Takes over an accepted connection.
+  /// Takes ownership of an accepted connection.
   virtual void clientAccepted(Socket) = 0;
 };
 
-/// Accepts clients: binds and listens, pauses while there is no free slot or this machine lacks something,
-/// and finds readiness that the system has not passed on.
+/// Accepts client connections: binds and listens, pauses while the connection limit is reached or a local
+/// resource is short, and detects readiness that the system has not reported.
 class ClientAcceptor {
  public:
-  /// Binds and listens at once; throws boost::system::system_error. `backlog`: connections that the system
-  /// accepts ahead.
+  /// Binds and listens immediately; throws boost::system::system_error on failure. `backlog`: the maximum
+  /// number of connections that the system queues for accepting.
   ClientAcceptor(EventLoop&, const SocketAddress&, int backlog, ClientAcceptorOwner&);
 
-  /// Starts accepting. Must be called once.
+  /// Starts accepting. Must be called only once.
   void start() { acceptStep({}); }
-  /// Whether accepting waits for resume() or for the end of a backoff.
+  /// Returns true if accepting is paused until resume() or the end of a backoff.
   bool isPaused() const { return state_ == State::paused; }
-  /// Goes on accepting if it is paused.
+  /// Resumes accepting if it is paused.
   void resume();
-  /// The same in a turn of its own, for callers inside of a connection's handler.
+  /// As resume(), but in a separate turn, for callers within a connection's callback.
   void resumeLater();
-  /// Accepts what the system has accepted already, then stops for good. Returns true if there was nothing and
-  /// the listening socket is closed; false if there was something, or whether there was could not be seen.
+  /// Accepts the connections in the backlog. If there were none, closes the listening socket and returns
+  /// true. Returns false if there were some, or if the backlog could not be checked.
   bool stop();
-  /// Makes up for a lost notification: goes on if clients have been waiting unnoticed since the call before.
+  /// Resumes accepting if clients are waiting although the system has reported no readiness.
   void recoverMissedReadiness();
 
  private:
   enum class State {
-    accepting,  ///< On the stack, or not started, or stopped.
-    waiting,    ///< For readiness of the listening socket.
-    paused      ///< For resume().
+    accepting,  ///< Running, not started, or stopped.
+    waiting,    ///< Waiting for the listening socket to become ready.
+    paused      ///< Until resume().
   };
 
-  /// Coroutine; runs on the strand. The event loop is stopped before the acceptor is destroyed.
+  /// Coroutine; runs on the strand. The event loop must be stopped before the acceptor is destroyed.
   void acceptStep(Error error);
   void waitForClients();
   CallStatus acceptOne();
@@ -67,10 +67,10 @@
   asio::coroutine accepting_;
   State state_ = State::accepting;
   CallStatus lastAccept_{};
-  int consecutiveBroken_ = 0;      ///< Connections that broke while they were accepted.
-  int consecutiveBackoffs_ = 0;    ///< Each doubles the pause.
-  bool readyAtLastCheck_ = false;  ///< While waiting: the socket was ready at the last check.
-  Descriptor accepted_;            ///< Accepted, but not registered with the event loop yet.
+  int consecutiveBroken_ = 0;      ///< Connections that broke while being accepted.
+  int consecutiveBackoffs_ = 0;    ///< Each one doubles the pause.
+  bool readyAtLastCheck_ = false;  ///< While waiting: the last check found the socket ready.
+  Descriptor accepted_;            ///< Accepted but not yet registered with the event loop.
 };
 
 }  // namespace merlinbridge::net
--- a/src/net/client/client_connection.cpp
+++ b/src/net/client/client_connection.cpp
@@ -9,13 +9,13 @@
 namespace merlinbridge::net {
 namespace {
 
-// After its client has left, a request may start no attempt later than this.
+// After its client has disconnected, a request must not start an attempt later than this.
 constexpr Duration kDisconnectDetectionTime = std::chrono::milliseconds(100);
-// Checks in that time for an end of stream that stands behind much pipelined data.
+// Number of checks within that time for an end of stream after a large amount of pipelined data.
 constexpr int kDisconnectChecks = 3;
-// Bound on what all clients together may have buffered only so that such an end is read.
+// Limit on the total bytes buffered for all clients up to which reading continues to find such an end.
 constexpr std::size_t kMaxPipelinedBytes = 32 * (http::kMaxHeadBytes + http::kMaxBodyBytes);
-// Of a Req-Id: the rest is cut off in the log.
+// A longer Req-Id is truncated in the log.
 constexpr std::size_t kMaxLoggedIdBytes = 32;
 
 }  // namespace
@@ -24,8 +24,8 @@
                                    const ClientTimeouts& timeouts)
     : Connection(loop, std::move(socket)), owner_(owner), deadlines_(loop.now(), timeouts) {}
 
-// receiving -> submitting -> awaitingResponse -> receiving; any answer leads back to receiving. lingering is
-// the last state and may follow any other.
+// receiving -> submitting -> awaitingResponse -> receiving. answer() returns to receiving from any of these.
+// lingering is final and can follow any state.
 void ClientConnection::enter(State next) {
   if (state_ != State::lingering) state_ = next;
 }
@@ -40,10 +40,10 @@
   if (readBufferFull()) scheduleDisconnectCheck();
 }
 
-// A client may pipeline much and leave: its end of stream stands behind data that is not read, and may even
-// be held back at the client until buffers here are free. While its request waits for an answer, more of that
-// data is read, as long as all clients together stay below kMaxPipelinedBytes. Above that, only an end that
-// has reached this machine is seen.
+// A client may pipeline a lot of data and then disconnect. Its end of stream then follows unread data, and
+// may not even leave the client until receive buffers here have space. While its request waits for a
+// response, the connection therefore reads more of that data as long as the buffers of all clients together
+// stay below kMaxPipelinedBytes. Above that, only an end of stream that has reached this machine is detected.
 void ClientConnection::scheduleDisconnectCheck() {
   if (std::exchange(disconnectCheckScheduled_, true)) return;
   loop_.deadlines.add(loop_.now() + kDisconnectDetectionTime / kDisconnectChecks,
@@ -64,7 +64,7 @@
   scheduleDisconnectCheck();
 }
 
-// Handles the requests in the buffer as long as there are complete ones and none waits for its answer.
+// Handles the complete requests in the buffer one after the other, until one has to wait for its response.
 void ClientConnection::parseRequests() {
   if (std::exchange(parsing_, true)) return;
   while (isUp() && state_ == State::receiving && allWritten() && !buffer_.empty()) {
@@ -81,7 +81,7 @@
   parsing_ = false;
 }
 
-// Nothing behind bad framing can be read as a request.
+// After bad framing, the start of the next request cannot be found, so the connection closes.
 void ClientConnection::answerBadFraming() {
   persistence_ = Persistence::close;
   answerText({message_.errorStatus(), kBadFramingText});
@@ -95,14 +95,14 @@
 
 void ClientConnection::handleRequest() {
   if (answerHealthCheck()) return;
-  // The answers to these methods are framed in another way than a host's answer to a request.
+  // Responses to these methods are framed differently from the responses of hosts.
   if (message_.method() == "HEAD" || message_.method() == "CONNECT") return answerText(kMethodNotAllowed);
-  // The request may have been pipelined by a client that has left since.
+  // The client that pipelined this request may have disconnected since.
   if (readBufferFull() && peerHungUp()) return onClosed();
   forwardRequest();
 }
 
-// Returns true if the message was a request to a health endpoint.
+// Returns true if the message was a health check and has been answered.
 bool ClientConnection::answerHealthCheck() {
   if (!message_.get(kRequestIdField).empty()) return false;
   const std::string_view path = message_.target().substr(0, message_.target().find('?'));
@@ -112,7 +112,7 @@
   return true;
 }
 
-// The core may answer before requestArrived() returns; then the state is receiving again.
+// The core may answer before requestArrived() returns; the state is then no longer submitting.
 void ClientConnection::forwardRequest() {
   const TimePoint now = loop_.now();
   core::GatewayCore& core = owner_.core();
@@ -129,8 +129,8 @@
   answer(response.status, kTextPlainField, response.text);
 }
 
-// While the gateway drains, a connection with a next request on it is kept: the system has accepted that
-// request, and a close would drop it.
+// While the gateway drains, a connection on which another request has already arrived is kept open: closing
+// it would drop that request.
 Persistence ClientConnection::persistenceAfter(bool messageComplete) const {
   if (persistence_ == Persistence::close || !message_.keepsAlive()) return Persistence::close;
   if (!owner_.isDraining()) return Persistence::keepAlive;
@@ -173,8 +173,8 @@
   if (isIdle()) owner_.connectionIdle();
 }
 
-// The core may still be busy with the request just answered: a pipelined request reaches it in a turn of its
-// own.
+// The core may still be processing the request just answered, so the next pipelined request is submitted in a
+// separate turn.
 void ClientConnection::parseRequestsLater() {
   asio::post(loop_.strand, [&loop = loop_, self = ref()] {
     if (auto* const client = loop.find<ClientConnection>(self)) client->parseRequests();
@@ -182,8 +182,8 @@
   });
 }
 
-// A close over unread data would send a reset, which can overtake the last answer. What is read from here on
-// was not taken and is never forwarded: the client sees the end of the stream and asks elsewhere.
+// Closing a socket with unread data sends a reset, which can overtake the last response. Requests read from
+// here on are discarded and never forwarded: the client sees the end of stream and can retry elsewhere.
 void ClientConnection::lingeringClose(Duration timeout) {
   if (state_ == State::lingering || !isUp()) return;
   enter(State::lingering);
@@ -194,21 +194,21 @@
   resumeReading();
 }
 
-// While a request is in hand, at most a head's length of what is pipelined behind it is buffered, or what
-// checkForDisconnect() has allowed.
+// While a request is being processed, at most kMaxHeadBytes of pipelined data are buffered after it, or as
+// much as checkForDisconnect() has allowed.
 bool ClientConnection::readBufferFull() const {
   return (state_ == State::awaitingResponse || parsing_) &&
          buffer_.size() > std::max(message_.size() + http::kMaxHeadBytes, pipelineBufferLimit_);
 }
 
-// A client whose end of stream comes right behind its request has left, and the request must not be
-// forwarded: the end is read in the same turn.
+// A request that is directly followed by an end of stream must not be forwarded, because its client has
+// disconnected. Reading ahead finds the end in the same turn.
 std::size_t ClientConnection::readAheadLimit() const {
   const bool isReceiving = state_ == State::receiving || state_ == State::submitting;
   return isReceiving ? http::kMaxHeadBytes + http::kMaxBodyBytes : 0;
 }
 
-// The core enforces the deadline of a request that it has.
+// While the core processes a request, the core enforces the deadline.
 TimePoint ClientConnection::waitDeadline() const {
   if (state_ == State::lingering) return lingerUntil_;
   if (state_ == State::awaitingResponse) return loop_.now() + deadlines_.maxDeadline();
@@ -224,8 +224,8 @@
   updateWaitTimer();
 }
 
-// An idle connection is closed by a lingering close, since a next request may cross the close on its way. If
-// a request has come already, the wait starts anew and the request is read next.
+// An idle connection gets a lingering close, since the client may be sending another request at the same
+// time. If a request has already arrived, the wait restarts and the request is read next.
 void ClientConnection::onTimeout() {
   closeCause_ = ClientConnectionEnd::Cause::timeout;
   if (state_ == State::lingering || !allWritten()) return onClosed();
@@ -240,7 +240,7 @@
   return {closeCause_, halfClosedByPeer(), lastError()};
 }
 
-// The core is called last: it may answer or start other requests from clientLeft().
+// Calls the core last: from clientLeft(), it may answer or start other requests.
 void ClientConnection::onClosed() {
   if (!allWritten() && !answeredRequestId_.empty())
     logIncompleteResponse(loop_.log, answeredRequestId_, connectionEnd());
--- a/src/net/client/client_connection.hpp
+++ b/src/net/client/client_connection.hpp
@@ -13,66 +13,65 @@
 
 namespace merlinbridge::net {
 
-/// What a client's connection asks of its listener, and reports to it. All functions run on the event loop's
-/// strand. The implementation outlives its connections.
+/// Interface of a client's connection to its listener. All functions run on the event loop's strand. The
+/// implementation outlives its connections.
 class ClientConnectionOwner {
  public:
   virtual ~ClientConnectionOwner() = default;
-  /// Where requests go. GatewayCore may answer a request before requestArrived() returns.
+  /// Handles the requests. GatewayCore may answer a request before requestArrived() returns.
   virtual core::GatewayCore& core() = 0;
-  /// What `/health/ready` answers.
+  /// Returns true if `/health/ready` is to report ready.
   virtual bool isReady() const = 0;
-  /// Whether a graceful shutdown has begun.
+  /// Returns true once a graceful shutdown has begun.
   virtual bool isDraining() const = 0;
-  /// While draining: from this time on, each answer is its connection's last.
+  /// While draining: the time from which every response closes its connection.
   virtual TimePoint keepAliveEndsAt() const = 0;
-  /// Bytes in the buffers of all clients' connections.
+  /// Total bytes in the buffers of all client connections.
   virtual std::size_t bufferedBytes() = 0;
-  /// The connection has no request in hand and may be evicted. Must not close a connection before returning.
+  /// The connection has become idle and may be evicted. Must not close a connection before it returns.
   virtual void connectionIdle() = 0;
-  /// The connection is about to close, and no longer counts.
+  /// The connection is about to close and no longer counts towards the limit.
   virtual void connectionClosed(SlotRef) = 0;
 };
 
-/// One client's connection. It takes one request at a time, whose message stays in the buffer until it has
-/// its answer; what the client pipelines behind it waits in the buffer or the socket. The event loop owns it.
+/// One client's connection. It handles one request at a time, whose message stays in the buffer until it is
+/// answered. Requests pipelined after it wait in the buffer or in the socket. Owned by the event loop.
 class ClientConnection final : public Connection {
  public:
   ClientConnection(EventLoop&, Socket, ClientConnectionOwner&, const ClientTimeouts&);
 
-  /// The message in hand. Valid until the next read, which may move the buffer.
+  /// The current request. Valid until the next read, which may reallocate the buffer.
   const http::Message& message() {
     message_.bufferMoved(buffer_.data());
     return message_;
   }
-  /// Answers the request in hand. `fields`: whole header lines, each with its CRLF. Has no effect on a closed
-  /// connection.
+  /// Answers the current request. `fields` are complete header lines, each with its CRLF. Has no effect on a
+  /// closed connection.
   void answer(int status, std::string_view fields, std::string_view body);
-  /// Whether the connection is between two requests, with all answers written.
+  /// Returns true if the connection is between two requests and all responses are written.
   bool isIdle() const { return state_ == State::receiving && !message_.hasBegun() && allWritten(); }
-  /// When isIdle(): since when.
+  /// Since when the connection has been idle. Requires isIdle().
   TimePoint idleSince() const { return deadlines_.waitStartedAt(); }
-  /// Whether a part of a request has come, and not all of it.
+  /// Returns true if a request has been partly received.
   bool hasIncompleteRequest() const {
     return state_ == State::receiving && message_.hasBegun() && allWritten();
   }
-  /// When hasIncompleteRequest(): from when on timeOutRequest() may be called to make room for another
-  /// client.
+  /// From when timeOutRequest() may be called to admit another client. Requires hasIncompleteRequest().
   TimePoint evictableAt() const { return deadlines_.evictableAt(); }
-  /// Answers 408 to an incomplete request and closes; the client has `closeTimeout` to close as well.
+  /// Answers an incomplete request with 408 and starts a lingering close of at most `closeTimeout`.
   void timeOutRequest(Duration closeTimeout);
   bool isLingering() const { return state_ == State::lingering; }
   std::size_t bufferedBytes() const { return buffer_.size(); }
-  /// Starts a lingering close: ends the gateway's stream, then reads and drops what still comes until the
-  /// client closes, or for `timeout`.
+  /// Starts a lingering close: shuts down the sending direction, then reads and discards data until the
+  /// client closes or `timeout` has passed.
   void lingeringClose(Duration timeout);
 
  private:
   enum class State {
-    receiving,         ///< No request in hand, or an incomplete one.
-    submitting,        ///< The core has been handed a request and has not returned.
-    awaitingResponse,  ///< The core has the request.
-    lingering          ///< The gateway's stream has ended; see lingeringClose().
+    receiving,         ///< There is no request, or an incomplete one.
+    submitting,        ///< GatewayCore::requestArrived() is on the stack.
+    awaitingResponse,  ///< The core is processing the request.
+    lingering          ///< Sending has been shut down; see lingeringClose().
   };
 
   void onData() override;
@@ -108,9 +107,9 @@
   Persistence persistence_ = Persistence::keepAlive;
   ClientConnectionEnd::Cause closeCause_ = ClientConnectionEnd::Cause::peerOrFault;
   bool parsing_ = false;                   ///< parseRequests() is on the stack.
-  bool disconnectCheckScheduled_ = false;  ///< checkForDisconnect() will run.
-  std::size_t pipelineBufferLimit_ = 0;    ///< Bytes that may be buffered beyond the usual bound.
-  std::string answeredRequestId_;          ///< Req-Id of the last answer, for the log.
+  bool disconnectCheckScheduled_ = false;  ///< checkForDisconnect() is scheduled.
+  std::size_t pipelineBufferLimit_ = 0;    ///< Raised limit of readBufferFull(), in bytes.
+  std::string answeredRequestId_;          ///< Req-Id of the last answered request, for the log.
   TimePoint lingerUntil_{};                ///< While lingering.
 };
 
--- a/src/net/client/client_connection_log.cpp
+++ b/src/net/client/client_connection_log.cpp
@@ -15,7 +15,8 @@
   return end.endOfStream || end.error == 0 || end.error == ECONNRESET;
 }
 
-// An end that is neither read nor a reset was seen behind data that the client had pipelined.
+// If neither an end of stream was read nor an error seen, the gateway noticed the end while pipelined data
+// was still unread.
 std::string_view seenAs(const ClientConnectionEnd& end) {
   if (end.endOfStream) return "end_of_stream";
   return end.error != 0 ? "reset" : "end_behind_pipelined_data";
--- a/src/net/client/client_connection_log.hpp
+++ b/src/net/client/client_connection_log.hpp
@@ -6,27 +6,27 @@
 
 namespace merlinbridge::net {
 
-/// What ended a client's connection, as far as the gateway has seen.
+/// What ended a client's connection, as observed by the gateway.
 struct ClientConnectionEnd {
   enum class Cause {
     peerOrFault,  ///< The client, the network, or a failed system call.
-    timeout       ///< A timeout of the gateway.
+    timeout       ///< A timeout enforced by the gateway.
   };
 
   Cause cause = Cause::peerOrFault;
-  bool endOfStream = false;  ///< The client has ended its stream in good order.
+  bool endOfStream = false;  ///< The client has ended its stream with a FIN.
   int error = 0;             ///< The errno that broke the connection; 0 if none did.
 };
 
-/// How much of an answer has been written when the call that writes it returns.
+/// How much of a response has been written when the call that writes it returns.
 enum class WriteProgress { complete, partial, connectionClosed };
 
-/// Logs request_answered. `requestId`, here and below: the client's Req-Id, empty if it gave none.
+/// Logs request_answered. `requestId`, here and below, is the client's Req-Id; empty if it sent none.
 void logRequestAnswered(Log&, std::string_view requestId, int status, WriteProgress);
-/// Logs the end of a connection whose request has had no answer: client_disconnected if the client left,
-/// which it may, otherwise request_dropped.
+/// Logs the end of a connection whose request is unanswered: client_disconnected if the client disconnected,
+/// which is no error, otherwise request_dropped.
 void logUnansweredRequest(Log&, std::string_view requestId, const ClientConnectionEnd&);
-/// Logs response_incomplete: the connection ended before the answer was written whole.
+/// Logs response_incomplete: the connection ended before the response was completely written.
 void logIncompleteResponse(Log&, std::string_view requestId, const ClientConnectionEnd&);
 
 }  // namespace merlinbridge::net
--- a/src/net/client/client_deadlines.cpp
+++ b/src/net/client/client_deadlines.cpp
@@ -5,14 +5,14 @@
 namespace merlinbridge::net {
 namespace {
 
-// A client that stops in the middle of a request must get an error or a close within 3 s of connecting. The
-// remaining 200 ms are for a process that is stalled and for the network.
+// A client that stalls in the middle of a request must get an error or a close within 3 s of connecting. The
+// remaining 200 ms allow for process stalls and network delay.
 constexpr Duration kMaxRequestTime = std::chrono::milliseconds(2800);
 
 }  // namespace
 
-// The first request is counted from the time of accept, but has half of its time from its first byte in any
-// case.
+// The deadline of the first request is measured from the time of accept, or half of kMaxRequestTime after its
+// first byte if that is later. `deadline` bounds both.
 TimePoint ClientDeadlines::requestDeadline() const {
   const TimePoint deadline = waitStartedAt_ + std::min(kMaxRequestTime, timeouts_.maxDeadline);
   if (phase_ == Phase::laterRequest) return deadline;
--- a/src/net/client/client_deadlines.hpp
+++ b/src/net/client/client_deadlines.hpp
@@ -4,34 +4,33 @@
 
 namespace merlinbridge::net {
 
-/// Bounds on the waits of a client's connection.
+/// Timeouts of a client's connection.
 struct ClientTimeouts {
-  Duration idle{};         ///< Between two requests.
-  Duration maxDeadline{};  ///< The longest that a request waits for its answer, or an answer to be written.
+  Duration idle{};         ///< Maximum time between two requests.
+  Duration maxDeadline{};  ///< Maximum time for a request to be answered, and for a response to be written.
 };
 
-/// The times by which something must come from one client, or go to it. They are counted from the start of
-/// the present wait, and for the first request from when the connection was accepted.
+/// The deadlines for receiving from and sending to one client. They are measured from the start of the
+/// current wait; that of the first request is measured from when the connection was accepted.
 class ClientDeadlines {
  public:
   ClientDeadlines(TimePoint acceptedAt, const ClientTimeouts& timeouts)
       : timeouts_(timeouts), acceptedAt_(acceptedAt), waitStartedAt_(acceptedAt) {}
 
-  /// A wait begins: for a request, for the rest of one, or for its answer to be written.
+  /// A wait begins: for a request, for the rest of a request, or for a response to be written.
   void startWait(TimePoint now) { waitStartedAt_ = now; }
-  /// A request has its answer: those that follow are not counted from the time of accept.
+  /// A request has been answered: the deadlines of later ones are not measured from the time of accept.
   void firstRequestAnswered() { phase_ = Phase::laterRequest; }
 
   TimePoint waitStartedAt() const { return waitStartedAt_; }
   Duration maxDeadline() const { return timeouts_.maxDeadline; }
-  /// By when an idle connection must get its next request.
+  /// When an idle connection times out unless another request arrives.
   TimePoint idleDeadline() const { return waitStartedAt_ + timeouts_.idle; }
-  /// By when an answer must be written.
+  /// When a response must be completely written.
   TimePoint writeDeadline() const { return waitStartedAt_ + timeouts_.maxDeadline; }
-  /// By when a request that has begun to come must be complete.
+  /// When a request must be complete after its first byte has arrived.
   TimePoint requestDeadline() const;
-  /// From when on an incomplete request may be timed out early, to admit a client that waits for a
-  /// connection.
+  /// From when an incomplete request may be timed out early to admit a waiting client.
   TimePoint evictableAt() const;
 
  private:
--- a/src/net/client/client_eviction.cpp
+++ b/src/net/client/client_eviction.cpp
@@ -7,12 +7,13 @@
 namespace merlinbridge::net {
 namespace {
 
-// At most this part of all connections is evicted at once.
+// At most the connection limit divided by this is evicted at once.
 constexpr std::size_t kMaxEvictedDivisor = 8;
 
 }  // namespace
 
-// The doubling lets a crowd in quickly: with one new client in each round trip, the others would time out.
+// The target doubles so that a burst of new clients is admitted quickly: at one client per round trip, the
+// others would time out.
 std::optional<TimePoint> ClientEviction::evictConnections(const std::vector<SlotRef>& connections) {
   std::size_t closing = countClosing(connections);
   if (closing >= evictionTarget_) return std::nullopt;
@@ -32,7 +33,7 @@
   return static_cast<std::size_t>(std::count_if(connections.begin(), connections.end(), isClosing));
 }
 
-// Returns pointers, which are good to the end of the turn even if a connection closes meanwhile.
+// The returned pointers are valid until the end of the turn, even if a connection closes in the meantime.
 template <class Predicate>
 std::vector<ClientConnection*> ClientEviction::selectConnections(const std::vector<SlotRef>& connections,
                                                                  Predicate predicate) {
@@ -43,8 +44,8 @@
   return selected;
 }
 
-// Unread data on an idle connection is a request that the system has accepted: that connection stays. Returns
-// how many were evicted.
+// Keeps idle connections with unread data, which is a request that has already arrived. Returns the number of
+// evicted connections.
 std::size_t ClientEviction::evictIdle(const std::vector<SlotRef>& connections, std::size_t maxCount) {
   auto idle = selectConnections(connections, [](const ClientConnection& client) { return client.isIdle(); });
   std::sort(idle.begin(), idle.end(), [](const ClientConnection* a, const ClientConnection* b) {
@@ -60,7 +61,7 @@
   return evicted;
 }
 
-// Each incomplete request has half of its time in any case.
+// ClientDeadlines::evictableAt() leaves each incomplete request at least half of its time.
 ClientEviction::IncompleteEvictions ClientEviction::evictIncomplete(const std::vector<SlotRef>& connections,
                                                                     std::size_t maxCount) {
   auto incomplete = selectConnections(
--- a/src/net/client/client_eviction.hpp
+++ b/src/net/client/client_eviction.hpp
@@ -10,26 +10,26 @@
 
 class ClientConnection;
 
-/// Decides which connections close so that a client that waits can be accepted: those that have been idle for
-/// longest, then those whose request has been incomplete for longest. Connections with a request at the core
-/// are never evicted. It is asked when a client waits and all slots are taken.
+/// Selects and closes connections when the connection limit is reached and another client is waiting: first
+/// those that have been idle longest, then those whose request has been incomplete longest. Connections with
+/// a request in progress at the core are never evicted.
 class ClientEviction {
  public:
-  /// `closeTimeout`: the time that a client has to close an evicted connection.
+  /// `closeTimeout`: how long a client may take to close its side of an evicted connection.
   ClientEviction(EventLoop& loop, std::size_t maxConnections, Duration closeTimeout)
       : loop_(loop), maxConnections_(maxConnections), closeTimeout_(closeTimeout) {}
 
-  /// Begins to close some of the connections, unless enough are closing already. Asks for one at first and
-  /// for twice as many at each further call, up to a bound. Returns when the next incomplete request may be
-  /// evicted, if that was too early for one; evictConnections() is to be called again then.
+  /// Starts closing connections until the target number is closing. The target starts at one and doubles with
+  /// each call, up to a limit. If an incomplete request may not be evicted yet, returns the time from which
+  /// it may; the caller must call again then.
   std::optional<TimePoint> evictConnections(const std::vector<SlotRef>& connections);
-  /// No client waits: the next evictConnections() asks for one connection.
+  /// No client is waiting: resets the target to one.
   void reset() { evictionTarget_ = 1; }
 
  private:
   struct IncompleteEvictions {
     std::size_t count = 0;
-    std::optional<TimePoint> nextAt;
+    std::optional<TimePoint> nextAt;  ///< When the next incomplete request may be evicted.
   };
 
   std::size_t countClosing(const std::vector<SlotRef>& connections);
--- a/src/net/client/client_listener.cpp
+++ b/src/net/client/client_listener.cpp
@@ -6,7 +6,7 @@
 namespace merlinbridge::net {
 namespace {
 
-// The time that a client has to close an evicted connection, as a part of the longest deadline.
+// A client may take the longest deadline divided by this to close an evicted connection.
 constexpr int kEvictionTimeoutDivisor = 8;
 
 }  // namespace
@@ -37,7 +37,7 @@
   if (acceptor_.isPaused()) acceptor_.resumeLater();
 }
 
-// A client may have been waiting since all connections were busy.
+// A client may be waiting because all connections were busy.
 void ClientListener::connectionIdle() {
   if (acceptor_.isPaused() && isFull()) acceptor_.resumeLater();
 }
@@ -67,7 +67,7 @@
   keepAliveEndsAt_ = keepAliveEndsAt;
 }
 
-// Works on a copy of the list, from which a connection that closes is removed.
+// Iterates over a copy, because a connection that closes is removed from the list.
 void ClientListener::closeIdle(Duration idleFor) {
   for (const SlotRef ref : std::vector(connections_))
     if (ClientConnection* const client = loop_.find<ClientConnection>(ref);
--- a/src/net/client/client_listener.hpp
+++ b/src/net/client/client_listener.hpp
@@ -11,29 +11,29 @@
 
 namespace merlinbridge::net {
 
-/// The clients' side of the gateway: holds the list of their connections and its bound, which is their share
-/// of the descriptors, and knows whether the gateway is ready or draining. All functions run on the event
-/// loop's strand, which is stopped before the listener is destroyed.
+/// The client side of the gateway: keeps the list of client connections within its limit (the clients' share
+/// of the descriptors) and tracks whether the gateway is ready or draining. All functions run on the event
+/// loop's strand. The event loop must be stopped before the listener is destroyed.
 class ClientListener final : private ClientConnectionOwner, private ClientAcceptorOwner {
  public:
-  /// Binds and listens at once; accepts from serve() on. Throws boost::system::system_error.
+  /// Binds and listens immediately; serve() starts accepting. Throws boost::system::system_error on failure.
   ClientListener(EventLoop&, const SocketAddress&, std::size_t maxConnections, const ClientTimeouts&);
 
-  /// Accepts clients from now on, and is ready. The core outlives the listener's connections.
+  /// Starts accepting clients and reports ready. The core outlives the listener's connections.
   void serve(core::GatewayCore& core);
-  /// Graceful shutdown: the gateway is not ready any more. Each answer is its connection's last, unless the
-  /// next request is there already; from `keepAliveEndsAt` on, each answer is the last.
+  /// Starts the graceful shutdown: reports not ready, and closes each connection after its current response
+  /// unless another request has already arrived on it; from `keepAliveEndsAt` on, even then.
   void drain(TimePoint keepAliveEndsAt);
-  /// Begins a lingering close of the connections that have been idle for at least `idleFor`.
+  /// Starts a lingering close of the connections that have been idle for at least `idleFor`.
   void closeIdle(Duration idleFor);
   /// See ClientAcceptor::stop().
   bool stopAccepting() { return acceptor_.stop(); }
   /// See ClientAcceptor::recoverMissedReadiness().
   void recoverMissedReadiness() { acceptor_.recoverMissedReadiness(); }
-  /// Reads and drops what is unread on all connections, so that the exit of the process resets none.
+  /// Discards unread data on all connections, so that process exit does not reset them.
   void discardUnread();
   bool allClosed() const { return connections_.empty(); }
-  /// Whether no client is in the middle of a request or of an answer.
+  /// Returns true if no client is sending a request or waiting for the rest of a response.
   bool allIdle();
 
  private:
--- a/src/net/client/client_response.cpp
+++ b/src/net/client/client_response.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::string_view kConnectionCloseField = "Connection: close\r\n";
 
-// The reason phrases of the statuses that the gateway answers with.
+// Covers the status codes that the gateway sends.
 std::string_view reasonPhrase(int status) {
   switch (status) {
     case 200:
