--- a/tests/net/client_admission_test.cpp
+++ b/tests/net/client_admission_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Clients beyond the limit of descriptors: which idle or incomplete connection is closed to free a slot, and
+/// Admission of clients at the connection limit: which idle connection or incomplete request is evicted, and
 /// when.
 #include <catch2/catch.hpp>
 #include <vector>
@@ -15,14 +15,13 @@
 constexpr std::size_t kSocketsForTwoClients = kReservedSockets + 2 * 2;   // with two connections to hosts
 constexpr std::size_t kSocketsForFourClients = kReservedSockets + 2 * 4;  // with four connections to hosts
 
-/// How long a connection whose slot is wanted may take to close: an eighth of the longest deadline, and a
-/// bit.
+/// Longer than an evicted connection may stay open: an eighth of the longest deadline.
 constexpr Duration kCloseGrace = 260ms;
 
 }  // namespace
 
 TEST_CASE(
-    "Without a free descriptor the longest idle client is closed, and accepting pauses if none is idle") {
+    "At the connection limit the longest idle client is evicted, and accepting pauses if none is idle") {
   GatewayUnderTest gateway(kSocketsForTwoClients);
   TestPeer clientA = gateway.connectClient();
   TestPeer clientB = gateway.connectClient();
@@ -58,8 +57,8 @@
 }
 
 TEST_CASE(
-    "A client that connects while requests hold all slots gets one when they are answered, though none "
-    "leaves") {
+    "A client that connects while requests occupy all slots gets one once they are answered, even if no "
+    "client disconnects") {
   GatewayUnderTest gateway(kSocketsForTwoClients);
   ForwardedRequest first(gateway);
   ForwardedRequest second(gateway);
@@ -78,8 +77,9 @@
   CHECK(second.client.hasReceived("two"));
 }
 
-TEST_CASE("A request that has arrived when its idle connection is to be closed is served") {
-  const bool slotWanted = GENERATE(true, false);  // else the gateway shuts down
+TEST_CASE(
+    "A request that has arrived on an idle connection is served even if the connection is to be closed") {
+  const bool evicting = GENERATE(true, false);  // otherwise the gateway shuts down
   GatewayUnderTest gateway(kSocketsForTwoClients);
   TestPeer clientA = gateway.connectClient();
   TestPeer clientB = gateway.connectClient();
@@ -88,12 +88,12 @@
     REQUIRE(gateway.runUntilReceived(*client, "live"));
     client->receivedBytes.clear();
   }
-  // None of what follows has been read by the gateway when the connections are to be closed.
+  // The gateway reads none of the following before it decides to close the connections.
   std::optional<TestPeer> newcomer;
-  if (slotWanted) newcomer.emplace(gateway.connectClient());
+  if (evicting) newcomer.emplace(gateway.connectClient());
   clientA.send(clientRequest("look"));
   clientB.send(clientRequest("look"));
-  if (!slotWanted) {
+  if (!evicting) {
     gateway.server.startDraining(gateway.clock.currentTime + 3s);
     gateway.server.closeIdle();
   }
@@ -111,7 +111,7 @@
   CHECK_FALSE((clientA.wasReset || clientB.wasReset));
 }
 
-TEST_CASE("Incomplete requests that hold all slots are closed for waiting clients, the oldest first") {
+TEST_CASE("Incomplete requests that occupy all slots are evicted for waiting clients, the oldest first") {
   GatewayUnderTest gateway(kSocketsForFourClients);
   std::vector<TestPeer> incomplete;
   for (int count = 0; count < 4; ++count) {
@@ -125,13 +125,13 @@
   TestPeer probing = gateway.connectClient();
   probing.send(kLiveProbe);
   gateway.runPendingEvents();
-  CHECK_FALSE(incomplete[0].isClosedByRemote());  // its rest may still arrive in time
+  CHECK_FALSE(incomplete[0].isClosedByRemote());  // the rest may still arrive in time
   gateway.advanceClock(600ms);
   CHECK(gateway.runUntilClosed(incomplete[0]));
   CHECK(statusOf(incomplete[0]) == "HTTP/1.1 408");
   for (TestPeer& client : incomplete) client.close();
   CHECK(gateway.runUntilReceived(probing, "live"));
-  gateway.advanceClock(2100ms);  // 2.6 s since the late one has connected
+  gateway.advanceClock(2100ms);  // 2.6 s after lateIncomplete connected
   CHECK(gateway.runUntilClosed(lateIncomplete));
   CHECK(statusOf(lateIncomplete) == "HTTP/1.1 408");
 }
--- a/tests/net/client_connection_log_test.cpp
+++ b/tests/net/client_connection_log_test.cpp
@@ -14,7 +14,7 @@
 constexpr auto kPeerOrFault = ClientConnectionEnd::Cause::peerOrFault;
 constexpr auto kTimeout = ClientConnectionEnd::Cause::timeout;
 
-// The end of an unanswered request as it is logged, from `minLevel` on.
+// The log line for the end of an unanswered request; empty if it is below `minLevel`.
 std::string unansweredLine(const ClientConnectionEnd& end, Level minLevel = Level::debug) {
   std::ostringstream out;
   Log log(out, minLevel);
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-TEST_CASE("a client that leaves before its answer is logged with how its end was seen") {
+TEST_CASE("a client that disconnects before its request is answered is logged with how the gateway noticed") {
   const std::string ended = unansweredLine({kPeerOrFault, true, 0});
   CHECK(contains(ended, "client_disconnected"));
   CHECK(contains(ended, "request=7 seen_as=end_of_stream"));
@@ -50,7 +50,7 @@
   CHECK(contains(unansweredLine({kPeerOrFault, false, 0}), "request=7 seen_as=end_behind_pipelined_data"));
 }
 
-TEST_CASE("a client that leaves before its answer is not logged above the debug level") {
+TEST_CASE("a client that disconnects before its request is answered is logged at debug level only") {
   CHECK(unansweredLine({kPeerOrFault, true, 0}, Level::info).empty());
 }
 
@@ -63,14 +63,14 @@
   CHECK(contains(timedOut, "timed out"));
 }
 
-TEST_CASE("an incomplete response is logged with what ended it") {
+TEST_CASE("an incomplete response is logged with its cause") {
   CHECK(contains(incompleteLine({kPeerOrFault, true, 0}), "response_incomplete"));
   CHECK(contains(incompleteLine({kPeerOrFault, true, 0}), "client disconnected"));
   CHECK(contains(incompleteLine({kPeerOrFault, false, EPIPE}), "Broken pipe"));
   CHECK(contains(incompleteLine({kTimeout, false, EPIPE}), "timed out"));
 }
 
-TEST_CASE("an answered request is logged with how much of the answer has been written") {
+TEST_CASE("an answered request is logged with how much of the response has been written") {
   CHECK(contains(answeredLine(WriteProgress::complete), "request=7 status=200 written=complete"));
   CHECK(contains(answeredLine(WriteProgress::partial), "written=partly"));
   CHECK(contains(answeredLine(WriteProgress::connectionClosed), "written=connection_closed"));
--- a/tests/net/client_connection_test.cpp
+++ b/tests/net/client_connection_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// A client's connection: pipelined requests, framing errors, timeouts, and its end beside other events of
-/// the same turn.
+/// Client connections: pipelined requests, framing errors, timeouts, and disconnects that coincide with other
+/// events of the same event-loop turn.
 #include <catch2/catch.hpp>
 #include <vector>
 
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-TEST_CASE("A client that closes neither stops the gateway nor has its response delivered to another client") {
+TEST_CASE("A client's close neither stops the gateway nor delivers its response to another client") {
   GatewayUnderTest gateway;
   ForwardedRequest forwarded(gateway);
   forwarded.client.close();
@@ -30,7 +30,7 @@
   CHECK_FALSE(otherClient.hasReceived("one"));
 }
 
-TEST_CASE("Pipelined requests are answered in their order") {
+TEST_CASE("Pipelined requests are answered in order") {
   GatewayUnderTest gateway;
   ForwardedRequest forwarded(gateway, clientRequest("look") + kLiveProbe + clientRequest("none"));
   forwarded.host->send(okResponse("one"));
@@ -83,7 +83,8 @@
   CHECK((forwarded.client.receivedBytes == expected));
 }
 
-TEST_CASE("Invalid framing is answered with its status and a close, and other clients are served") {
+TEST_CASE(
+    "Invalid framing is answered with the matching status and a close, and other clients are still served") {
   const auto [bytes, status] = GENERATE(table<std::string, std::string>({
       {"GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", "400"},
       {"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nq\r\n", "400"},
@@ -115,7 +116,8 @@
   CHECK(gateway.runUntilClosed(idle));
 }
 
-TEST_CASE("An incomplete request is answered 408 after the longest deadline and closed without a reset") {
+TEST_CASE(
+    "An incomplete request is answered with 408 after the longest deadline and closed without a reset") {
   const std::string bytes = GENERATE(as<std::string>(), "GET", kIncompleteRequest,
                                      "POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf");
   GatewayUnderTest gateway;
@@ -129,9 +131,9 @@
 }
 
 TEST_CASE(
-    "A request that crosses the close of its idle connection is neither forwarded nor answered by a reset") {
-  enum class ClosedBy { shutdown, idleTimeout, slotDemand };
-  const auto closedBy = GENERATE(ClosedBy::shutdown, ClosedBy::idleTimeout, ClosedBy::slotDemand);
+    "A request sent while its idle connection is being closed is neither forwarded nor answered by a reset") {
+  enum class ClosedBy { shutdown, idleTimeout, eviction };
+  const auto closedBy = GENERATE(ClosedBy::shutdown, ClosedBy::idleTimeout, ClosedBy::eviction);
   GatewayUnderTest gateway(kSocketsForTwoClients);
   ForwardedRequest forwarded(gateway);
   forwarded.host->send(okResponse("one"));
@@ -140,7 +142,7 @@
   forwarded.host->receivedBytes.clear();
   gateway.advanceClock(30ms);
   std::vector<TestPeer> newcomers;
-  for (int count = 0; closedBy == ClosedBy::slotDemand && count < 2; ++count)
+  for (int count = 0; closedBy == ClosedBy::eviction && count < 2; ++count)
     newcomers.push_back(gateway.connectClient());
   gateway.runPendingEvents();
   if (closedBy == ClosedBy::shutdown) {
@@ -148,8 +150,8 @@
     gateway.server.closeIdle();
   }
   if (closedBy == ClosedBy::idleTimeout) gateway.advanceClock(29'980ms);
-  if (closedBy == ClosedBy::slotDemand) REQUIRE(gateway.runUntilClosed(forwarded.client));
-  forwarded.client.send(clientRequest("look"));  // as a client does that has not read the FIN yet
+  if (closedBy == ClosedBy::eviction) REQUIRE(gateway.runUntilClosed(forwarded.client));
+  forwarded.client.send(clientRequest("look"));  // as from a client that has not read the FIN yet
   gateway.runPendingEvents();
   CHECK(forwarded.client.isClosedByRemote());
   CHECK_FALSE(forwarded.client.wasReset);
@@ -160,7 +162,7 @@
   CHECK(forwarded.host->readAvailable().empty());
 }
 
-TEST_CASE("A request that arrives in the turn of its connection's idle timeout is served") {
+TEST_CASE("A request that arrives in the same turn as its connection's idle timeout is served") {
   GatewayUnderTest gateway;
   ForwardedRequest forwarded(gateway);
   forwarded.host->send(okResponse("one"));
@@ -178,8 +180,7 @@
   CHECK_FALSE(forwarded.client.isClosedByRemote());
 }
 
-TEST_CASE(
-    "The close of a client is noticed behind much pipelined data, and nothing more is forwarded for it") {
+TEST_CASE("A client's close is detected behind much pipelined data, and nothing more is forwarded for it") {
   const bool resets = GENERATE(true, false);
   GatewayUnderTest gateway(1024);
   ForwardedRequest forwarded(gateway);
@@ -193,9 +194,9 @@
   gateway.runPendingEvents();
   const std::size_t descriptorsBefore = openDescriptorCount();
   resets ? forwarded.client.closeWithReset() : forwarded.client.close();
-  gateway.advanceClock(110ms);  // a third of the time within which a close must take effect
+  gateway.advanceClock(110ms);  // a third of the time in which a close must take effect
   gateway.runPendingEvents();
-  CHECK(openDescriptorCount() < descriptorsBefore - 1);  // the gateway's end is closed, too
+  CHECK(openDescriptorCount() < descriptorsBefore - 1);  // the gateway's end is closed as well
   CHECK(gateway.server.unanswered() == 0);
   forwarded.host->send(okResponse("one"));
   gateway.runPendingEvents();
@@ -203,7 +204,7 @@
   CHECK_FALSE(gateway.host.accept(host));
 }
 
-TEST_CASE("A request that is read in one turn with its client's close is not forwarded") {
+TEST_CASE("A request that is read in the same turn as its client's close is not forwarded") {
   const bool halfCloses = GENERATE(true, false);  // on the wire, a half-close and a close look alike
   constexpr int kClients = 20;
   constexpr std::size_t kBodyBytes = 30'000;
--- a/tests/net/client_deadlines_test.cpp
+++ b/tests/net/client_deadlines_test.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-TEST_CASE("an idle client is waited for from the start of its present wait") {
+TEST_CASE("the idle timeout is measured from the start of the current wait") {
   ClientDeadlines deadlines(kAcceptedAt, kTimeouts);
   CHECK(deadlines.waitStartedAt() == kAcceptedAt);
   CHECK(deadlines.idleDeadline() == kAcceptedAt + 30s);
@@ -25,7 +25,7 @@
   CHECK(deadlines.maxDeadline() == 10s);
 }
 
-TEST_CASE("the first request must be complete 2.8 s after the accept, and has half of that in any case") {
+TEST_CASE("the first request must be complete 2.8 s after the accept, but gets at least half of that") {
   ClientDeadlines deadlines(kAcceptedAt, kTimeouts);
   deadlines.startWait(kAcceptedAt + 1s);
   CHECK(deadlines.requestDeadline() == kAcceptedAt + 2800ms);
@@ -40,7 +40,7 @@
   CHECK(deadlines.requestDeadline() == kAcceptedAt + 3800ms);
 }
 
-TEST_CASE("no request may take longer to come than the longest deadline") {
+TEST_CASE("no request may take longer to arrive than the longest deadline") {
   ClientDeadlines deadlines(kAcceptedAt, {30s, 500ms});
   CHECK(deadlines.requestDeadline() == kAcceptedAt + 500ms);
   CHECK(deadlines.evictableAt() == kAcceptedAt + 250ms);
--- a/tests/net/client_response_test.cpp
+++ b/tests/net/client_response_test.cpp
@@ -5,7 +5,8 @@
 
 using namespace merlinbridge::net;
 
-TEST_CASE("a response head carries status, length and fields, and says if the connection closes") {
+TEST_CASE(
+    "a response head has the status, length and fields, and Connection: close if the connection closes") {
   CHECK(ResponseHead(200, 5, "A: b\r\n", Persistence::keepAlive).text() ==
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nA: b\r\n\r\n");
   CHECK(ResponseHead(408, 0, "", Persistence::close).text() ==
@@ -29,7 +30,7 @@
         "HTTP/1.1 503 Service Unavailable\r\n");
 }
 
-TEST_CASE("a response head stays within its buffer") {
+TEST_CASE("a response head that exceeds the buffer is truncated") {
   const std::string fields = "A: " + std::string(500, 'b') + "\r\n";
   CHECK(ResponseHead(200, 0, fields, Persistence::keepAlive).text().size() == 256);
 }
--- a/tests/net/connection_buffer_test.cpp
+++ b/tests/net/connection_buffer_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The buffer that a connection shares between received bytes and bytes to be written.
+/// The buffer that a connection uses for both received and unsent bytes.
 #include <catch2/catch.hpp>
 
 #include "support/gateway_under_test.hpp"
@@ -9,12 +9,13 @@
 
 namespace {
 
-/// Takes each three received bytes for a message and answers it with three bytes, while reading goes on.
+/// Treats every three received bytes as a message and answers each with three bytes while it continues
+/// reading.
 class ThreeByteResponder final : public net::Connection {
  public:
   using net::Connection::Connection;
 
-  std::string messages;  ///< All messages taken, one behind the other.
+  std::string messages;  ///< All received messages, concatenated.
 
  private:
   static constexpr std::size_t kMessageBytes = 3;
@@ -33,7 +34,7 @@
 
 }  // namespace
 
-TEST_CASE("Bytes that wait to be written are not taken for received bytes") {
+TEST_CASE("Unsent bytes are not mistaken for received bytes") {
   GatewayUnderTest gateway;
   PeerListener remote;
   auto& responder = gateway.loop.open<ThreeByteResponder>();
--- a/tests/net/graceful_shutdown_test.cpp
+++ b/tests/net/graceful_shutdown_test.cpp
@@ -1,7 +1,7 @@
 /// \file
 /// Graceful shutdown of the server: what is still accepted and answered, and when connections close.
-/// Server::startDraining() begins it, closeIdle() closes idle connections, shut() stops accepting, discard()
-/// reads and drops bytes that have arrived.
+/// Server::startDraining() begins it, closeIdle() closes idle connections, stopAccepting() closes the
+/// listening socket, and discardUnread() discards bytes that have arrived.
 #include <catch2/catch.hpp>
 #include <optional>
 
@@ -33,7 +33,8 @@
 }
 
 TEST_CASE("During shutdown a request pipelined behind another is answered before its connection closes") {
-  const bool readBeforeShutdown = GENERATE(true, false);  // else it is still in the kernel's receive buffer
+  const bool readBeforeShutdown =
+      GENERATE(true, false);  // otherwise it is still in the kernel's receive buffer
   GatewayUnderTest gateway;
   ForwardedRequest forwarded(gateway,
                              clientRequest("look") + (readBeforeShutdown ? clientRequest("look") : ""));
@@ -52,8 +53,7 @@
   CHECK_FALSE(forwarded.client.wasReset);
 }
 
-TEST_CASE(
-    "The listener closes only when no connection waits to be accepted, and refuses clients from then on") {
+TEST_CASE("The listening socket closes only when no connection is waiting, and refuses clients afterwards") {
   GatewayUnderTest gateway;
   gateway.server.startDraining(gateway.clock.currentTime + 3s);
   TestPeer late = gateway.connectClient();
@@ -77,7 +77,7 @@
   ForwardedRequest forwarded(*gateway);
   forwarded.host->send(okResponse("one"));
   gateway->runPendingEvents();
-  forwarded.client.send(clientRequest("look"));  // stays unread in the kernel's receive buffer
+  forwarded.client.send(clientRequest("look"));  // remains unread in the kernel's receive buffer
   gateway->server.discardUnread();
   gateway.reset();  // closes all sockets, as the exit of the process does
   CHECK(forwarded.client.isClosedByRemote());
@@ -86,7 +86,8 @@
 }
 
 TEST_CASE(
-    "Shutdown answers every request by its end, though a host does not respond and deadlines are later") {
+    "Every request is answered by the end of the shutdown, even if a host is silent and deadlines are "
+    "later") {
   GatewayUnderTest gateway;
   ForwardedRequest before(gateway, clientRequest("pay", "x", "", 5000));
   gateway.server.startDraining(gateway.clock.currentTime + 2s);
@@ -104,7 +105,7 @@
   CHECK(gateway.server.allAnswered());
 }
 
-TEST_CASE("Requests that have arrived unread when shutdown begins are answered, on old and new connections") {
+TEST_CASE("Requests that are still unread when shutdown begins are answered, on old and new connections") {
   GatewayUnderTest gateway;
   TestPeer known = gateway.connectClient();
   known.send(kLiveProbe);
--- a/tests/net/readiness_watchdog_test.cpp
+++ b/tests/net/readiness_watchdog_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace merlinbridge;
 
-TEST_CASE("a wait that is still open after its descriptor was marked ready is missed, once") {
+TEST_CASE("a wait that stays open after its descriptor was marked ready is reported as missed once") {
   net::ReadinessWatchdog watchdog;
   watchdog.waitStarted(POLLIN);
   CHECK_FALSE(watchdog.takeMissedWait());
@@ -15,7 +15,7 @@
   CHECK_FALSE(watchdog.takeMissedWait());
 }
 
-TEST_CASE("any completion after the mark shows that the connection's events arrive") {
+TEST_CASE("a completion after the mark clears it, since the connection still receives events") {
   net::ReadinessWatchdog watchdog;
   watchdog.waitStarted(POLLIN);
   watchdog.waitStarted(POLLOUT);
@@ -25,7 +25,7 @@
   CHECK_FALSE(watchdog.takeMissedWait());
 }
 
-TEST_CASE("no wait, no missed readiness") {
+TEST_CASE("without an open wait, no readiness is missed") {
   net::ReadinessWatchdog watchdog;
   watchdog.waitStarted(POLLIN);
   watchdog.completionRan(POLLIN);
--- a/tests/net/wait_timer_test.cpp
+++ b/tests/net/wait_timer_test.cpp
@@ -9,7 +9,7 @@
 
 constexpr TimePoint kStart{1'700'000'000s};
 
-// A wait timer on a deadline queue of its own.
+// A wait timer with its own deadline queue.
 struct WaitTimerFixture {
   core::DeadlineQueue deadlines;
   net::WaitTimer timer{deadlines};
@@ -25,13 +25,13 @@
 
 }  // namespace
 
-TEST_CASE("a wait timer that is not set fires by no deadline but the last of all") {
+TEST_CASE("an unset wait timer never fires: only TimePoint::max() counts as covered") {
   WaitTimerFixture fixture;
   CHECK_FALSE(fixture.timer.firesBy(kStart));
   CHECK(fixture.timer.firesBy(TimePoint::max()));
 }
 
-TEST_CASE("a set wait timer serves every deadline that is not earlier") {
+TEST_CASE("a wait timer covers every deadline at or after its own time") {
   WaitTimerFixture fixture;
   fixture.set(kStart + 10ms);
   CHECK_FALSE(fixture.timer.firesBy(kStart + 9ms));
