--- a/src/net/buffer.hpp
+++ b/src/net/buffer.hpp
@@ -28,9 +28,9 @@
       std::memmove(block_.get(), block_.get() + begin_, used);
     } else {
       capacity_ = std::max({used + bytes, capacity_ / 2 * 3, kInitialCapacity});
-      auto grown = std::make_unique_for_overwrite<char[]>(capacity_);
-      if (used > 0) std::memcpy(grown.get(), block_.get() + begin_, used);
-      block_ = std::move(grown);
+      auto newBlock = std::make_unique_for_overwrite<char[]>(capacity_);
+      if (used > 0) std::memcpy(newBlock.get(), block_.get() + begin_, used);
+      block_ = std::move(newBlock);
     }
     begin_ = 0;
     end_ = used;
--- a/src/net/connection_callbacks.hpp
+++ b/src/net/connection_callbacks.hpp
@@ -30,8 +30,8 @@
   /// Returns true while a message has begun but is incomplete. The reader then continues in the same turn,
   /// since the system reports the readiness only once and not again for the rest of the message.
   virtual bool expectsMore() const { return false; }
-  /// The reader fills the buffer up to this many bytes before it calls onData(); 0 calls onData() after the
-  /// first successful read. Used where an end of stream right after the data changes what the data means.
+  /// The reader calls onData() once the buffer holds this many bytes or nothing more can be read; 0 calls it
+  /// after the first successful read. Used where an end of stream right after the data changes its meaning.
   virtual std::size_t readAheadLimit() const { return 0; }
   /// The last unsent byte has been written. Also called by each Connection::send() that writes everything
   /// immediately.
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -33,15 +33,15 @@
 EventLoop::~EventLoop() = default;
 
 Connection* EventLoop::find(SlotRef ref) {
-  const auto at = connections_.find(ref);
-  return at ? at->get() : nullptr;
+  const auto slot = connections_.find(ref);
+  return slot ? slot->get() : nullptr;
 }
 
 void EventLoop::closeDeferred(SlotRef ref) {
-  const auto at = connections_.find(ref);
-  if (!at) return;
-  (*at)->close();
-  closing_.push_back(std::move(*at));
+  const auto slot = connections_.find(ref);
+  if (!slot) return;
+  (*slot)->close();
+  closing_.push_back(std::move(*slot));
   connections_.drop(ref);
 }
 
@@ -77,9 +77,8 @@
 
 void EventLoop::endTurn() {
   runDueDeadlines();
-  // Iterates by index because a flush may append to the vector.
-  for (std::size_t row = 0; row < pendingFlushes_.size();
-       ++row)  // NOLINT(modernize-loop-convert): grows in the loop
+  // NOLINTNEXTLINE(modernize-loop-convert): iterates by index, since a flush may append to the vector
+  for (std::size_t row = 0; row < pendingFlushes_.size(); ++row)
     if (Connection* const connection = find(pendingFlushes_[row])) connection->flush();
   pendingFlushes_.clear();
   closing_.clear();
@@ -98,11 +97,11 @@
 
 // A turn costs more than the deadlines it runs, so endTurn() sets the timer late by the coalescing window:
 // usually another event's turn runs the due deadlines first.
-void EventLoop::armTimer(TimePoint at) {
-  armedFor_ = at;
-  timer_.expires_after(std::max(Duration{0}, at - clock_.now()));
-  timer_.async_wait([this, at](const Error& error) {
-    if (error || at != armedFor_) return;
+void EventLoop::armTimer(TimePoint expiry) {
+  armedFor_ = expiry;
+  timer_.expires_after(std::max(Duration{0}, expiry - clock_.now()));
+  timer_.async_wait([this, expiry](const Error& error) {
+    if (error || expiry != armedFor_) return;
     armedFor_ = TimePoint::max();
     endTurn();
   });
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -105,7 +105,7 @@
   using SystemTimer = asio::basic_waitable_timer<std::chrono::steady_clock,
                                                  asio::wait_traits<std::chrono::steady_clock>, Strand>;
 
-  void armTimer(TimePoint at);
+  void armTimer(TimePoint expiry);
   void runDueDeadlines();
   void recoverMissedReadiness();
 
--- a/src/net/forwarded_request.cpp
+++ b/src/net/forwarded_request.cpp
@@ -40,8 +40,8 @@
   fmt::format_to(std::back_inserter(message), FMT_COMPILE("{} {} HTTP/1.1\r\nHost: {}{}{}\r\n"),
                  request.method(), request.target(), hostAddress, kDeadlineField, millisecondsLeft(timeLeft));
   const std::string_view connectionField = request.get(kConnectionField);
-  for (std::size_t at = 0; at < request.fieldCount(); ++at) {
-    const auto [name, value] = request.field(at);
+  for (std::size_t index = 0; index < request.fieldCount(); ++index) {
+    const auto [name, value] = request.field(index);
     if (isForwarded(name, connectionField)) message.append(name).append(": ").append(value).append("\r\n");
   }
   if (!request.body().empty() || request.method() != "GET")
--- a/src/net/stream_reader.cpp
+++ b/src/net/stream_reader.cpp
@@ -69,13 +69,13 @@
   const std::size_t sizeBefore = buffer_.size();
   do {
     char* const into = buffer_.reserve(buffer_.size() == sizeBefore ? kMinReadBytes : 1);
-    const CallResult got = receive(socket_.descriptor(), into, buffer_.freeBytes());
-    if (got.status == CallStatus::endOfStream) socket_.recordEndOfStream();
-    socket_.recordResult(SystemCall::receive, got);
-    const bool ended = got.status == CallStatus::endOfStream || got.status == CallStatus::broken;
-    if (got.status != CallStatus::done)
-      return ended || buffer_.size() == sizeBefore ? got.status : CallStatus::done;
-    buffer_.commit(got.bytes);
+    const CallResult result = receive(socket_.descriptor(), into, buffer_.freeBytes());
+    if (result.status == CallStatus::endOfStream) socket_.recordEndOfStream();
+    socket_.recordResult(SystemCall::receive, result);
+    const bool ended = result.status == CallStatus::endOfStream || result.status == CallStatus::broken;
+    if (result.status != CallStatus::done)
+      return ended || buffer_.size() == sizeBefore ? result.status : CallStatus::done;
+    buffer_.commit(result.bytes);
   } while (buffer_.size() < callbacks_.readAheadLimit());
   return CallStatus::done;
 }
--- a/src/net/system_calls.cpp
+++ b/src/net/system_calls.cpp
@@ -34,11 +34,11 @@
   return {isShortage(error) ? CallStatus::shortage : CallStatus::broken, 0, error};
 }
 
-CallResult receiveWith(int flags, int socket, char* into, std::size_t size) {
-  const ssize_t got = retryOnEintr([&] { return ::recv(socket, into, size, flags | MSG_DONTWAIT); });
-  if (got < 0) return failureFromErrno();
-  if (got == 0) return {CallStatus::endOfStream};
-  return {CallStatus::done, static_cast<std::size_t>(got)};
+CallResult receiveWithFlags(int flags, int socket, char* into, std::size_t size) {
+  const ssize_t received = retryOnEintr([&] { return ::recv(socket, into, size, flags | MSG_DONTWAIT); });
+  if (received < 0) return failureFromErrno();
+  if (received == 0) return {CallStatus::endOfStream};
+  return {CallStatus::done, static_cast<std::size_t>(received)};
 }
 
 // Returns true for connect() errors with a local cause: ports, routes, firewall.
@@ -60,12 +60,12 @@
 }
 
 CallResult receive(int socket, char* into, std::size_t size) {
-  return receiveWith(0, socket, into, size);
+  return receiveWithFlags(0, socket, into, size);
 }
 
 CallResult peek(int socket) {
   char byte = 0;
-  return receiveWith(MSG_PEEK, socket, &byte, 1);
+  return receiveWithFlags(MSG_PEEK, socket, &byte, 1);
 }
 
 CallResult send(int socket, const SendParts& parts) {
