--- a/src/net/client/client_eviction.cpp
+++ b/src/net/client/client_eviction.cpp
@@ -7,7 +7,7 @@
 namespace merlinbridge::net {
 namespace {
 
-// At most the connection limit divided by this is evicted at once.
+// No more than maxConnections / kMaxEvictedDivisor connections are evicted at once.
 constexpr std::size_t kMaxEvictedDivisor = 8;
 
 }  // namespace
--- a/src/net/client/client_listener.hpp
+++ b/src/net/client/client_listener.hpp
@@ -33,7 +33,7 @@
   /// Discards unread data on all connections, so that process exit does not reset them.
   void discardUnread();
   bool allClosed() const { return connections_.empty(); }
-  /// Returns true if no client is sending a request or waiting for the rest of a response.
+  /// Returns true if every client connection is idle or lingering.
   bool allIdle();
 
  private:
