--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -9,7 +9,7 @@
 namespace merlinbridge::net {
 namespace {
 
-// Timers that run later than this show that the event loop stalled; the slack of the deadlines is smaller.
+// A deadline that runs this late indicates a stalled event loop: the coalescing window is shorter.
 constexpr Duration kStallThreshold = std::chrono::milliseconds(150);
 
 }  // namespace
@@ -19,11 +19,12 @@
   std::uint16_t port = 0;
   Error error;
   const auto host = asio::ip::make_address(address.substr(0, std::min(colon, address.size())), error);
-  if (error || colon == std::string::npos) throw std::invalid_argument("'" + address + "' is no address");
+  if (error || colon == std::string::npos)
+    throw std::invalid_argument("invalid address '" + address + "': expected IP:PORT");
   const char* const textEnd = address.data() + address.size();
   const auto [portEnd, portError] = std::from_chars(address.data() + colon + 1, textEnd, port);
   if (portError != std::errc{} || portEnd != textEnd)
-    throw std::invalid_argument("'" + address + "' has no port");
+    throw std::invalid_argument("invalid port in address '" + address + "'");
   return {host, port};
 }
 
@@ -32,15 +33,15 @@
 EventLoop::~EventLoop() = default;
 
 Connection* EventLoop::find(SlotRef ref) {
-  const auto at = connections_.find(ref);
-  return at ? at->get() : nullptr;
+  const auto slot = connections_.find(ref);
+  return slot ? slot->get() : nullptr;
 }
 
 void EventLoop::closeDeferred(SlotRef ref) {
-  const auto at = connections_.find(ref);
-  if (!at) return;
-  (*at)->close();
-  closing_.push_back(std::move(*at));
+  const auto slot = connections_.find(ref);
+  if (!slot) return;
+  (*slot)->close();
+  closing_.push_back(std::move(*slot));
   connections_.drop(ref);
 }
 
@@ -54,53 +55,53 @@
   }
 }
 
-// Ends waits whose readiness the system does not report, as after a failed epoll_ctl, whose result Asio
-// ignores: a connection that poll() finds ready, and whose wait is still open once all pending events are
-// handled, goes on as if its wait had ended. See ReadinessWatchdog.
+// Ends waits whose readiness the system does not report, for example after a failed epoll_ctl(), whose result
+// Asio ignores. If poll() finds a connection ready and its wait is still open after all pending events have
+// been handled, the connection continues as if the wait had ended. See ReadinessWatchdog.
 void EventLoop::recoverMissedReadiness() {
-  polled_.clear();
+  pollDescriptors_.clear();
   polledConnections_.clear();
   connections_.forEach([this](SlotRef ref, const std::unique_ptr<Connection>& connection) {
     const pollfd awaited = connection->socket().awaitedReadiness();
     if (awaited.events == 0) return;
-    polled_.push_back(awaited);
+    pollDescriptors_.push_back(awaited);
     polledConnections_.push_back(ref);
   });
-  if (polled_.empty() || ::poll(polled_.data(), polled_.size(), 0) <= 0) return;
-  for (std::size_t row = 0; row < polled_.size(); ++row)
-    if (polled_[row].revents != 0) find(polledConnections_[row])->socket().readiness().markReady();
+  if (pollDescriptors_.empty() || ::poll(pollDescriptors_.data(), pollDescriptors_.size(), 0) <= 0) return;
+  for (std::size_t row = 0; row < pollDescriptors_.size(); ++row)
+    if (pollDescriptors_[row].revents != 0) find(polledConnections_[row])->socket().readiness().markReady();
   io.poll();
   for (const SlotRef ref : polledConnections_)
     if (Connection* const connection = find(ref)) connection->socket().endMissedWait();
 }
 
 void EventLoop::endTurn() {
-  runDue();
-  // By index: a flush may add connections to be flushed.
-  for (std::size_t row = 0; row < toFlush_.size(); ++row)  // NOLINT(modernize-loop-convert): grows meanwhile
-    if (Connection* const connection = find(toFlush_[row])) connection->flush();
-  toFlush_.clear();
+  runDueDeadlines();
+  // NOLINTNEXTLINE(modernize-loop-convert): iterates by index, since a flush may append to the vector
+  for (std::size_t row = 0; row < pendingFlushes_.size(); ++row)
+    if (Connection* const connection = find(pendingFlushes_[row])) connection->flush();
+  pendingFlushes_.clear();
   closing_.clear();
   if (const TimePoint next = deadlines.nextDueAt();
-      next != TimePoint::max() && next + coalesceWithin_ != armedFor_)
-    arm(next + coalesceWithin_);
-  turnAt_.reset();
+      next != TimePoint::max() && next + coalescingWindow_ != armedFor_)
+    armTimer(next + coalescingWindow_);
+  turnTime_.reset();
 }
 
-void EventLoop::runDue() {
+void EventLoop::runDueDeadlines() {
   const TimePoint due = deadlines.nextDueAt();
   if (due > now()) return;
   if (now() - due >= kStallThreshold) faults.recordEventLoopStall(now(), now() - due);
   deadlines.run(now());
 }
 
-// A turn that only runs deadlines costs more than the deadlines do, so the timer is set late by the
-// coalescing window: any earlier turn runs them in passing.
-void EventLoop::arm(TimePoint at) {
-  armedFor_ = at;
-  timer_.expires_after(std::max(Duration{0}, at - clock_.now()));
-  timer_.async_wait([this, at](const Error& error) {
-    if (error || at != armedFor_) return;
+// A turn costs more than the deadlines it runs, so endTurn() sets the timer late by the coalescing window:
+// usually another event's turn runs the due deadlines first.
+void EventLoop::armTimer(TimePoint expiry) {
+  armedFor_ = expiry;
+  timer_.expires_after(std::max(Duration{0}, expiry - clock_.now()));
+  timer_.async_wait([this, expiry](const Error& error) {
+    if (error || expiry != armedFor_) return;
     armedFor_ = TimePoint::max();
     endTurn();
   });
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -12,22 +12,22 @@
 namespace merlinbridge::net {
 namespace {
 
-// Descriptors for the log, the event loop, the listening socket, the counter service and discovery.
+// Descriptors reserved for the log, the event loop, the listening socket, the counter service and discovery.
 constexpr std::size_t kReservedDescriptors = 32;
-// The first pause after a call that this machine could not serve, as a part of the connect timeout.
-constexpr int kRetryPauseParts = 50;
-// The longest wait of the event loop, as a part of the connect timeout.
-constexpr int kCheckIntervalParts = 2;
+// The initial pause after a local resource shortage is the connect timeout divided by this.
+constexpr int kRetryPauseDivisor = 50;
+// The event loop's check interval is the connect timeout divided by this.
+constexpr int kCheckIntervalDivisor = 2;
 
 constexpr int kStatusOk = 200;
-constexpr int kStatusRejected = 429;
-constexpr int kStatusFailed = 502;
+constexpr int kStatusTooManyRequests = 429;
+constexpr int kStatusBadGateway = 502;
 
-// A longer content type of a host's answer is left out: the head of a response is bounded.
+// A longer Content-Type from a host is omitted, because the size of a response head is limited.
 constexpr std::size_t kMaxContentTypeBytes = 100;
 
-// How many connections clients may have, and hosts, if `descriptors` are allowed to the process. Each side
-// has half of what is left, since a request needs one of each.
+// The maximum number of client connections, and likewise of host connections, if the process may use
+// `descriptors`. Each side gets half of those not reserved, since a request needs one connection of each.
 std::size_t connectionsPerSide(std::size_t descriptors) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) == 0) descriptors = std::min<std::size_t>(descriptors, limit.rlim_cur);
@@ -46,8 +46,8 @@
       discovery_(loop, config.discovery, config.known.generation, config.settings.connectTimeout,
                  config.drainGrace, config.seed),
       core_(config, loop.now(), loop.deadlines, *this) {
-  loop_.setCheckInterval(config.settings.connectTimeout / kCheckIntervalParts);
-  loop_.setRetryPause(config.settings.connectTimeout / kRetryPauseParts);
+  loop_.setCheckInterval(config.settings.connectTimeout / kCheckIntervalDivisor);
+  loop_.setRetryPause(config.settings.connectTimeout / kRetryPauseDivisor);
 }
 
 void Server::serve() {
@@ -57,7 +57,7 @@
   clients_.serve(core_);
 }
 
-// The counter's address is parsed first, so that nothing changes if it is not valid.
+// Parses the counter's address first, so that nothing changes if it is invalid.
 void Server::setAddresses(const std::string& discovery, const std::string& counter) {
   if (!counter.empty()) parseAddress(counter);
   discovery_.setAddress(discovery);
@@ -81,10 +81,10 @@
   if (!client) return;
   if (loop_.log.enabled(LogEvent::requestRejected))
     loop_.log(LogEvent::requestRejected, LogField{"request", client->message().get(kRequestIdField)},
-              LogField{"status", kStatusRejected});
-  if (retryAfter <= Duration{0}) return client->answer(kStatusRejected, "", "");
-  client->answer(kStatusRejected, fmt::format(FMT_COMPILE("Retry-After: {:.3f}\r\n"), seconds(retryAfter)),
-                 "");
+              LogField{"status", kStatusTooManyRequests});
+  if (retryAfter <= Duration{0}) return client->answer(kStatusTooManyRequests, "", "");
+  client->answer(kStatusTooManyRequests,
+                 fmt::format(FMT_COMPILE("Retry-After: {:.3f}\r\n"), seconds(retryAfter)), "");
 }
 
 void Server::sendFailure(SlotRef ref) {
@@ -92,8 +92,8 @@
   if (!client) return;
   if (loop_.log.enabled(LogEvent::requestFailed))
     loop_.log(LogEvent::requestFailed, LogField{"request", client->message().get(kRequestIdField)},
-              LogField{"status", kStatusFailed});
-  client->answer(kStatusFailed, "", "");
+              LogField{"status", kStatusBadGateway});
+  client->answer(kStatusBadGateway, "", "");
 }
 
 std::variant<SlotRef, Outcome> Server::startAttempt(RequestId requestId, AttemptNumber attemptNumber,
@@ -109,7 +109,7 @@
   return hosts_.startAttempt(host, forwardedRequest_, requestId, attemptNumber, deadline);
 }
 
-// Closing the connection ends the attempt at once, and the pool reports no outcome for it.
+// Closing the connection ends the attempt immediately; the pool reports no outcome for it.
 bool Server::closeAttempt(SlotRef /*client*/, AttemptNumber /*attemptNumber*/, SlotRef connection) {
   hosts_.closeAttempt(connection);
   return true;
--- a/src/net/system_calls.cpp
+++ b/src/net/system_calls.cpp
@@ -9,40 +9,40 @@
 namespace merlinbridge::net {
 namespace {
 
-// Repeats of one interrupted call; after that, the interruption counts as a shortage.
-constexpr int kMaxInterruptions = 64;
+// Bounds the repeats of a call interrupted by signals; one more interruption counts as a shortage.
+constexpr int kMaxEintrRetries = 64;
 
-// Repeats the call while a signal interrupts it. Returns the last call's result, with errno as that left it.
+// Repeats the call while a signal interrupts it. Returns the result of the last call and preserves its errno.
 template <class Call>
-auto uninterrupted(const Call& call) {
+auto retryOnEintr(const Call& call) {
   auto result = call();
-  for (int repeats = 0; result < 0 && errno == EINTR && repeats < kMaxInterruptions; ++repeats)
+  for (int repeats = 0; result < 0 && errno == EINTR && repeats < kMaxEintrRetries; ++repeats)
     result = call();
   return result;
 }
 
-// EINTR: interrupted more than kMaxInterruptions times in a row.
+// EINTR: interrupted more than kMaxEintrRetries times in a row.
 bool isShortage(int error) {
   return error == ENFILE || error == EMFILE || error == ENOBUFS || error == ENOMEM || error == ENOSPC ||
          error == EINTR;
 }
 
-// The failure of a call on an established connection or a listener, from errno.
+// Classifies errno after a failed call on an established connection or a listener.
 CallResult failureFromErrno() {
   const int error = errno;
   if (error == EAGAIN || error == EWOULDBLOCK) return {CallStatus::wouldBlock, 0, error};
   return {isShortage(error) ? CallStatus::shortage : CallStatus::broken, 0, error};
 }
 
-CallResult receiveWith(int flags, int socket, char* into, std::size_t size) {
-  const ssize_t got = uninterrupted([&] { return ::recv(socket, into, size, flags | MSG_DONTWAIT); });
-  if (got < 0) return failureFromErrno();
-  if (got == 0) return {CallStatus::endOfStream};
-  return {CallStatus::done, static_cast<std::size_t>(got)};
+CallResult receiveWithFlags(int flags, int socket, char* into, std::size_t size) {
+  const ssize_t received = retryOnEintr([&] { return ::recv(socket, into, size, flags | MSG_DONTWAIT); });
+  if (received < 0) return failureFromErrno();
+  if (received == 0) return {CallStatus::endOfStream};
+  return {CallStatus::done, static_cast<std::size_t>(received)};
 }
 
-// Errors of connect() whose cause is this machine: its ports, its routes, its firewall.
-bool isLocalFailureOfConnect(int error) {
+// Returns true for connect() errors with a local cause: ports, routes, firewall.
+bool isLocalConnectFailure(int error) {
   return isShortage(error) || error == EADDRNOTAVAIL || error == EADDRINUSE || error == EAGAIN ||
          error == ENETUNREACH || error == ENETDOWN || error == EPERM || error == EACCES;
 }
@@ -54,18 +54,18 @@
   return *this;
 }
 
-// Linux frees the descriptor even if close() reports an error: no repeat.
+// Not retried on error: Linux frees the descriptor even if close() fails.
 Descriptor::~Descriptor() {
   if (number_ >= 0) ::close(number_);
 }
 
 CallResult receive(int socket, char* into, std::size_t size) {
-  return receiveWith(0, socket, into, size);
+  return receiveWithFlags(0, socket, into, size);
 }
 
 CallResult peek(int socket) {
   char byte = 0;
-  return receiveWith(MSG_PEEK, socket, &byte, 1);
+  return receiveWithFlags(MSG_PEEK, socket, &byte, 1);
 }
 
 CallResult send(int socket, const SendParts& parts) {
@@ -76,17 +76,16 @@
   msghdr message{};
   message.msg_iov = vectors.data();
   message.msg_iovlen = count;
-  const ssize_t sent =
-      uninterrupted([&] { return ::sendmsg(socket, &message, MSG_NOSIGNAL | MSG_DONTWAIT); });
+  const ssize_t sent = retryOnEintr([&] { return ::sendmsg(socket, &message, MSG_NOSIGNAL | MSG_DONTWAIT); });
   if (sent < 0) return failureFromErrno();
   return {CallStatus::done, static_cast<std::size_t>(sent)};
 }
 
-// On Linux, accept() also returns errors that are pending on the new connection: these concern that
-// connection alone, and the listener goes on.
+// On Linux, accept() also returns errors that are pending on the new connection. These affect that connection
+// only, and the listener remains usable.
 CallResult acceptConnection(int listener, Descriptor& accepted) {
   const int number =
-      uninterrupted([&] { return ::accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC); });
+      retryOnEintr([&] { return ::accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC); });
   if (number < 0) return failureFromErrno();
   accepted = Descriptor(number);
   return {};
@@ -94,25 +93,24 @@
 
 CallResult openStream(int family, Descriptor& opened) {
   const int number =
-      uninterrupted([&] { return ::socket(family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); });
+      retryOnEintr([&] { return ::socket(family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); });
   if (number < 0) return {CallStatus::shortage, 0, errno};
   opened = Descriptor(number);
   return {};
 }
 
-// An interrupted connect() goes on by itself; a repeat would only return EALREADY.
+// An interrupted connect() continues in the background; calling it again would only return EALREADY.
 CallResult startConnect(int socket, const sockaddr* address, socklen_t size) {
   if (::connect(socket, address, size) == 0 || errno == EISCONN) return {};
   const int error = errno;
   if (error == EINPROGRESS || error == EALREADY || error == EINTR) return {CallStatus::wouldBlock, 0, error};
-  return {isLocalFailureOfConnect(error) ? CallStatus::shortage : CallStatus::broken, 0, error};
+  return {isLocalConnectFailure(error) ? CallStatus::shortage : CallStatus::broken, 0, error};
 }
 
-// Unlike in startConnect(), an error such as ENETUNREACH comes from the network here and not from this
-// machine.
+// Unlike in startConnect(), errors such as ENETUNREACH come from the network here, not from this machine.
 CallResult connectResult(int socket) {
   pollfd ready{socket, POLLOUT, 0};
-  const int count = uninterrupted([&] { return ::poll(&ready, 1, 0); });
+  const int count = retryOnEintr([&] { return ::poll(&ready, 1, 0); });
   if (count < 0) return {CallStatus::shortage, 0, errno};
   if (count == 0) return {CallStatus::wouldBlock};
   int error = 0;
@@ -124,7 +122,7 @@
 
 bool peerHungUp(int socket) {
   pollfd state{socket, POLLRDHUP, 0};
-  return uninterrupted([&] { return ::poll(&state, 1, 0); }) > 0 &&
+  return retryOnEintr([&] { return ::poll(&state, 1, 0); }) > 0 &&
          (state.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -76,7 +76,7 @@
 void UpstreamConnection::onClosed() {
   response_.bufferMoved(buffer_.data());  // the read that reached the end may have moved the buffer
   const bool isComplete =
-      peerEnded() && response_.hasBegun() && response_.peerClosed() == http::Message::Stage::done;
+      halfClosedByPeer() && response_.hasBegun() && response_.peerClosed() == http::Message::Stage::done;
   if (state_ == State::idle) return owner_.closeConnection(ref());
   if (isComplete) return finish(outcomeOf(response_), readUpstreamResponse(response_));
   if (isUnsent() && !mayWrite()) return finish(Outcome::notSent);
