--- a/src/config/config_error.cpp
+++ b/src/config/config_error.cpp
@@ -20,12 +20,12 @@
       return "is out of range";
     case ConfigFault::notAnArray:
       return "is not an array";
-    case ConfigFault::notAName:
+    case ConfigFault::notAString:
       return "holds what is not a name";
     case ConfigFault::notHexadecimal:
       return "is not a hex number";
     default:
-      return problem.allowed;
+      return problem.description;
   }
 }
 
@@ -33,7 +33,7 @@
 
 std::string textOf(const ConfigProblem& problem) {
   if (problem.fault == ConfigFault::unreadableFile) return "cannot read " + problem.path;
-  if (problem.fault == ConfigFault::missingSetting) return problem.path + " is not set";
+  if (problem.fault == ConfigFault::unsetVariable) return problem.path + " is not set";
   if (problem.fault == ConfigFault::notAnObject) return "the file is not a JSON object";
   std::string reason(reasonOf(problem));
   const std::size_t dot = problem.path.rfind('.');
--- a/src/config/config_error.hpp
+++ b/src/config/config_error.hpp
@@ -8,7 +8,7 @@
 /// What is wrong with a configuration, or with a message of discovery or the simulator.
 enum class ConfigFault {
   unreadableFile,  ///< The file at `path` cannot be opened or read.
-  missingSetting,  ///< The environment variable `path` is not set.
+  unsetVariable,   ///< The environment variable `path` is not set.
   notAnObject,     ///< The text is not one JSON object.
   missingField,
   wrongType,
@@ -16,7 +16,7 @@
   negative,
   outOfRange,
   notAnArray,
-  notAName,
+  notAString,
   notHexadecimal,
   other  ///< `allowed` says what is wrong in words of its own.
 };
@@ -24,9 +24,9 @@
 /// One fault with its place.
 struct ConfigProblem {
   ConfigFault fault = ConfigFault::other;
-  std::string path;     ///< Message and field as "config.seed"; a file; a variable; empty: the whole text.
-  std::string found;    ///< The JSON value that stands there, cut to kMaxFoundBytes; empty: none.
-  std::string allowed;  ///< What may stand there; empty: what the fault says.
+  std::string path;   ///< Message and field as "config.seed"; a file; a variable; empty: the whole text.
+  std::string found;  ///< The JSON value that stands there, cut to kMaxFoundBytes; empty: none.
+  std::string description;  ///< What may stand there; empty: what the fault says.
 };
 
 /// A longer value is cut in ConfigProblem::found.
--- a/src/config/endpoint_list.cpp
+++ b/src/config/endpoint_list.cpp
@@ -8,18 +8,18 @@
 constexpr std::string_view kTerminated = "terminated";
 
 // A start that no clock can hold is no date: it counts as long ago.
-Duration readStart(const Fields& endpoint) {
+Duration readStart(const JsonFields& endpoint) {
   constexpr auto kLatest = std::chrono::duration_cast<std::chrono::milliseconds>(Duration::max()).count();
   const auto started = endpoint.get("startedAtMs", std::int64_t{0});
   if (started < 0 || started > kLatest) return Duration{0};
   return std::chrono::milliseconds(started);
 }
 
-Endpoint readEndpoint(const Fields& fields) {
+Endpoint readEndpoint(const JsonFields& fields) {
   const Duration started = readStart(fields);
-  const auto state = fields.need<std::string_view>("lifecycle");
+  const auto state = fields.require<std::string_view>("lifecycle");
   Endpoint endpoint;
-  endpoint.name = fields.need<std::string_view>("instanceId");
+  endpoint.name = fields.require<std::string_view>("instanceId");
   endpoint.address = fields.get<std::string_view>("hostPort", "");
   endpoint.zone = fields.get<std::string_view>("zone", "");
   endpoint.machine = fields.get<std::string_view>("machineType", "");
@@ -33,11 +33,11 @@
 
 }  // namespace
 
-EndpointList readEndpointList(const Fields& message) {
-  EndpointList endpoints{message.need<std::uint64_t>("generation"), message.get("reset", false), {}};
+EndpointList readEndpointList(const JsonFields& message) {
+  EndpointList endpoints{message.require<std::uint64_t>("generation"), message.get("reset", false), {}};
   if (!message.has("instances")) return endpoints;
   for (const element entry : message.array("instances"))
-    endpoints.entries.push_back(readEndpoint(Fields("instances", entry)));
+    endpoints.entries.push_back(readEndpoint(JsonFields("instances", entry)));
   return endpoints;
 }
 
--- a/src/config/endpoint_list.hpp
+++ b/src/config/endpoint_list.hpp
@@ -29,6 +29,6 @@
 };
 
 /// Reads one message of discovery, or the list in the platform's file. Throws ConfigError.
-EndpointList readEndpointList(const Fields& message);
+EndpointList readEndpointList(const JsonFields& message);
 
 }  // namespace merlinbridge::config
--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 // Where the platform's file is silent.
-constexpr Duration kDefaultIdleTime = std::chrono::seconds(30);
-constexpr std::size_t kDefaultSockets = 1024;
+constexpr Duration kDefaultIdleTimeout = std::chrono::seconds(30);
+constexpr std::size_t kDefaultMaxDescriptors = 1024;
 
 constexpr int kSeedBase = 16;
 
-std::vector<std::string> namesOf(const Fields& profile, std::string_view field) {
+std::vector<std::string> namesOf(const JsonFields& profile, std::string_view field) {
   std::vector<std::string> names;
   if (!profile.has(field)) return names;
   for (const element entry : profile.array(field)) {
@@ -25,8 +25,8 @@
   return names;
 }
 
-std::uint64_t readSeed(const Fields& config) {
-  const auto text = config.need<std::string_view>("seed");
+std::uint64_t readSeed(const JsonFields& config) {
+  const auto text = config.require<std::string_view>("seed");
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, kSeedBase);
   if (error != std::errc{} || end != text.data() + text.size())
@@ -34,25 +34,25 @@
   return seed;
 }
 
-Duration longestDeadlineOf(const Fields& profile) {
+Duration longestDeadlineOf(const JsonFields& profile) {
   Duration longest{0};
   for (const element entry : profile.array("requestClasses"))
-    longest = std::max(longest, Fields("requestClasses", entry).duration("hardLimit", Duration{0}));
+    longest = std::max(longest, JsonFields("requestClasses", entry).duration("hardLimit", Duration{0}));
   return longest;
 }
 
 }  // namespace
 
-GatewayConfig readSettings(const Fields& profile) {
-  const Fields limits = profile.optionalSection("limits");
+GatewayConfig readSettings(const JsonFields& profile) {
+  const JsonFields limits = profile.optionalSection("limits");
   GatewayConfig config{};
   config.settings = readPolicySettings(profile);
-  config.methods = namesOf(profile, "requestClasses");
-  config.plans = namesOf(profile, "tariffs");
-  config.zones = namesOf(profile, "failureDomains");
-  config.machines = namesOf(profile, "machineTypes");
-  config.idle = limits.duration("connIdle", kDefaultIdleTime);
-  config.step = profile.duration("step", Duration{0});
+  config.methodNames = namesOf(profile, "requestClasses");
+  config.planNames = namesOf(profile, "tariffs");
+  config.zoneNames = namesOf(profile, "failureDomains");
+  config.machineNames = namesOf(profile, "machineTypes");
+  config.idleTimeout = limits.duration("connIdle", kDefaultIdleTimeout);
+  config.timerSlack = profile.duration("step", Duration{0});
   config.answerSlack = profile.section("rules").duration("answerSlack", Duration{0});
   config.drainGrace = profile.section("rules").duration("drainGrace", config.settings.connectTimeout);
   config.longestDeadline = longestDeadlineOf(profile);
@@ -65,16 +65,17 @@
   element root;
   if (parser.parse(text).get(root) || !root.is_object())
     throw ConfigError({ConfigFault::notAnObject, {}, {}, {}});
-  const Fields file("config", root);
+  const JsonFields file("config", root);
   GatewayConfig config = readSettings(file.section("settings"));
   config.name = file.get<std::string_view>("name", "");
-  config.listen = file.need<std::string_view>("listen");
-  config.discovery = file.need<std::string_view>("discovery");
-  config.counter = file.get<std::string_view>("counter", "");
+  config.listenAddress = file.require<std::string_view>("listen");
+  config.discoveryAddress = file.require<std::string_view>("discovery");
+  config.counterAddress = file.get<std::string_view>("counter", "");
   config.seed = readSeed(file);
-  config.sockets = file.optionalSection("limits").get("sockets", kDefaultSockets);
-  config.known = file.has("known") ? readEndpointList(file.section("known")) : EndpointList{0, true, {}};
-  if (config.counter.empty()) config.settings.hasCounter = false;
+  config.maxDescriptors = file.optionalSection("limits").get("sockets", kDefaultMaxDescriptors);
+  config.knownEndpoints =
+      file.has("known") ? readEndpointList(file.section("known")) : EndpointList{0, true, {}};
+  if (config.counterAddress.empty()) config.settings.hasCounter = false;
   return config;
 }
 
--- a/src/config/json_fields.hpp
+++ b/src/config/json_fields.hpp
@@ -17,10 +17,10 @@
 
 /// Reads the fields of one JSON object and names message and field in every error. Refers to the message's
 /// name and to the parsed document, which must outlive it. All functions that read throw ConfigError.
-class Fields {
+class JsonFields {
  public:
   /// `body` may be none: then every field is missing.
-  Fields(std::string_view message, std::optional<element> body) : message_(message), body_(body) {}
+  JsonFields(std::string_view message, std::optional<element> body) : message_(message), body_(body) {}
 
   /// Throws the fault of this field, with the value that stands there.
   [[noreturn]] void fail(std::string_view field, ConfigFault fault) const {
@@ -38,7 +38,7 @@
   }
   /// The field's value; it must be there and of that type.
   template <class Value>
-  Value need(std::string_view field) const {
+  Value require(std::string_view field) const {
     const auto found = find(field);
     if (!found) fail(field, ConfigFault::missingField);
     return read<Value>(field, *found);
@@ -46,27 +46,27 @@
   /// The field's value, or `defaultValue` where it is missing or null.
   template <class Value>
   Value get(std::string_view field, Value defaultValue) const {
-    return has(field) ? need<Value>(field) : defaultValue;
+    return has(field) ? require<Value>(field) : defaultValue;
   }
   /// The elements of the array that the field must be.
   simdjson::dom::array array(std::string_view field) const {
     simdjson::dom::array entries;
-    if (need<element>(field).get(entries)) fail(field, ConfigFault::notAnArray);
+    if (require<element>(field).get(entries)) fail(field, ConfigFault::notAnArray);
     return entries;
   }
   /// The object in the field, which must be there. Errors in it name the field as their message.
-  Fields section(std::string_view field) const { return {field, need<element>(field)}; }
+  JsonFields section(std::string_view field) const { return {field, require<element>(field)}; }
   /// The object in the field; all its fields are missing where the field is.
-  Fields optionalSection(std::string_view field) const { return {field, find(field)}; }
+  JsonFields optionalSection(std::string_view field) const { return {field, find(field)}; }
   /// A time in microseconds.
-  Duration duration(std::string_view field) const { return asDuration(field, need<double>(field)); }
+  Duration duration(std::string_view field) const { return asDuration(field, require<double>(field)); }
   Duration duration(std::string_view field, Duration defaultValue) const {
     return has(field) ? duration(field) : defaultValue;
   }
 
  private:
   // Beyond these, a double does not fit a signed 64-bit number, or its microseconds a Duration.
-  static constexpr double kMaxWhole = 9e18;
+  static constexpr double kMaxInteger = 9e18;
   static constexpr double kMaxMicroseconds = 9e15;
 
   std::string pathOf(std::string_view field) const {
@@ -100,7 +100,7 @@
     double value = 0;
     if (found.get(value)) fail(field, ConfigFault::notANumber);
     if (std::is_unsigned_v<Value> && value < 0) fail(field, ConfigFault::negative);
-    if (std::is_integral_v<Value> && !(value > -kMaxWhole && value < kMaxWhole))
+    if (std::is_integral_v<Value> && !(value > -kMaxInteger && value < kMaxInteger))
       fail(field, ConfigFault::outOfRange);
     return static_cast<Value>(value);
   }
--- a/src/config/json_stream_splitter.cpp
+++ b/src/config/json_stream_splitter.cpp
@@ -5,47 +5,47 @@
 
 constexpr unsigned char kFirstPrintableByte = 0x20;
 
-bool isBlank(char character) {
+bool isWhitespace(char character) {
   return character == ' ' || character == '\t' || character == '\r' || character == '\n';
 }
 
 // Of a number, or of true, false and null.
-bool isWordCharacter(char character) {
+bool isLiteralCharacter(char character) {
   return (character >= '0' && character <= '9') || (character >= 'a' && character <= 'z') ||
          character == 'E' || character == '+' || character == '-' || character == '.';
 }
 
 }  // namespace
 
-JsonStreamSplitter::End JsonStreamSplitter::take(std::string_view text) {
+JsonStreamSplitter::Result JsonStreamSplitter::scan(std::string_view text) {
   for (; position_ < text.size(); ++position_) {
     const char character = text[position_];
     if (depth_ > 0) {
-      if (!accept(character)) return End::bad;
+      if (!accept(character)) return Result::invalid;
       if (depth_ > 0) continue;
       ++position_;
-      return End::object;
+      return Result::object;
     }
-    if (isBlank(character)) continue;
-    if (character != '{') return End::bad;
+    if (isWhitespace(character)) continue;
+    if (character != '{') return Result::invalid;
     objectStart_ = position_;
     expected_ = Expected::value;
-    open(Container::object);
+    openContainer(Container::object);
   }
-  return End::more;
+  return Result::incomplete;
 }
 
 bool JsonStreamSplitter::accept(char character) {
-  if (token_ == Token::text || token_ == Token::escape) return acceptInText(character);
-  if (isWordCharacter(character)) return acceptWord();
+  if (token_ == Token::string || token_ == Token::escape) return acceptInString(character);
+  if (isLiteralCharacter(character)) return acceptLiteral();
   token_ = Token::none;
-  return isBlank(character) || acceptStructure(character);
+  return isWhitespace(character) || acceptStructure(character);
 }
 
-bool JsonStreamSplitter::acceptInText(char character) {
+bool JsonStreamSplitter::acceptInString(char character) {
   if (static_cast<unsigned char>(character) < kFirstPrintableByte) return false;
   if (token_ == Token::escape)
-    token_ = Token::text;
+    token_ = Token::string;
   else if (character == '\\')
     token_ = Token::escape;
   else if (character == '"')
@@ -53,11 +53,11 @@
   return true;
 }
 
-bool JsonStreamSplitter::acceptWord() {
-  if (token_ == Token::word) return true;
+bool JsonStreamSplitter::acceptLiteral() {
+  if (token_ == Token::literal) return true;
   if (!expectsValue()) return false;
   expected_ = Expected::comma;
-  token_ = Token::word;
+  token_ = Token::literal;
   return true;
 }
 
@@ -74,13 +74,13 @@
       expected_ = innermost() == Container::object ? Expected::key : Expected::value;
       return true;
     case '{':
-      return expectsValue() && open(Container::object);
+      return expectsValue() && openContainer(Container::object);
     case '[':
-      return expectsValue() && open(Container::array);
+      return expectsValue() && openContainer(Container::array);
     case '}':
-      return close(Container::object);
+      return closeContainer(Container::object);
     case ']':
-      return close(Container::array);
+      return closeContainer(Container::array);
     default:
       return false;
   }
@@ -90,21 +90,21 @@
   const bool value = expectsValue();
   if (!value && expected_ != Expected::key && expected_ != Expected::firstKey) return false;
   expected_ = value ? Expected::comma : Expected::colon;
-  token_ = Token::text;
+  token_ = Token::string;
   return true;
 }
 
-bool JsonStreamSplitter::open(Container container) {
+bool JsonStreamSplitter::openContainer(Container container) {
   if (depth_ == kMaxDepth) return false;
   const std::uint64_t bit = std::uint64_t{1} << depth_;
   ++depth_;
   const bool object = container == Container::object;
-  objects_ = object ? objects_ | bit : objects_ & ~bit;
+  objectBits_ = object ? objectBits_ | bit : objectBits_ & ~bit;
   expected_ = object ? Expected::firstKey : Expected::firstValue;
   return true;
 }
 
-bool JsonStreamSplitter::close(Container container) {
+bool JsonStreamSplitter::closeContainer(Container container) {
   if (innermost() != container) return false;
   const Expected empty = container == Container::object ? Expected::firstKey : Expected::firstValue;
   if (expected_ != Expected::comma && expected_ != empty) return false;
--- a/src/config/json_stream_splitter.hpp
+++ b/src/config/json_stream_splitter.hpp
@@ -12,22 +12,23 @@
 /// of swallowing all that follow. Keeps no text; the reader owns the buffer.
 class JsonStreamSplitter {
  public:
-  enum class End {
-    more,    ///< All of the text was looked at, and no object has ended.
-    object,  ///< One object ends right before at(); what follows it is looked at by the next call.
-    bad      ///< The byte at at() cannot stand there. The splitter is not to be used any further.
+  enum class Result {
+    incomplete,  ///< All of the text was looked at, and no object has ended.
+    object,      ///< One object ends right before position(); what follows it is looked at by the next call.
+    invalid      ///< The byte at position() cannot stand there. The splitter is not to be used any further.
   };
 
-  /// Goes on at at(). `text` is all that the reader holds, from the first byte that was not dropped().
-  End take(std::string_view text);
+  /// Goes on at position(). `text` is all that the reader holds, from the first byte that was not
+  /// prefixRemoved().
+  Result scan(std::string_view text);
   /// Bytes of the text that have been looked at.
-  std::size_t at() const { return position_; }
+  std::size_t position() const { return position_; }
   /// Where the object begins that has begun or ended last.
-  std::size_t from() const { return objectStart_; }
+  std::size_t objectStart() const { return objectStart_; }
   /// Whether an object has begun and not ended.
-  bool begun() const { return depth_ > 0; }
-  /// The reader has removed so many bytes from the front of its text; at most at().
-  void dropped(std::size_t bytes) {
+  bool insideObject() const { return depth_ > 0; }
+  /// The reader has removed so many bytes from the front of its text; at most position().
+  void prefixRemoved(std::size_t bytes) {
     position_ -= bytes;
     objectStart_ -= objectStart_ < bytes ? objectStart_ : bytes;
   }
@@ -38,34 +39,34 @@
   /// What the byte before was part of.
   enum class Token {
     none,
-    word,   ///< A number, true, false or null; which, the parser finds out.
-    text,   ///< A string.
-    escape  ///< A string, right after a backslash.
+    literal,  ///< A number, true, false or null; which, the parser finds out.
+    string,   ///< A string.
+    escape    ///< A string, right after a backslash.
   };
   enum class Container { array, object };
 
-  /// Objects and arrays within one another; more are bad. One bit of objects_ for each.
+  /// Objects and arrays within one another; more are bad. One bit of objectBits_ for each.
   static constexpr int kMaxDepth = 64;
 
   /// These look at one byte of an object. False: it cannot stand there.
   bool accept(char character);
-  bool acceptInText(char character);
-  bool acceptWord();
+  bool acceptInString(char character);
+  bool acceptLiteral();
   bool acceptStructure(char character);
   bool acceptQuote();
-  bool open(Container container);
-  bool close(Container container);
+  bool openContainer(Container container);
+  bool closeContainer(Container container);
 
   bool expectsValue() const { return expected_ == Expected::value || expected_ == Expected::firstValue; }
   Container innermost() const {
-    const bool object = depth_ > 0 && ((objects_ >> (depth_ - 1)) & 1) != 0;
+    const bool object = depth_ > 0 && ((objectBits_ >> (depth_ - 1)) & 1) != 0;
     return object ? Container::object : Container::array;
   }
 
   std::size_t position_ = 0;
   std::size_t objectStart_ = 0;
   int depth_ = 0;
-  std::uint64_t objects_ = 0;  ///< A bit for each depth: 1 is an object, 0 an array.
+  std::uint64_t objectBits_ = 0;  ///< A bit for each depth: 1 is an object, 0 an array.
   Expected expected_ = Expected::value;
   Token token_ = Token::none;
 };
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -19,31 +19,31 @@
 void readLog(TomlTable log, OperatorConfig& config) {
   config.form = log.oneOf<LogForm>("form", config.form, kLogFormNames);
   config.level = log.oneOf<Level>("level", config.level, kLevelNames);
-  log.done();
+  log.rejectUnknownKeys();
 }
 
 void readShutdown(TomlTable& root, OperatorConfig& config) {
-  const bool oldName = root.has(kOldShutdownKeys.section);
-  if (oldName && root.has(kShutdownKeys.section))
+  const bool usesOldKeys = root.has(kOldShutdownKeys.section);
+  if (usesOldKeys && root.has(kShutdownKeys.section))
     root.fail(kOldShutdownKeys.section, "no table beside [shutdown], which is its new name");
-  if (oldName)
+  if (usesOldKeys)
     config.renamed.push_back(
         {"table end with still_coming and most_life", "shutdown with accept_for and killed_after"});
-  const ShutdownKeys& keys = oldName ? kOldShutdownKeys : kShutdownKeys;
+  const ShutdownKeys& keys = usesOldKeys ? kOldShutdownKeys : kShutdownKeys;
   TomlTable shutdown = root.section(keys.section);
   config.acceptFor = shutdown.duration(keys.acceptFor, config.acceptFor);
   config.killedAfter = shutdown.duration(keys.killedAfter, config.killedAfter);
   if (config.killedAfter < config.acceptFor)
     shutdown.fail(keys.killedAfter, std::string("a time no shorter than ") + keys.acceptFor);
-  shutdown.done();
+  shutdown.rejectUnknownKeys();
 }
 
 void readReload(TomlTable reload, OperatorConfig& config) {
-  const bool oldName = reload.has("looks");
-  if (oldName) config.renamed.push_back({"key reload.looks", "reload.retries"});
+  const bool usesOldKey = reload.has("looks");
+  if (usesOldKey) config.renamed.push_back({"key reload.looks", "reload.retries"});
   config.reloadRetries =
-      reload.whole<int>(oldName ? "looks" : "retries", config.reloadRetries, 0, kMaxReloadRetries);
-  reload.done();
+      reload.integer<int>(usesOldKey ? "looks" : "retries", config.reloadRetries, 0, kMaxReloadRetries);
+  reload.rejectUnknownKeys();
 }
 
 }  // namespace
@@ -55,7 +55,7 @@
   readLog(table.section("log"), config);
   readShutdown(table, config);
   readReload(table.section("reload"), config);
-  table.done();
+  table.rejectUnknownKeys();
   return config;
 }
 
--- a/src/config/policy_settings_reader.cpp
+++ b/src/config/policy_settings_reader.cpp
@@ -20,32 +20,32 @@
   return group == "zone" ? Group::zone : Group::cell;
 }
 
-Method readMethod(const Fields& method) {
-  return {repeatNamed(method.need<std::string_view>("effect")),
+Method readMethod(const JsonFields& method) {
+  return {repeatNamed(method.require<std::string_view>("effect")),
           groupNamed(method.get<std::string_view>("group", "cell")), method.duration("window", Duration{0}),
           method.duration("promise"), method.get("importance", 1.0)};
 }
 
-Plan readPlan(const Fields& plan) {
+Plan readPlan(const JsonFields& plan) {
   return {plan.get("unitsPerS", 0.0),     plan.get("storeSize", 0.0), plan.get("open", 0),
           plan.get("neverOverRate", 0.0), plan.get("capDepth", 0.0),  plan.get("hardSlack", 0.0),
           plan.get("price", 1.0)};
 }
 
 /// A time above 0; where it is missing or not above 0, the default value.
-Duration positiveDuration(const Fields& section, std::string_view field, Duration defaultValue) {
+Duration positiveDuration(const JsonFields& section, std::string_view field, Duration defaultValue) {
   const Duration duration = section.duration(field, defaultValue);
   return duration > Duration{0} ? duration : defaultValue;
 }
 
 template <class Value, class Read>
-std::vector<Value> readEach(const Fields& section, std::string_view field, Read read) {
+std::vector<Value> readEach(const JsonFields& section, std::string_view field, Read read) {
   std::vector<Value> values;
-  for (const element entry : section.array(field)) values.push_back(read(Fields(field, entry)));
+  for (const element entry : section.array(field)) values.push_back(read(JsonFields(field, entry)));
   return values;
 }
 
-std::vector<Plan> readPlans(const Fields& profile) {
+std::vector<Plan> readPlans(const JsonFields& profile) {
   std::vector<Plan> plans;
   if (profile.has("tariffs")) plans = readEach<Plan>(profile, "tariffs", readPlan);
   if (plans.empty()) plans.push_back(kUnlimitedPlan);
@@ -54,10 +54,10 @@
 
 }  // namespace
 
-PolicySettings readPolicySettings(const Fields& profile) {
-  const Fields family = profile.optionalSection("familyInfo");
-  const Fields limits = profile.optionalSection("limits");
-  const Fields rules = profile.section("rules");
+PolicySettings readPolicySettings(const JsonFields& profile) {
+  const JsonFields family = profile.optionalSection("familyInfo");
+  const JsonFields limits = profile.optionalSection("limits");
+  const JsonFields rules = profile.section("rules");
   std::vector<Plan> plans = readPlans(profile);
   const Duration connectTimeout = positiveDuration(limits, "connectTimeout", kDefaultConnectTimeout);
   return {
@@ -73,26 +73,26 @@
       .maxAttempts = limits.get("tryLimit", 1u),
       .maxRetryAfter = limits.duration("maxRetryAfter", Duration{0}),
       .connectTimeout = connectTimeout,
-      .startCapacity = rules.need<double>("startCapacity"),
-      .overloadMultiple = rules.need<double>("tipMultiple"),
+      .startCapacity = rules.require<double>("startCapacity"),
+      .overloadMultiple = rules.require<double>("tipMultiple"),
       .slowStartTime = rules.duration("cold"),
       .overloadWindow = rules.duration("fall"),
   };
 }
 
-std::vector<std::string> loadFieldNames(const Fields& profile) {
-  const Fields feedback = profile.optionalSection("feedback");
+std::vector<std::string> loadFieldNames(const JsonFields& profile) {
+  const JsonFields feedback = profile.optionalSection("feedback");
   std::vector<std::string> names;
   if (!feedback.has("fields")) return names;
   for (const element entry : feedback.array("fields")) {
     std::string_view name;
-    if (entry.get(name)) feedback.fail("fields", ConfigFault::notAName);
+    if (entry.get(name)) feedback.fail("fields", ConfigFault::notAString);
     names.emplace_back(name);
   }
   return names;
 }
 
-void readLoadFigure(LoadReport& load, std::string_view name, double value) {
+void setLoadField(LoadReport& load, std::string_view name, double value) {
   if (name == "outstanding" || name == "inflight") load.inFlight = value;
   if (name == "backlog" || name == "queue") load.queued = value;
   if (name == "recent_ms" || name == "latency_ms") load.serviceSeconds = value / kMillisecondsPerSecond;
--- a/src/config/toml_error.hpp
+++ b/src/config/toml_error.hpp
@@ -11,12 +11,12 @@
 
 /// What is wrong with a TOML text.
 enum class TomlFault {
-  malformed,           ///< Not TOML; `expected` holds the parser's description.
-  missingKey,          ///< The key must be there.
-  unfitValue,          ///< The key's value is of the wrong type or out of its range.
-  unknownKey,          ///< No such key is read: misspelt, it would have no effect.
-  formerKeyBesideNew,  ///< A key is given under its former name and, in `expected`, under its present one.
-  other                ///< `expected` holds the whole text.
+  malformed,          ///< Not TOML; `expected` holds the parser's description.
+  missingKey,         ///< The key must be there.
+  invalidValue,       ///< The key's value is of the wrong type or out of its range.
+  unknownKey,         ///< No such key is read: misspelt, it would have no effect.
+  conflictingOldKey,  ///< A key is given under its former name and, in `expected`, under its present one.
+  other               ///< `expected` holds the whole text.
 };
 
 /// One fault with its place.
@@ -40,12 +40,12 @@
       return withPlace(problem.expected);
     case TomlFault::missingKey:
       return withPlace(fmt::format("'{}' is missing: expected {}", problem.key, problem.expected));
-    case TomlFault::unfitValue:
+    case TomlFault::invalidValue:
       return withPlace(
           fmt::format("'{}': expected {}, found {}", problem.key, problem.expected, problem.found));
     case TomlFault::unknownKey:
       return withPlace(fmt::format("'{}' is not known here", problem.key));
-    case TomlFault::formerKeyBesideNew:
+    case TomlFault::conflictingOldKey:
       return withPlace(
           fmt::format("'{}' stands beside '{}', which is its new name", problem.key, problem.expected));
     case TomlFault::other:
--- a/src/config/toml_table.hpp
+++ b/src/config/toml_table.hpp
@@ -18,13 +18,13 @@
 
 namespace merlinbridge::config {
 
-/// The least and the most of what is drawn by a seed.
+/// The min and the max of what is drawn by a seed.
 struct Range {
-  double least = 0;
-  double most = 0;
+  double min = 0;
+  double max = 0;
 };
 
-inline constexpr double kLongest = 86'400;  ///< Seconds; a day. No time in a text may be longer.
+inline constexpr double kMaxSeconds = 86'400;  ///< Seconds; a day. No time in a text may be longer.
 
 /// Reads one table of a TOML text, and knows which of its keys were read. Every reader takes the key's name
 /// and a default value (none: the key must be there), and throws TomlError for a value that is not allowed.
@@ -41,11 +41,11 @@
     std::ostringstream found;
     if (node) node->visit([&found](const auto& value) { found << value; });
     const toml::source_position& place = (node ? node->source() : table_.source()).begin;
-    throw TomlError({node ? TomlFault::unfitValue : TomlFault::missingKey, file_, place.line, place.column,
+    throw TomlError({node ? TomlFault::invalidValue : TomlFault::missingKey, file_, place.line, place.column,
                      nameOf(key), expected, found.str()});
   }
 
-  std::string text(std::string_view key, std::optional<std::string> defaultValue = {}) {
+  std::string string(std::string_view key, std::optional<std::string> defaultValue = {}) {
     return read<std::string>(key, std::move(defaultValue), "a text",
                              [](const toml::node& node) { return node.value_exact<std::string>(); });
   }
@@ -53,20 +53,20 @@
     return read<bool>(key, defaultValue, "true or false",
                       [](const toml::node& node) { return node.value_exact<bool>(); });
   }
-  /// A number from `least` to `most`.
-  double number(std::string_view key, std::optional<double> defaultValue, double least, double most) {
-    return read<double>(key, defaultValue, fmt::format("a number from {} to {}", least, most),
-                        [=](const toml::node& node) { return within(node, least, most); });
-  }
-  /// A whole number from `least` to `most`.
-  template <class Whole>
-  Whole whole(std::string_view key, std::optional<Whole> defaultValue, Whole least, Whole most) {
-    return read<Whole>(key, defaultValue, fmt::format("a whole number from {} to {}", least, most),
-                       [=](const toml::node& node) -> std::optional<Whole> {
-                         const auto value = node.value_exact<std::int64_t>();
-                         if (!value || *value < std::int64_t{least} || *value > std::int64_t{most}) return {};
-                         return static_cast<Whole>(*value);
-                       });
+  /// A number from `min` to `max`.
+  double number(std::string_view key, std::optional<double> defaultValue, double min, double max) {
+    return read<double>(key, defaultValue, fmt::format("a number from {} to {}", min, max),
+                        [=](const toml::node& node) { return within(node, min, max); });
+  }
+  /// A whole number from `min` to `max`.
+  template <class Integer>
+  Integer integer(std::string_view key, std::optional<Integer> defaultValue, Integer min, Integer max) {
+    return read<Integer>(key, defaultValue, fmt::format("a whole number from {} to {}", min, max),
+                         [=](const toml::node& node) -> std::optional<Integer> {
+                           const auto value = node.value_exact<std::int64_t>();
+                           if (!value || *value < std::int64_t{min} || *value > std::int64_t{max}) return {};
+                           return static_cast<Integer>(*value);
+                         });
   }
   /// A time with its unit, as "250ms"; ns, us, ms, s, min or h.
   Duration duration(std::string_view key, std::optional<Duration> defaultValue) {
@@ -77,17 +77,17 @@
                             return durationOf(*value);
                           });
   }
-  /// Seconds, either one time or the least and the most.
+  /// Seconds, either one time or the min and the max.
   Range range(std::string_view key, std::optional<Range> defaultValue) {
-    return read<Range>(key, defaultValue, "a time, as \"2s\", or the least and the most, as [\"1s\", \"3s\"]",
+    return read<Range>(key, defaultValue, "a time, as \"2s\", or the min and the max, as [\"1s\", \"3s\"]",
                        [](const toml::node& node) -> std::optional<Range> {
                          if (const auto one = secondsOf(node)) return Range{*one, *one};
                          const toml::array* const both = node.as_array();
                          if (!both || both->size() != 2) return {};
-                         const auto least = secondsOf(*both->get(0));
-                         const auto most = secondsOf(*both->get(1));
-                         if (!least || !most || *least > *most) return {};
-                         return Range{*least, *most};
+                         const auto min = secondsOf(*both->get(0));
+                         const auto max = secondsOf(*both->get(1));
+                         if (!min || !max || *min > *max) return {};
+                         return Range{*min, *max};
                        });
   }
   /// The value whose name stands there; `words` has pairs of name and value.
@@ -128,7 +128,7 @@
     return all;
   }
   /// Throws if the table has a key that was not read: misspelt, it would have no effect. To be called last.
-  void done() const {
+  void rejectUnknownKeys() const {
     for (const auto& [key, node] : table_)
       if (!used_.contains(std::string(key.str())))
         throw TomlError({TomlFault::unknownKey,
@@ -155,9 +155,9 @@
     if (!value) fail(key, expected);
     return *value;
   }
-  static std::optional<double> within(const toml::node& node, double least, double most) {
+  static std::optional<double> within(const toml::node& node, double min, double max) {
     const auto value = node.is_number() ? node.value<double>() : std::nullopt;
-    if (!value || !(*value >= least && *value <= most)) return {};
+    if (!value || !(*value >= min && *value <= max)) return {};
     return value;
   }
   static std::optional<double> secondsOf(const toml::node& node) {
@@ -175,7 +175,7 @@
                                       {"h", 3600}}) {
       if (unit != word) continue;
       value *= scale;
-      if (!(value >= 0 && value <= kLongest)) return {};
+      if (!(value >= 0 && value <= kMaxSeconds)) return {};
       return value;
     }
     return {};
--- a/src/daemon/commands.cpp
+++ b/src/daemon/commands.cpp
@@ -17,7 +17,7 @@
 
 /// One step of `serve` that is repeated for transient errors. All other errors become a ServeError.
 template <class Step>
-auto startStep(ServeStep name, Log& log, const Step& step) {
+auto runStartStep(ServeStep name, Log& log, const Step& step) {
   try {
     return retryWhileStarting(step, [name, &log](std::string_view error) {
       log(LogEvent::startRetried, LogField{"step", nameOf(name)}, LogField{"error", error});
@@ -27,8 +27,8 @@
   }
 }
 
-void logRenamed(Log& log, const std::vector<config::RenamedSetting>& options,
-                const std::vector<config::RenamedSetting>& keys) {
+void logRenamedSettings(Log& log, const std::vector<config::RenamedSetting>& options,
+                        const std::vector<config::RenamedSetting>& keys) {
   for (const auto* const settings : {&options, &keys})
     for (const config::RenamedSetting& setting : *settings)
       log(LogEvent::settingRenamed, LogField{"detail", setting.text()});
@@ -37,12 +37,12 @@
 void runUntilStopped(const ConfigSources& sources, const std::vector<config::RenamedSetting>& renamed,
                      Log& log) {
   const config::OperatorConfig operatorConfig =
-      startStep(ServeStep::readOperatorConfig, log, [&sources] { return sources.readOperator(); });
+      runStartStep(ServeStep::readOperatorConfig, log, [&sources] { return sources.readOperator(); });
   log.configure(operatorConfig.level, operatorConfig.form);
-  logRenamed(log, renamed, operatorConfig.renamed);
+  logRenamedSettings(log, renamed, operatorConfig.renamed);
   const auto signals =
-      startStep(ServeStep::catchSignals, log, [] { return std::make_unique<SignalWatch>(); });
-  const auto daemon = startStep(ServeStep::openGateway, log, [&] {
+      runStartStep(ServeStep::catchSignals, log, [] { return std::make_unique<SignalWatch>(); });
+  const auto daemon = runStartStep(ServeStep::openGateway, log, [&] {
     return std::make_unique<Daemon>(sources, operatorConfig, *signals, log);
   });
   try {
@@ -69,10 +69,10 @@
   return ExitCode::failure;
 }
 
-/// Prints what `verdictOf` returns or, where it throws, the error's text. False: it threw.
-bool reportVerdict(std::string_view file, const std::function<std::string()>& verdictOf) {
+/// Prints what `checkFile` returns or, where it throws, the error's text. False: it threw.
+bool printCheckResult(std::string_view file, const std::function<std::string()>& checkFile) {
   try {
-    std::cout << file << ": " << verdictOf() << '\n';
+    std::cout << file << ": " << checkFile() << '\n';
     return true;
   } catch (const std::exception& e) {
     std::cout << file << ": " << e.what() << '\n';
@@ -80,22 +80,23 @@
   }
 }
 
-void printRenamed(const std::vector<config::RenamedSetting>& renamed) {
+void printRenamedSettings(const std::vector<config::RenamedSetting>& renamed) {
   for (const config::RenamedSetting& setting : renamed) std::cout << "warning: " << setting.text() << '\n';
 }
 
-std::string operatorVerdict(const ConfigSources& sources) {
-  printRenamed(sources.readOperator().renamed);
+std::string checkOperatorConfig(const ConfigSources& sources) {
+  printRenamedSettings(sources.readOperator().renamed);
   return sources.operatorFile.empty() ? "none, defaults hold" : "fit";
 }
 
-std::string platformVerdict(const ConfigSources& sources) {
+std::string checkPlatformConfig(const ConfigSources& sources) {
   const config::GatewayConfig config = sources.readPlatform();
-  net::parseAddress(config.listen);
-  net::parseAddress(config.discovery);
-  if (!config.counter.empty()) net::parseAddress(config.counter);
-  return fmt::format("fit: {} hosts known, {} methods, {} plans, {} gateways", config.known.entries.size(),
-                     config.settings.methods.size(), config.settings.plans.size(), config.settings.gateways);
+  net::parseAddress(config.listenAddress);
+  net::parseAddress(config.discoveryAddress);
+  if (!config.counterAddress.empty()) net::parseAddress(config.counterAddress);
+  return fmt::format("fit: {} hosts known, {} methods, {} plans, {} gateways",
+                     config.knownEndpoints.entries.size(), config.settings.methods.size(),
+                     config.settings.plans.size(), config.settings.gateways);
 }
 
 }  // namespace
@@ -112,11 +113,12 @@
 }
 
 ExitCode check(const ConfigSources& sources, const std::vector<config::RenamedSetting>& renamed) {
-  printRenamed(renamed);
-  const bool operatorFit =
-      reportVerdict("operator configuration", [&sources] { return operatorVerdict(sources); });
-  const bool platformFit = reportVerdict("configuration", [&sources] { return platformVerdict(sources); });
-  return operatorFit && platformFit ? ExitCode::success : ExitCode::badInput;
+  printRenamedSettings(renamed);
+  const bool operatorValid =
+      printCheckResult("operator configuration", [&sources] { return checkOperatorConfig(sources); });
+  const bool platformValid =
+      printCheckResult("configuration", [&sources] { return checkPlatformConfig(sources); });
+  return operatorValid && platformValid ? ExitCode::success : ExitCode::badInput;
 }
 
 }  // namespace merlinbridge::daemon
--- a/src/daemon/config_sources.cpp
+++ b/src/daemon/config_sources.cpp
@@ -52,7 +52,7 @@
 
 config::GatewayConfig ConfigSources::readPlatform() const {
   if (platformFile.empty())
-    throw config::ConfigError({config::ConfigFault::missingSetting, "GW_CONFIG", {}, {}});
+    throw config::ConfigError({config::ConfigFault::unsetVariable, "GW_CONFIG", {}, {}});
   return config::readGatewayConfig(readFile(platformFile));
 }
 
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -9,11 +9,11 @@
 // Part of OperatorConfig::killedAfter: what is left at its end for writing the last answers.
 constexpr Duration kWriteReserve = std::chrono::milliseconds(150);
 // Part of kWriteReserve: for so long a client may read its last answer and close before it is closed as idle.
-constexpr Duration kClientCloseTime = kWriteReserve / 3;
+constexpr Duration kClientCloseTimeout = kWriteReserve / 3;
 // Between two looks at whether the shutdown is complete.
 constexpr Duration kShutdownCheckInterval = kWriteReserve / 20;
 // After so long without traffic the process stops with client connections open.
-constexpr Duration kNoTrafficTime = 2 * kWriteReserve;
+constexpr Duration kNoTrafficTimeout = 2 * kWriteReserve;
 // A file that cannot be read may be half written: it is read again after so long, each wait twice the one
 // before. All retries are over well before the change counts as notified.
 constexpr Duration kFirstReloadRetry = std::chrono::milliseconds(50);
@@ -33,7 +33,7 @@
       log_(log),
       loop_(log, clock_),
       signals_(signals),
-      server_(loop_, readAtStart()) {}
+      server_(loop_, readInitialConfig()) {}
 
 Daemon::~Daemon() {
   signals_.stopDelivery();
@@ -45,16 +45,16 @@
   loop_.endTurn();
   loop_.run([this] {
     server_.recoverMissedReadiness();
-    signals_.check();
+    signals_.deliverPending();
   });
 }
 
-config::GatewayConfig Daemon::readAtStart() {
+config::GatewayConfig Daemon::readInitialConfig() {
   config::GatewayConfig config = sources_.readPlatform();
-  loop_.setTimerCoalescing(config.step);
+  loop_.setTimerCoalescing(config.timerSlack);
   longestDeadline_ = config.longestDeadline;
-  log_(LogEvent::starting, LogField{"gateway", config.name}, LogField{"listen", config.listen},
-       LogField{"known_hosts", config.known.entries.size()});
+  log_(LogEvent::starting, LogField{"gateway", config.name}, LogField{"listen", config.listenAddress},
+       LogField{"known_hosts", config.knownEndpoints.entries.size()});
   return config;
 }
 
@@ -70,9 +70,10 @@
   reloadTimer_ = {};
   try {
     const config::GatewayConfig config = sources_.readPlatform();
-    server_.setAddresses(config.discovery, config.counter);
-    log_(LogEvent::configReloaded, LogField{"discovery", config.discovery},
-         LogField{"counter", std::string_view(config.counter.empty() ? "none" : config.counter)});
+    server_.setAddresses(config.discoveryAddress, config.counterAddress);
+    log_(LogEvent::configReloaded, LogField{"discovery", config.discoveryAddress},
+         LogField{"counter",
+                  std::string_view(config.counterAddress.empty() ? "none" : config.counterAddress)});
   } catch (const std::runtime_error& e) {  // config::ConfigError and std::system_error
     rejectReload(retry, e.what());
   } catch (const std::invalid_argument& e) {  // an address that is none
@@ -134,8 +135,8 @@
 // still accepted.
 void Daemon::checkShutdown() {
   const TimePoint now = loop_.now();
-  if (now >= answerDeadline_ + kClientCloseTime) return enter(Phase::stopped);
-  server_.closeIdle(kClientCloseTime);
+  if (now >= answerDeadline_ + kClientCloseTimeout) return enter(Phase::stopped);
+  server_.closeIdle(kClientCloseTimeout);
   if (shutdownComplete(now)) return enter(Phase::stopped);
   loop_.deadlines.add(now + kShutdownCheckInterval, [this](TimePoint) { checkShutdown(); });
 }
@@ -143,7 +144,7 @@
 bool Daemon::shutdownComplete(TimePoint now) {
   noTrafficSince_ = server_.allAnswered() ? std::min(noTrafficSince_, now) : TimePoint::max();
   if (!server_.allAnswered()) return false;
-  const bool clientsDone = server_.allClosed() || now - noTrafficSince_ >= kNoTrafficTime;
+  const bool clientsDone = server_.allClosed() || now - noTrafficSince_ >= kNoTrafficTimeout;
   return clientsDone && server_.stopAccepting();
 }
 
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -38,7 +38,7 @@
   void run();
 
  private:
-  config::GatewayConfig readAtStart();
+  config::GatewayConfig readInitialConfig();
   void handleSignal(Signal signal);
   /// Reads the platform's file and moves discovery and the counter service to its addresses. `retry`: 0 at
   /// the signal, then counted up to OperatorConfig::reloadRetries.
--- a/src/daemon/log_stream.cpp
+++ b/src/daemon/log_stream.cpp
@@ -17,7 +17,7 @@
 // cut.
 constexpr std::size_t kMaxLineBytes = 4096;
 // So often a call for one line is made while signals interrupt it.
-constexpr int kMaxTriesPerLine = 16;
+constexpr int kMaxInterruptedWrites = 16;
 
 bool isSocket(int descriptor) {
   struct stat status {};
@@ -36,30 +36,30 @@
 LogBuffer::LogBuffer(int descriptor) : descriptor_(descriptor), isSocket_(isSocket(descriptor)) {}
 
 LogBuffer::int_type LogBuffer::overflow(int_type character) {
-  if (!traits_type::eq_int_type(character, traits_type::eof())) add(traits_type::to_char_type(character));
+  if (!traits_type::eq_int_type(character, traits_type::eof())) append(traits_type::to_char_type(character));
   return traits_type::not_eof(character);
 }
 
 std::streamsize LogBuffer::xsputn(const char* text, std::streamsize size) {
-  for (const char character : std::string_view(text, static_cast<std::size_t>(size))) add(character);
+  for (const char character : std::string_view(text, static_cast<std::size_t>(size))) append(character);
   return size;
 }
 
-void LogBuffer::add(char character) {
+void LogBuffer::append(char character) {
   if (character == '\n') return writeLine();
   if (line_.size() < kMaxLineBytes - 1) line_.push_back(character);
 }
 
 void LogBuffer::writeLine() {
   line_.push_back('\n');
-  if (dropped_ > 0 && writeNow(droppedLine(dropped_))) dropped_ = 0;
-  if (!writeNow(line_)) ++dropped_;
+  if (dropped_ > 0 && tryWrite(droppedLine(dropped_))) dropped_ = 0;
+  if (!tryWrite(line_)) ++dropped_;
   line_.clear();
 }
 
 // The rest of a line that was accepted in part is given up.
-bool LogBuffer::writeNow(const std::string& text) const {
-  for (int tries = 0; tries < kMaxTriesPerLine; ++tries) {
+bool LogBuffer::tryWrite(const std::string& text) const {
+  for (int tries = 0; tries < kMaxInterruptedWrites; ++tries) {
     pollfd state{descriptor_, POLLOUT, 0};
     const int ready = ::poll(&state, 1, 0);
     if (ready < 0 && errno == EINTR) continue;
--- a/src/daemon/log_stream.hpp
+++ b/src/daemon/log_stream.hpp
@@ -20,11 +20,11 @@
   std::streamsize xsputn(const char* text, std::streamsize size) override;
 
  private:
-  void add(char character);
+  void append(char character);
   /// Writes the line that is complete, after a line log_lines_dropped if lines were dropped before.
   void writeLine();
   /// Writes without waiting. False: the descriptor did not accept all of the text.
-  bool writeNow(const std::string& text) const;
+  bool tryWrite(const std::string& text) const;
 
   const int descriptor_;
   const bool isSocket_;        ///< Decided once: a socket is written to with flags of its own.
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -37,12 +37,12 @@
       "command line, or a file that is not fit.\n"
       "Without a command it serves.");
   app.require_subcommand(0, 1);
-  CLI::App* const serving =
+  CLI::App* const serveCommand =
       app.add_subcommand("serve", "serves until SIGTERM; SIGHUP reads the platform's configuration again");
-  CLI::App* const checking =
+  CLI::App* const checkCommand =
       app.add_subcommand("check", "says whether the files are fit, and starts nothing");
-  CLI::App* const version = app.add_subcommand("version", "prints the version");
-  for (CLI::App* const command : {serving, checking}) {
+  CLI::App* const versionCommand = app.add_subcommand("version", "prints the version");
+  for (CLI::App* const command : {serveCommand, checkCommand}) {
     addFileOption(*command, "--config", "--orders", "the platform's configuration (JSON), else GW_CONFIG",
                   sources.platformFile, renamed);
     addFileOption(*command, "--operator-config", "--own", "the operators' configuration (TOML), else GW_OWN",
@@ -53,12 +53,12 @@
   } catch (const CLI::ParseError& e) {
     return app.exit(e) == 0 ? ExitCode::success : ExitCode::badInput;
   }
-  if (*version) {
+  if (*versionCommand) {
     std::cout << "merlinbridge " << MERLINBRIDGE_VERSION << '\n';
     return ExitCode::success;
   }
-  return *checking ? merlinbridge::daemon::check(sources, renamed)
-                   : merlinbridge::daemon::serve(sources, renamed);
+  return *checkCommand ? merlinbridge::daemon::check(sources, renamed)
+                       : merlinbridge::daemon::serve(sources, renamed);
 }
 
 }  // namespace
--- a/src/daemon/signal_watch.cpp
+++ b/src/daemon/signal_watch.cpp
@@ -13,16 +13,16 @@
 namespace {
 
 // What the signal handler may touch: a flag for each Signal, and the write end of the pipe.
-volatile std::sig_atomic_t terminateCame = 0;    // NOLINT(readability-identifier-naming): not a constant
-volatile std::sig_atomic_t hangUpCame = 0;       // NOLINT(readability-identifier-naming): not a constant
-volatile std::sig_atomic_t wakeDescriptor = -1;  // NOLINT(readability-identifier-naming): not a constant
+volatile std::sig_atomic_t terminateReceived = 0;  // NOLINT(readability-identifier-naming): not a constant
+volatile std::sig_atomic_t hangUpReceived = 0;     // NOLINT(readability-identifier-naming): not a constant
+volatile std::sig_atomic_t wakeDescriptor = -1;    // NOLINT(readability-identifier-naming): not a constant
 
 constexpr std::array kCaughtSignals{SIGTERM, SIGINT, SIGHUP};
 constexpr std::size_t kWakeBytesPerRead = 64;
 
 void onSignal(int number) {
   const int savedErrno = errno;
-  (number == SIGHUP ? hangUpCame : terminateCame) = 1;
+  (number == SIGHUP ? hangUpReceived : terminateReceived) = 1;
   const char byte = 0;
   [[maybe_unused]] const ssize_t written = ::write(wakeDescriptor, &byte, 1);
   errno = savedErrno;
@@ -56,7 +56,7 @@
   loop_ = &loop;
   handler_ = std::move(handler);
   wakeStream_ = std::make_unique<net::asio::posix::basic_stream_descriptor<net::Strand>>(loop.strand);
-  check();
+  deliverPending();
 }
 
 void SignalWatch::stopDelivery() {
@@ -65,14 +65,14 @@
   waiting_ = false;
 }
 
-void SignalWatch::check() {
+void SignalWatch::deliverPending() {
   if (!wakeStream_) return;
-  if (takeFlag(hangUpCame)) handler_(Signal::hangUp);
-  if (takeFlag(terminateCame)) handler_(Signal::terminate);
+  if (takeFlag(hangUpReceived)) handler_(Signal::hangUp);
+  if (takeFlag(terminateReceived)) handler_(Signal::terminate);
   waitForWake();
 }
 
-// Where the system refuses the wait, the next check() asks for it again.
+// Where the system refuses the wait, the next deliverPending() asks for it again.
 void SignalWatch::waitForWake() {
   if (waiting_) return;
   net::Error error;
@@ -83,13 +83,13 @@
   wakeStream_->async_wait(net::asio::posix::descriptor_base::wait_read, [this](const net::Error& waitError) {
     if (waitError == net::asio::error::operation_aborted) return;
     waiting_ = false;
-    emptyPipe();
-    check();
+    drainPipe();
+    deliverPending();
     loop_->endTurn();
   });
 }
 
-void SignalWatch::emptyPipe() {
+void SignalWatch::drainPipe() {
   std::array<char, kWakeBytesPerRead> bytes{};
   while (::read(readEnd_.get(), bytes.data(), bytes.size()) > 0) {
   }
--- a/src/daemon/signal_watch.hpp
+++ b/src/daemon/signal_watch.hpp
@@ -17,7 +17,8 @@
 
 /// Catches SIGTERM, SIGINT and SIGHUP from its construction on, and hands each to the event loop. The signal
 /// itself is kept in a flag; the pipe only wakes the loop, so a failed write or read delays a signal to the
-/// next check() and loses none. One at a time in a process, since signal handlers are the process's own.
+/// next deliverPending() and loses none. One at a time in a process, since signal handlers are the process's
+/// own.
 class SignalWatch {
  public:
   /// Runs on the event loop's strand.
@@ -37,11 +38,11 @@
   /// Ends delivery; signals that come later are kept. To be called before the loop is destroyed.
   void stopDelivery();
   /// Delivers what has come. Called by the pipe's handler, and at intervals in case a wake was lost.
-  void check();
+  void deliverPending();
 
  private:
   void waitForWake();
-  void emptyPipe();
+  void drainPipe();
 
   net::Descriptor readEnd_;
   net::Descriptor writeEnd_;
--- a/src/emulator/discovery_service.cpp
+++ b/src/emulator/discovery_service.cpp
@@ -102,15 +102,15 @@
   // The text arrives in two parts, cut at a drawn place.
   config::JsonStreamSplitter splitter;
   const std::string firstPart = text.substr(0, random_.below(text.size() + 1));
-  auto end = splitter.take(firstPart);
-  if (end == config::JsonStreamSplitter::End::more) end = splitter.take(text);
-  if (end != config::JsonStreamSplitter::End::object) return std::nullopt;
-  std::string object = text.substr(splitter.from(), splitter.at() - splitter.from());
+  auto end = splitter.scan(firstPart);
+  if (end == config::JsonStreamSplitter::Result::incomplete) end = splitter.scan(text);
+  if (end != config::JsonStreamSplitter::Result::object) return std::nullopt;
+  std::string object = text.substr(splitter.objectStart(), splitter.position() - splitter.objectStart());
   object.reserve(object.size() + simdjson::SIMDJSON_PADDING);
   simdjson::dom::parser parser;
   config::element root;
   if (parser.parse(object).get(root)) return std::nullopt;
-  return config::readEndpointList(config::Fields("discovery", root));
+  return config::readEndpointList(config::JsonFields("discovery", root));
 }
 
 void DiscoveryService::announce(std::uint32_t gateway, std::uint32_t host) {
--- a/src/emulator/emulated_gateway.cpp
+++ b/src/emulator/emulated_gateway.cpp
@@ -66,7 +66,7 @@
         deadlines_(deadlines),
         transport_(transport),
         random_(config.seed, "policy") {
-    config::EndpointList known = config.known;
+    config::EndpointList known = config.knownEndpoints;
     known.complete = true;
     AdmitAllGateway::endpointsUpdated(now, known);
   }
--- a/src/emulator/faults/fault_schedule.cpp
+++ b/src/emulator/faults/fault_schedule.cpp
@@ -32,8 +32,8 @@
     const Fault& fault = scenario.faults[number];
     effects_.push_back(makeFaultEffect(fault.kind));
     RandomStream random(seed_, fmt::format("fault {}", number));
-    const TimePoint from = kRunStart + durationOf(random.between(fault.from.least, fault.from.most));
-    const Duration lasts = durationOf(random.between(fault.lasts.least, fault.lasts.most));
+    const TimePoint from = kRunStart + durationOf(random.between(fault.from.min, fault.from.max));
+    const Duration lasts = durationOf(random.between(fault.lasts.min, fault.lasts.max));
     targets_.run.events().at(from, [this, number, random, lasts]() mutable { begin(number, random, lasts); });
   }
 }
--- a/src/emulator/gateway_fleet.cpp
+++ b/src/emulator/gateway_fleet.cpp
@@ -22,7 +22,7 @@
                                                               core::Transport& transport) {
   config::GatewayConfig config = config_;
   config.seed = seeds_.word();
-  config.known = known;
+  config.knownEndpoints = known;
   RunContext& run = surroundings.run;
   const HostFleet& hosts = surroundings.hosts;
   const Truth truth{[&run](std::uint64_t customer, std::uint32_t plan, double units) {
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -29,18 +29,18 @@
 config::GatewayConfig Scenario::config() const {
   constexpr std::size_t kSockets = 1024;
   config::GatewayConfig config{};
-  config.sockets = kSockets;
+  config.maxDescriptors = kSockets;
   PolicySettings& settings = config.settings;
   for (const ScenarioMethod& method : methods) {
     settings.methods.push_back({method.repeat, method.group, method.window, method.soft, method.utility});
-    config.methods.push_back(method.name);
+    config.methodNames.push_back(method.name);
   }
   for (const ScenarioPlan& plan : plans) {
     settings.plans.push_back(plan.plan);
-    config.plans.push_back(plan.name);
+    config.planNames.push_back(plan.name);
   }
-  for (std::uint32_t zone = 0; zone < zones; ++zone) config.zones.push_back(fmt::format("z{}", zone));
-  config.machines = {"m"};
+  for (std::uint32_t zone = 0; zone < zones; ++zone) config.zoneNames.push_back(fmt::format("z{}", zone));
+  config.machineNames = {"m"};
   settings.gateways = gateways;
   settings.hasCounter = counter;
   settings.counterTimeout = counterTimeout;
@@ -55,7 +55,7 @@
   settings.overloadMultiple = overloadMultiple;
   settings.slowStartTime = slowStartTime;
   settings.overloadWindow = overloadWindow;
-  config.idle = idle;
+  config.idleTimeout = idle;
   config.answerSlack = answerSlack;
   config.longestDeadline = longestDeadline();
   config.drainGrace = drainGrace;
--- a/src/emulator/scenario_keys.cpp
+++ b/src/emulator/scenario_keys.cpp
@@ -91,7 +91,7 @@
 
 [[noreturn]] void failWithBothNames(const RenamedKey& key, const std::string& file,
                                     const toml::source_position& place) {
-  throw config::TomlError({config::TomlFault::formerKeyBesideNew, file, place.line, place.column,
+  throw config::TomlError({config::TomlFault::conflictingOldKey, file, place.line, place.column,
                            fmt::format("{}.{}", key.table, key.oldName),
                            fmt::format("{}.{}", key.table, key.newName), ""});
 }
--- a/src/emulator/scenario_reader.cpp
+++ b/src/emulator/scenario_reader.cpp
@@ -13,18 +13,18 @@
 using std::chrono::milliseconds;
 
 void readFleet(TomlTable fleet, Scenario& scenario) {
-  scenario.gateways = fleet.whole<std::uint32_t>("gateways", {}, 1, 4096);
-  scenario.zones = fleet.whole<std::uint32_t>("zones", 1, 1, 1024);
+  scenario.gateways = fleet.integer<std::uint32_t>("gateways", {}, 1, 4096);
+  scenario.zones = fleet.integer<std::uint32_t>("zones", 1, 1, 1024);
   scenario.restart = fleet.duration("restart", milliseconds(300));
   scenario.notice = fleet.duration("notice", milliseconds(1000));
-  fleet.done();
+  fleet.rejectUnknownKeys();
 }
 
 void readHosts(TomlTable hosts, Scenario& scenario) {
-  scenario.hosts = hosts.whole<std::uint32_t>("count", {}, 0, 16'384);
-  scenario.cores = hosts.whole<int>("cores", 4, 1, 4096);
-  scenario.queueCapacity = hosts.whole<int>("queue_capacity", 64, 0, 1'000'000);
-  scenario.connections = hosts.whole<int>("connections", 1000, 1, 1'000'000);
+  scenario.hosts = hosts.integer<std::uint32_t>("count", {}, 0, 16'384);
+  scenario.cores = hosts.integer<int>("cores", 4, 1, 4096);
+  scenario.queueCapacity = hosts.integer<int>("queue_capacity", 64, 0, 1'000'000);
+  scenario.connections = hosts.integer<int>("connections", 1000, 1, 1'000'000);
   scenario.idle = hosts.duration("idle", milliseconds(10'000));
   scenario.slowStartTime = hosts.duration("slow_start_time", milliseconds(8000));
   scenario.startCapacity = hosts.number("start_capacity", 0.25, 0.001, 1);
@@ -32,7 +32,7 @@
   scenario.overloadMultiple = hosts.number("overload_multiple", 2, 0.1, 1000);
   scenario.stopsCancelled = hosts.flag("stops_cancelled", true);
   scenario.reports = hosts.flag("reports", true);
-  hosts.done();
+  hosts.rejectUnknownKeys();
 }
 
 void readNetwork(TomlTable network, Scenario& scenario) {
@@ -40,25 +40,25 @@
   scenario.jitter = network.duration("jitter", microseconds(200));
   scenario.loss = network.number("loss", 0, 0, 1);
   scenario.connectTimeout = network.duration("connect_timeout", milliseconds(250));
-  network.done();
+  network.rejectUnknownKeys();
 }
 
 void readClients(TomlTable clients, Scenario& scenario) {
   scenario.rate = clients.number("rate", {}, 0, 10'000'000);
-  scenario.customers = clients.whole<std::uint32_t>("customers", 100, 1, 10'000'000);
+  scenario.customers = clients.integer<std::uint32_t>("customers", 100, 1, 10'000'000);
   scenario.skew = clients.number("skew", 0.8, 0, 4);
   scenario.units = clients.number("units", 1, 0, 1000);
-  scenario.spread = clients.whole<std::uint32_t>("spread", 3, 1, 4096);
-  scenario.tries = clients.whole<int>("max_attempts", 3, 1, 100);
+  scenario.spread = clients.integer<std::uint32_t>("spread", 3, 1, 4096);
+  scenario.tries = clients.integer<int>("max_attempts", 3, 1, 100);
   scenario.wait = clients.duration("wait", milliseconds(100));
   scenario.honorsRetryAfter = clients.number("honors_retry_after", 0.8, 0, 1);
   scenario.abandonProbability = clients.number("abandon_probability", 0, 0, 1);
-  clients.done();
+  clients.rejectUnknownKeys();
 }
 
 ScenarioMethod readMethod(TomlTable& table) {
   ScenarioMethod method{};
-  method.name = table.text("name");
+  method.name = table.string("name");
   method.repeat = table.oneOf<Repeat>("repeat", Repeat::idempotent, kRepeats);
   method.group = table.oneOf<Group>("group", Group::all, kGroups);
   method.window = table.duration("window", milliseconds(4000));
@@ -68,22 +68,22 @@
   method.share = table.number("share", 1, 0, 1e6);
   method.utility = table.number("utility", 1, 0, 1e6);
   if (method.deadline < method.soft) table.fail("deadline", "a time no shorter than the soft deadline");
-  table.done();
+  table.rejectUnknownKeys();
   return method;
 }
 
 ScenarioPlan readPlan(TomlTable& table) {
   ScenarioPlan plan{};
-  plan.name = table.text("name");
+  plan.name = table.string("name");
   plan.plan.rate = table.number("rate", 0, 0, 1e9);
   plan.plan.burst = table.number("burst", plan.plan.rate, 0, 1e9);
-  plan.plan.maxInFlight = table.whole<int>("open", 0, 0, 1'000'000);
+  plan.plan.maxInFlight = table.integer<int>("open", 0, 0, 1'000'000);
   plan.plan.ceilingRate = table.number("ceiling_rate", 0, 0, 1e9);
   plan.plan.ceilingBurst = table.number("ceiling_burst", plan.plan.ceilingRate, 0, 1e9);
   plan.plan.ceilingSlack = table.number("ceiling_slack", 0, 0, 1e9);
   plan.plan.price = table.number("price", 1, 0, 1e6);
   plan.share = table.number("share", 1, 0, 1e6);
-  table.done();
+  table.rejectUnknownKeys();
   return plan;
 }
 
@@ -95,26 +95,26 @@
   fault.lasts = table.range("lasts", Range{});
   fault.share = table.number("share", 1, 0, 1);
   fault.factor = table.number("factor", 1, 0, 1000);
-  fault.steps = table.whole<int>("steps", 1, 1, 10'000);
-  if (fault.from.least > seconds(scenario.length))
+  fault.steps = table.integer<int>("steps", 1, 1, 10'000);
+  if (fault.from.min > seconds(scenario.length))
     table.fail("from", "a time within the length of the scenario");
-  table.done();
+  table.rejectUnknownKeys();
   return fault;
 }
 
 void readCounter(TomlTable counter, Scenario& scenario) {
   scenario.counter = counter.flag("present", true);
-  scenario.counterParts = counter.whole<int>("parts", 1, 1, 1024);
-  scenario.counterRoom = counter.whole<int>("queue_capacity", 500, 1, 1'000'000);
+  scenario.counterParts = counter.integer<int>("parts", 1, 1, 1024);
+  scenario.counterRoom = counter.integer<int>("queue_capacity", 500, 1, 1'000'000);
   scenario.counterService = counter.duration("service", microseconds(200));
   scenario.counterTimeout = counter.duration("timeout", milliseconds(100));
-  counter.done();
+  counter.rejectUnknownKeys();
 }
 
 void readDiscovery(TomlTable discovery, Scenario& scenario) {
   scenario.notificationDelay = discovery.duration("notification_delay", milliseconds(100));
   scenario.indented = discovery.flag("indented", false);
-  discovery.done();
+  discovery.rejectUnknownKeys();
 }
 
 void readRules(TomlTable rules, Scenario& scenario) {
@@ -123,8 +123,8 @@
   scenario.maxRetryAfter = rules.duration("max_retry_after", milliseconds(2000));
   scenario.allowCancel = rules.flag("allow_cancel", true);
   scenario.allowHedging = rules.flag("allow_hedging", false);
-  scenario.maxAttempts = rules.whole<std::uint32_t>("max_attempts", 3, 1, 100);
-  rules.done();
+  scenario.maxAttempts = rules.integer<std::uint32_t>("max_attempts", 3, 1, 100);
+  rules.rejectUnknownKeys();
 }
 
 std::uint64_t hashOf(std::string_view text) {
@@ -143,7 +143,7 @@
   for (const std::string& change : changes) applyChange(root, change, scenario.warnings);
 
   TomlTable table(root, "", file);
-  scenario.name = table.text("name");
+  scenario.name = table.string("name");
   scenario.length = table.duration("length", {});
   readFleet(table.section("fleet"), scenario);
   readHosts(table.section("hosts"), scenario);
@@ -157,7 +157,7 @@
   readDiscovery(table.section("discovery"), scenario);
   readRules(table.section("rules"), scenario);
   for (TomlTable& fault : table.sections("fault")) scenario.faults.push_back(readFault(fault, scenario));
-  table.done();
+  table.rejectUnknownKeys();
   // The hash is of what is played: the order of the keys, their old names, and a change that changes nothing
   // keep it.
   scenario.hash = hashOf(writeScenario(scenario));
--- a/src/emulator/scenario_writer.cpp
+++ b/src/emulator/scenario_writer.cpp
@@ -29,8 +29,8 @@
   }
   /// One time, or the least and the most.
   void range(std::string_view key, Range range) {
-    if (range.least == range.most) return text(key, fmt::format("{}s", range.least));
-    value(key, fmt::format("[\"{}s\", \"{}s\"]", range.least, range.most));
+    if (range.min == range.max) return text(key, fmt::format("{}s", range.min));
+    value(key, fmt::format("[\"{}s\", \"{}s\"]", range.min, range.max));
   }
   std::string take() { return std::move(text_); }
 
--- a/src/gateway_core/gateway_core.cpp
+++ b/src/gateway_core/gateway_core.cpp
@@ -10,13 +10,13 @@
       answerSlack_(config.answerSlack),
       enforcesDeadlines_(timekeeper == DeadlineEnforcer::core),
       now_(now),
-      names_{NameTable<MethodId>(config.methods), NameTable<PlanId>(config.plans),
-             NameTable<ZoneId>(config.zones), NameTable<MachineId>(config.machines)},
+      names_{NameTable<MethodId>(config.methodNames), NameTable<PlanId>(config.planNames),
+             NameTable<ZoneId>(config.zoneNames), NameTable<MachineId>(config.machineNames)},
       deadlines_(deadlines),
       transport_(transport),
       hosts_(config.longestDeadline, transport),
       engine_(config.settings, config.seed, now, *this) {
-  config::EndpointList known = config.known;
+  config::EndpointList known = config.knownEndpoints;
   known.complete = true;
   endpointsUpdated(now, known);
 }
--- a/src/http/chunked_decoder.cpp
+++ b/src/http/chunked_decoder.cpp
@@ -23,16 +23,16 @@
 
 }  // namespace
 
-ChunkedDecoder::End ChunkedDecoder::decode(char* data, std::size_t& decoded, std::size_t& raw,
-                                           std::size_t size) {
+ChunkedDecoder::Result ChunkedDecoder::decode(char* data, std::size_t& decoded, std::size_t& raw,
+                                              std::size_t size) {
   while (raw < size && state_ != State::done) {
     if (state_ == State::data) {
       readData(data, decoded, raw, size);
     } else if (!readFraming(data[raw++])) {
-      return End::bad;
+      return Result::invalid;
     }
   }
-  return state_ == State::done ? End::done : End::more;
+  return state_ == State::done ? Result::done : Result::incomplete;
 }
 
 void ChunkedDecoder::readData(char* data, std::size_t& decoded, std::size_t& raw, std::size_t size) {
--- a/src/http/chunked_decoder.hpp
+++ b/src/http/chunked_decoder.hpp
@@ -11,15 +11,15 @@
 class ChunkedDecoder {
  public:
   /// How far the decoding has come.
-  enum class End {
-    more,  ///< The body is incomplete: further bytes are needed.
-    done,  ///< The body is complete. Bytes after it are left unread.
-    bad    ///< The framing is malformed, or an extension or the trailers exceed kMaxHeadBytes.
+  enum class Result {
+    incomplete,  ///< The body is incomplete: further bytes are needed.
+    done,        ///< The body is complete. Bytes after it are left unread.
+    invalid      ///< The framing is malformed, or an extension or the trailers exceed kMaxHeadBytes.
   };
 
   /// Decodes as much as there is. In `data`, [0, decoded) is the body so far and [raw, size) the bytes not
   /// read yet; both ends are moved on. The bytes between `decoded` and `raw` are undefined afterwards.
-  End decode(char* data, std::size_t& decoded, std::size_t& raw, std::size_t size);
+  Result decode(char* data, std::size_t& decoded, std::size_t& raw, std::size_t size);
 
  private:
   // What the next byte belongs to.
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -78,7 +78,7 @@
 bool Message::fail(int errorStatus) {
   errorStatus_ = errorStatus;
   keepsAlive_ = false;  // where the next message would start is not known
-  stage_ = Stage::bad;
+  stage_ = Stage::invalid;
   return false;
 }
 
@@ -262,11 +262,11 @@
 
 bool Message::readChunkedBody(std::size_t size) {
   const auto end = chunks_.decode(data_, decodedEnd_, consumed_, size);
-  if (end == ChunkedDecoder::End::bad) return fail(kBadRequest);
+  if (end == ChunkedDecoder::Result::invalid) return fail(kBadRequest);
   const bool isTooLarge = decodedEnd_ - headEnd_ > maxBodyBytes_;
   const bool isPadded = consumed_ - headEnd_ > kMaxEncodedBodyFactor * maxBodyBytes_;
   if (isTooLarge || isPadded) return fail(kContentTooLarge);
-  if (end == ChunkedDecoder::End::done) stage_ = Stage::done;
+  if (end == ChunkedDecoder::Result::done) stage_ = Stage::done;
   return true;
 }
 
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -33,10 +33,10 @@
   };
   /// From head to body to done; or to bad from either. Done and bad are final until clear().
   enum class Stage {
-    head,  ///< The head is incomplete.
-    body,  ///< The head is complete and may be read, the body is not.
-    done,  ///< The message is complete.
-    bad    ///< The message is malformed or too large; errorStatus() says how.
+    head,    ///< The head is incomplete.
+    body,    ///< The head is complete and may be read, the body is not.
+    done,    ///< The message is complete.
+    invalid  ///< The message is malformed or too large; errorStatus() says how.
   };
   /// A header field.
   struct Field {
--- a/src/lab/scenario_shrinker.cpp
+++ b/src/lab/scenario_shrinker.cpp
@@ -57,17 +57,17 @@
   }
   void shorten() {
     double lastStart = 0;
-    for (const Fault& fault : scenario_.faults) lastStart = std::max(lastStart, fault.from.most);
+    for (const Fault& fault : scenario_.faults) lastStart = std::max(lastStart, fault.from.max);
     const Duration shorter =
         std::max({scaled(scenario_.length, 0.5), durationOf(lastStart + kSecondsAfterLastFault), kMinLength});
     if (shorter < scenario_.length) smaller_.emplace_back(scenario_).length = shorter;
   }
   void startFaultsEarlier() {
     for (std::size_t index = 0; index < scenario_.faults.size(); ++index) {
-      if (scenario_.faults[index].from.most < kMinFaultStartSeconds) continue;
+      if (scenario_.faults[index].from.max < kMinFaultStartSeconds) continue;
       Fault& fault = smaller_.emplace_back(scenario_).faults[index];
-      fault.from.least /= 2;
-      fault.from.most /= 2;
+      fault.from.min /= 2;
+      fault.from.max /= 2;
     }
   }
 
--- a/src/net/client/client_connection.cpp
+++ b/src/net/client/client_connection.cpp
@@ -67,7 +67,7 @@
   if (std::exchange(parsing_, true)) return;
   while (isUp() && state_ == State::receiving && allWritten() && !buffer_.empty()) {
     const auto stage = message_.advance(buffer_.data(), received());
-    if (stage == http::Message::Stage::bad) {
+    if (stage == http::Message::Stage::invalid) {
       answerBadFraming();
     } else if (stage == http::Message::Stage::done) {
       handleRequest();
--- a/src/net/counter/counter_connection.cpp
+++ b/src/net/counter/counter_connection.cpp
@@ -75,7 +75,7 @@
 // closed.
 bool CounterConnection::readAnswer() {
   const auto stage = message_.advance(buffer_.data(), received());
-  if (stage == http::Message::Stage::bad || calls_.empty()) {
+  if (stage == http::Message::Stage::invalid || calls_.empty()) {
     onClosed();
     return false;
   }
--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -18,7 +18,7 @@
   config::element root;
   if (parser.parse(json).get(root) || !root.is_object())
     throw config::ConfigError("a line is not a JSON object");
-  return config::readEndpointList(config::Fields("discovery", root));
+  return config::readEndpointList(config::JsonFields("discovery", root));
 }
 
 }  // namespace
--- a/src/net/discovery/poll_connection.cpp
+++ b/src/net/discovery/poll_connection.cpp
@@ -20,7 +20,7 @@
 
 void PollConnection::onData() {
   const auto stage = message_.advance(buffer_.data(), received());
-  if (stage == http::Message::Stage::bad) return finish(DiscoveryOutcome::failed);
+  if (stage == http::Message::Stage::invalid) return finish(DiscoveryOutcome::failed);
   if (stage != http::Message::Stage::done) return;
   if (message_.status() != kStatusOk) return finish(DiscoveryOutcome::rejected);
   const bool applied = owner_.applyEndpointList(std::string(message_.body()));
--- a/src/net/discovery/watch_connection.cpp
+++ b/src/net/discovery/watch_connection.cpp
@@ -20,16 +20,16 @@
 void WatchConnection::onData() {
   lastHeardAt_ = loop_.now();
   if (state_ == State::readingHead && !readHead()) return;
-  const http::ChunkedDecoder::End end = decodeBody();
+  const http::ChunkedDecoder::Result end = decodeBody();
   readEndpointLists();
-  if (isUp() && (end != http::ChunkedDecoder::End::more || decodedBytes_ > kMaxEndpointListBytes)) onClosed();
+  if (isUp() && (end != http::ChunkedDecoder::Result::incomplete || decodedBytes_ > kMaxEndpointListBytes)) onClosed();
 }
 
 // Returns true once the head is complete and announces a watch; what follows it in the buffer is the body.
 bool WatchConnection::readHead() {
   const auto stage = head_.advance(buffer_.data(), buffer_.size());
   if (stage == http::Message::Stage::head) return false;
-  if (stage == http::Message::Stage::bad || head_.status() != kStatusOk) {
+  if (stage == http::Message::Stage::invalid || head_.status() != kStatusOk) {
     onClosed();
     return false;
   }
@@ -38,10 +38,10 @@
   return true;
 }
 
-http::ChunkedDecoder::End WatchConnection::decodeBody() {
+http::ChunkedDecoder::Result WatchConnection::decodeBody() {
   if (!head_.isChunked()) {
     decodedBytes_ = buffer_.size();
-    return http::ChunkedDecoder::End::more;
+    return http::ChunkedDecoder::Result::incomplete;
   }
   std::size_t raw = decodedBytes_;
   const auto end = chunks_.decode(buffer_.data(), decodedBytes_, raw, buffer_.size());
@@ -50,25 +50,25 @@
 }
 
 void WatchConnection::readEndpointLists() {
-  using End = config::JsonStreamSplitter::End;
+  using Result = config::JsonStreamSplitter::Result;
   while (isUp()) {
-    const std::size_t splitBefore = splitter_.at();
-    const bool begunBefore = splitter_.begun();
-    const End end = splitter_.take(buffer_.view().substr(0, decodedBytes_));
-    if (end == End::bad) return onClosed();
+    const std::size_t splitBefore = splitter_.position();
+    const bool begunBefore = splitter_.insideObject();
+    const Result end = splitter_.scan(buffer_.view().substr(0, decodedBytes_));
+    if (end == Result::invalid) return onClosed();
     trackObject(splitBefore, begunBefore, end);
     std::string list;
-    if (end == End::object) list = buffer_.view().substr(splitter_.from(), splitter_.at() - splitter_.from());
+    if (end == Result::object) list = buffer_.view().substr(splitter_.objectStart(), splitter_.position() - splitter_.objectStart());
     dropSplit();
-    if (end == End::more) return;
+    if (end == Result::incomplete) return;
     if (!owner_.applyEndpointList(std::move(list))) return onClosed();
   }
 }
 
 // Notes when the present object began, and reports what came apart from the bytes of an incomplete object.
 void WatchConnection::trackObject(std::size_t splitBefore, bool begunBefore,
-                                  config::JsonStreamSplitter::End end) {
-  if (!begunBefore && (splitter_.begun() || end == config::JsonStreamSplitter::End::object))
+                                  config::JsonStreamSplitter::Result end) {
+  if (!begunBefore && (splitter_.insideObject() || end == config::JsonStreamSplitter::Result::object))
     objectBegunAt_ = loop_.now();
   if (splitBytes() > splitBefore) owner_.watchHeard();
 }
@@ -79,7 +79,7 @@
   if (bytes == 0) return;
   buffer_.consume(bytes);
   decodedBytes_ -= bytes;
-  splitter_.dropped(bytes);
+  splitter_.prefixRemoved(bytes);
 }
 
 void WatchConnection::onClosed() {
@@ -88,7 +88,7 @@
 }
 
 bool WatchConnection::expectsMore() const {
-  return state_ == State::readingBody ? splitter_.begun() : head_.hasBegun();
+  return state_ == State::readingBody ? splitter_.insideObject() : head_.hasBegun();
 }
 
 // Discovery sends a heartbeat every kHeartbeatInterval: a peer that vanished without closing the connection
@@ -100,7 +100,7 @@
 }
 
 TimePoint WatchConnection::waitStartedAt() const {
-  return splitter_.begun() ? std::min(objectBegunAt_, lastHeardAt_) : lastHeardAt_;
+  return splitter_.insideObject() ? std::min(objectBegunAt_, lastHeardAt_) : lastHeardAt_;
 }
 
 }  // namespace merlinbridge::net
--- a/src/net/discovery/watch_connection.hpp
+++ b/src/net/discovery/watch_connection.hpp
@@ -31,11 +31,11 @@
 
   TimePoint waitStartedAt() const;
   bool readHead();
-  http::ChunkedDecoder::End decodeBody();
+  http::ChunkedDecoder::Result decodeBody();
   void readEndpointLists();
-  void trackObject(std::size_t splitBefore, bool begunBefore, config::JsonStreamSplitter::End end);
+  void trackObject(std::size_t splitBefore, bool begunBefore, config::JsonStreamSplitter::Result end);
   void dropSplit();
-  std::size_t splitBytes() const { return splitter_.begun() ? splitter_.from() : splitter_.at(); }
+  std::size_t splitBytes() const { return splitter_.insideObject() ? splitter_.objectStart() : splitter_.position(); }
 
   DiscoveryResponseOwner& owner_;
   const Duration connectTimeout_;
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -38,12 +38,12 @@
 
 Server::Server(EventLoop& loop, const config::GatewayConfig& config)
     : loop_(loop),
-      clients_(loop, parseAddress(config.listen), connectionsPerSide(config.sockets),
-               {config.idle, config.longestDeadline}),
-      hosts_(loop, connectionsPerSide(config.sockets), config.idle, config.settings.connectTimeout),
-      counter_(loop, config.counter,
-               {config.settings.counterTimeout, config.settings.connectTimeout, config.idle}),
-      discovery_(loop, config.discovery, config.known.generation, config.settings.connectTimeout,
+      clients_(loop, parseAddress(config.listenAddress), connectionsPerSide(config.maxDescriptors),
+               {config.idleTimeout, config.longestDeadline}),
+      hosts_(loop, connectionsPerSide(config.maxDescriptors), config.idleTimeout, config.settings.connectTimeout),
+      counter_(loop, config.counterAddress,
+               {config.settings.counterTimeout, config.settings.connectTimeout, config.idleTimeout}),
+      discovery_(loop, config.discoveryAddress, config.knownEndpoints.generation, config.settings.connectTimeout,
                  config.drainGrace, config.seed),
       core_(config, loop.now(), loop.deadlines, *this) {
   loop_.setCheckInterval(config.settings.connectTimeout / kCheckIntervalParts);
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -65,7 +65,7 @@
 void UpstreamConnection::onData() {
   if (state_ == State::idle) return owner_.closeConnection(ref());  // stray bytes, no request is out
   const auto stage = answer_.advance(buffer_.data(), received());
-  if (stage == http::Message::Stage::bad) return finish(Outcome::error);
+  if (stage == http::Message::Stage::invalid) return finish(Outcome::error);
   if (stage == http::Message::Stage::done) finish(outcomeOf(answer_), readUpstreamResponse(answer_));
 }
 
--- a/src/net/upstream/upstream_outcome.cpp
+++ b/src/net/upstream/upstream_outcome.cpp
@@ -29,7 +29,7 @@
     const std::string_view word = list.substr(0, comma);
     const std::size_t equals = word.find('=');
     if (equals != std::string_view::npos)
-      config::readLoadFigure(load, word.substr(0, equals), numberOf(word.substr(equals + 1)));
+      config::setLoadField(load, word.substr(0, equals), numberOf(word.substr(equals + 1)));
     list.remove_prefix(std::min(list.size(), comma + 1));
   }
 }
--- a/src/simulator_adapter/gateway_instance.cpp
+++ b/src/simulator_adapter/gateway_instance.cpp
@@ -30,7 +30,7 @@
 }
 
 void GatewayInstance::dispatch(const Message& message, TimePoint now) {
-  const config::Fields& fields = message.fields;
+  const config::JsonFields& fields = message.fields;
   switch (message.kind) {
     case MessageKind::requestArrived:
       return handleRequest(parseRequestArrival(fields), now);
@@ -65,7 +65,7 @@
   forgetIfEnded(request);
 }
 
-void GatewayInstance::handleAttemptEnd(const config::Fields& fields, TimePoint now) {
+void GatewayInstance::handleAttemptEnd(const config::JsonFields& fields, TimePoint now) {
   const auto request = requestIds_.find(parseRequestIdField(fields));
   // The end of a request that is over is dropped with its other fields unread: they may be anything.
   if (request == requestIds_.end()) return;
--- a/src/simulator_adapter/gateway_instance.hpp
+++ b/src/simulator_adapter/gateway_instance.hpp
@@ -45,7 +45,7 @@
   void dispatch(const Message&, TimePoint now);
   void handleRequest(const RequestArrival&, TimePoint now);
   void handleClientLeft(WireRequestId, TimePoint now);
-  void handleAttemptEnd(const config::Fields&, TimePoint now);
+  void handleAttemptEnd(const config::JsonFields&, TimePoint now);
   void handleTimer(TimePoint now);
   void handleCounterCallEnd(const CounterCallEnd&, TimePoint now);
   void forgetIfEnded(RequestIds::iterator);
--- a/src/simulator_adapter/message.hpp
+++ b/src/simulator_adapter/message.hpp
@@ -38,7 +38,7 @@
 struct Message {
   MessageKind kind = MessageKind::unknown;
   std::string_view name;  ///< As on the wire.
-  config::Fields fields;
+  config::JsonFields fields;
 };
 
 /// Settings of a gateway that starts.
--- a/src/simulator_adapter/message_reader.cpp
+++ b/src/simulator_adapter/message_reader.cpp
@@ -12,7 +12,7 @@
 
 using config::ConfigError;
 using config::element;
-using config::Fields;
+using config::JsonFields;
 
 /// So much of a line that cannot be read is quoted in the error.
 constexpr std::size_t kQuotedCharacters = 60;
@@ -60,8 +60,8 @@
   return std::nullopt;
 }
 
-Outcome parseOutcome(const Fields& fields) {
-  const auto outcome = valueOf(fields.need<std::string_view>("code"), kOutcomes);
+Outcome parseOutcome(const JsonFields& fields) {
+  const auto outcome = valueOf(fields.require<std::string_view>("code"), kOutcomes);
   if (!outcome) fields.fail("code", "is not known");
   return *outcome;
 }
@@ -72,25 +72,25 @@
   return CounterCallOutcome::unknown;
 }
 
-LoadReport parseLoad(const Fields& fields, const std::vector<std::string>& figureNames) {
+LoadReport parseLoad(const JsonFields& fields, const std::vector<std::string>& figureNames) {
   LoadReport load;
   if (!fields.has("stats")) return load;
   simdjson::dom::array stats;
-  if (fields.need<element>("stats").get(stats)) fields.fail("stats", "is not an array");
+  if (fields.require<element>("stats").get(stats)) fields.fail("stats", "is not an array");
   auto name = figureNames.begin();
   for (const element stat : stats) {
     double value = 0;
     if (stat.get(value)) fields.fail("stats", "holds what is not a number");
     if (name == figureNames.end()) break;
-    config::readLoadFigure(load, *name++, value);
+    config::setLoadField(load, *name++, value);
   }
   return load;
 }
 
-config::Endpoint parseEndpoint(const Fields& fields) {
-  const auto state = fields.need<std::string_view>("stageState");
+config::Endpoint parseEndpoint(const JsonFields& fields) {
+  const auto state = fields.require<std::string_view>("stageState");
   config::Endpoint endpoint;
-  endpoint.name = fields.need<std::string_view>("host");
+  endpoint.name = fields.require<std::string_view>("host");
   endpoint.zone = std::to_string(fields.get("area", 0u));
   endpoint.machine = std::to_string(fields.get("hw", 0u));
   endpoint.cell = fields.get("bay", std::int64_t{-1});
@@ -115,31 +115,31 @@
     throw ConfigError("a message has not exactly one name: " + line_.substr(0, kQuotedCharacters));
   const auto [name, body] = *message.begin();
   if (!body.is_object()) throw ConfigError(std::string(name) + ": has no object of fields");
-  return Message{valueOf(name, kMessageNames).value_or(MessageKind::unknown), name, Fields(name, body)};
+  return Message{valueOf(name, kMessageNames).value_or(MessageKind::unknown), name, JsonFields(name, body)};
 }
 
-TimePoint parseBatchTime(const Fields& fields) {
+TimePoint parseBatchTime(const JsonFields& fields) {
   return TimePoint(fields.duration("wall"));
 }
 
-std::int64_t parseGatewayNumber(const Fields& fields) {
-  return fields.need<std::int64_t>("i");
+std::int64_t parseGatewayNumber(const JsonFields& fields) {
+  return fields.require<std::int64_t>("i");
 }
 
-GatewayStart parseGatewayStart(const Fields& fields) {
-  const Fields profile = fields.section("profileData");
+GatewayStart parseGatewayStart(const JsonFields& fields) {
+  const JsonFields profile = fields.section("profileData");
   GatewayStart start{config::loadFieldNames(profile), config::readSettings(profile)};
-  start.config.seed = fields.need<std::uint64_t>("rngSeed");
+  start.config.seed = fields.require<std::uint64_t>("rngSeed");
   return start;
 }
 
-WireRequestId parseRequestIdField(const Fields& fields) {
-  const auto id = parseRequestId(fields.need<std::string_view>("id"));
+WireRequestId parseRequestIdField(const JsonFields& fields) {
+  const auto id = parseRequestId(fields.require<std::string_view>("id"));
   if (!id) fields.fail("id", "is not 16 hex digits");
   return *id;
 }
 
-RequestArrival parseRequestArrival(const Fields& fields) {
+RequestArrival parseRequestArrival(const JsonFields& fields) {
   RequestArrival arrival;
   arrival.id = parseRequestIdField(fields);
   Request& request = arrival.request;
@@ -152,9 +152,9 @@
   return arrival;
 }
 
-AttemptEnd parseAttemptEnd(const Fields& fields, const std::vector<std::string>& loadFigureNames) {
+AttemptEnd parseAttemptEnd(const JsonFields& fields, const std::vector<std::string>& loadFigureNames) {
   AttemptEnd end;
-  end.attempt = {fields.need<std::uint32_t>("sendNo")};
+  end.attempt = {fields.require<std::uint32_t>("sendNo")};
   end.outcome = parseOutcome(fields);
   end.trueUnits = fields.get("finalUnits", 0.0);
   end.load = parseLoad(fields, loadFigureNames);
@@ -163,10 +163,10 @@
   return end;
 }
 
-std::optional<CounterCallEnd> parseCounterCallEnd(const Fields& fields) {
-  const auto key = parseCounterName(fields.need<std::string_view>("counter"));
+std::optional<CounterCallEnd> parseCounterCallEnd(const JsonFields& fields) {
+  const auto key = parseCounterName(fields.require<std::string_view>("counter"));
   CounterCallEnd end;
-  end.outcome = parseCounterOutcome(fields.need<std::string_view>("code"));
+  end.outcome = parseCounterOutcome(fields.require<std::string_view>("code"));
   if (!key) return std::nullopt;
   end.key = *key;
   if (end.outcome == CounterCallOutcome::ok) end.total = fields.get("level", 0.0);
@@ -174,17 +174,17 @@
   return end;
 }
 
-std::optional<config::EndpointList> parseEndpointList(const Fields& fields) {
-  const auto how = fields.need<std::string_view>("how");
+std::optional<config::EndpointList> parseEndpointList(const JsonFields& fields) {
+  const auto how = fields.require<std::string_view>("how");
   if (how == "lost") return std::nullopt;
   config::EndpointList endpoints;
   endpoints.generation = fields.get("gen", std::uint64_t{0});
   endpoints.complete = how != "incr";
   if (!fields.has("hosts")) return endpoints;
   simdjson::dom::array entries;
-  if (fields.need<element>("hosts").get(entries)) fields.fail("hosts", "is not an array");
+  if (fields.require<element>("hosts").get(entries)) fields.fail("hosts", "is not an array");
   for (const element entry : entries)
-    endpoints.entries.push_back(parseEndpoint(Fields("peersKnown.hosts", entry)));
+    endpoints.entries.push_back(parseEndpoint(JsonFields("peersKnown.hosts", entry)));
   return endpoints;
 }
 
--- a/src/simulator_adapter/message_reader.hpp
+++ b/src/simulator_adapter/message_reader.hpp
@@ -30,18 +30,18 @@
 // the message and the field, when a field is missing or has an impossible value.
 
 /// The batch's time, from batchStarted.
-TimePoint parseBatchTime(const config::Fields&);
+TimePoint parseBatchTime(const config::JsonFields&);
 /// The number of the gateway that a message is for; all but those about batches have one.
-std::int64_t parseGatewayNumber(const config::Fields&);
-GatewayStart parseGatewayStart(const config::Fields&);
+std::int64_t parseGatewayNumber(const config::JsonFields&);
+GatewayStart parseGatewayStart(const config::JsonFields&);
 /// The request that requestArrived, clientLeft and attemptEnded are about.
-WireRequestId parseRequestIdField(const config::Fields&);
-RequestArrival parseRequestArrival(const config::Fields&);
+WireRequestId parseRequestIdField(const config::JsonFields&);
+RequestArrival parseRequestArrival(const config::JsonFields&);
 /// `loadFigureNames`: as in the gateway's GatewayStart. Figures beyond the named ones are ignored.
-AttemptEnd parseAttemptEnd(const config::Fields&, const std::vector<std::string>& loadFigureNames);
+AttemptEnd parseAttemptEnd(const config::JsonFields&, const std::vector<std::string>& loadFigureNames);
 /// Nothing if the counter's name is not one that this adapter gives.
-std::optional<CounterCallEnd> parseCounterCallEnd(const config::Fields&);
+std::optional<CounterCallEnd> parseCounterCallEnd(const config::JsonFields&);
 /// Nothing if the message only says that discovery was lost.
-std::optional<config::EndpointList> parseEndpointList(const config::Fields&);
+std::optional<config::EndpointList> parseEndpointList(const config::JsonFields&);
 
 }  // namespace merlinbridge::simulator_adapter
--- a/src/simulator_adapter/session.cpp
+++ b/src/simulator_adapter/session.cpp
@@ -20,7 +20,7 @@
   if (inBatch_) throw ConfigError("eofBatch: missing, the input ended inside a batch");
 }
 
-void Session::beginBatch(const config::Fields& fields) {
+void Session::beginBatch(const config::JsonFields& fields) {
   if (inBatch_) throw ConfigError("turn: inside a batch");
   now_ = parseBatchTime(fields);
   inBatch_ = true;
@@ -33,7 +33,7 @@
   inBatch_ = false;
 }
 
-void Session::startGateway(std::int64_t number, const config::Fields& fields) {
+void Session::startGateway(std::int64_t number, const config::JsonFields& fields) {
   gateways_.erase(number);
   gateways_.try_emplace(number, number, parseGatewayStart(fields), now_, reply_);
 }
--- a/src/simulator_adapter/session.hpp
+++ b/src/simulator_adapter/session.hpp
@@ -25,9 +25,9 @@
   void end() const;
 
  private:
-  void beginBatch(const config::Fields&);
+  void beginBatch(const config::JsonFields&);
   void endBatch();
-  void startGateway(std::int64_t number, const config::Fields&);
+  void startGateway(std::int64_t number, const config::JsonFields&);
   void handleForGateway(const Message&);
 
   std::ostream& out_;
--- a/tests/config/config_error_test.cpp
+++ b/tests/config/config_error_test.cpp
@@ -31,7 +31,7 @@
   element root = parser.parse(std::string(R"({"text":"x","flag":true,"below":-1,"huge":1e30,"list":[1],)"
                                           R"("none":null,"long":")") +
                               std::string(100, 'a') + R"("})");
-  Fields fields{"message", root};
+  JsonFields fields{"message", root};
 };
 
 }  // namespace
@@ -39,28 +39,28 @@
 TEST_CASE("a field that cannot be used is named with its fault and the value found") {
   struct Case {
     std::string name;
-    std::function<void(const Fields&)> read;
+    std::function<void(const JsonFields&)> read;
     ConfigFault fault;
     std::string path;
     std::string found;
     std::string text;
   };
   const Case given = GENERATE(values<Case>({
-      {"missing", [](const Fields& fields) { fields.need<double>("gone"); }, ConfigFault::missingField,
+      {"missing", [](const JsonFields& fields) { fields.require<double>("gone"); }, ConfigFault::missingField,
        "message.gone", "", "message: field 'gone' is missing"},
-      {"wrong type", [](const Fields& fields) { fields.need<bool>("text"); }, ConfigFault::wrongType,
+      {"wrong type", [](const JsonFields& fields) { fields.require<bool>("text"); }, ConfigFault::wrongType,
        "message.text", "\"x\"", "message: field 'text' has the wrong type"},
-      {"not a number", [](const Fields& fields) { fields.get("text", 1.0); }, ConfigFault::notANumber,
+      {"not a number", [](const JsonFields& fields) { fields.get("text", 1.0); }, ConfigFault::notANumber,
        "message.text", "\"x\"", "message: field 'text' is not a number"},
-      {"negative", [](const Fields& fields) { fields.get("below", 1u); }, ConfigFault::negative,
+      {"negative", [](const JsonFields& fields) { fields.get("below", 1u); }, ConfigFault::negative,
        "message.below", "-1", "message: field 'below' is below 0"},
-      {"out of range", [](const Fields& fields) { fields.get("huge", 1); }, ConfigFault::outOfRange,
+      {"out of range", [](const JsonFields& fields) { fields.get("huge", 1); }, ConfigFault::outOfRange,
        "message.huge", "1e+30", "message: field 'huge' is out of range"},
-      {"no duration", [](const Fields& fields) { fields.duration("huge"); }, ConfigFault::outOfRange,
+      {"no duration", [](const JsonFields& fields) { fields.duration("huge"); }, ConfigFault::outOfRange,
        "message.huge", "1e+30", "message: field 'huge' is out of range"},
-      {"not an array", [](const Fields& fields) { fields.array("flag"); }, ConfigFault::notAnArray,
+      {"not an array", [](const JsonFields& fields) { fields.array("flag"); }, ConfigFault::notAnArray,
        "message.flag", "true", "message: field 'flag' is not an array"},
-      {"in words", [](const Fields& fields) { fields.fail("text", "is not known"); }, ConfigFault::other,
+      {"in words", [](const JsonFields& fields) { fields.fail("text", "is not known"); }, ConfigFault::other,
        "message.text", "\"x\"", "message: field 'text' is not known"},
   }));
   INFO(given.name);
@@ -74,7 +74,7 @@
 
 TEST_CASE("the value found is cut") {
   const Message message;
-  const ConfigProblem problem = problemOf([&] { message.fields.need<double>("long"); });
+  const ConfigProblem problem = problemOf([&] { message.fields.require<double>("long"); });
   CHECK(problem.found == "\"" + std::string(kMaxFoundBytes - 1, 'a'));
 }
 
@@ -92,7 +92,7 @@
   CHECK(problemOf([] { readGatewayConfig("[]"); }).fault == ConfigFault::notAnObject);
   CHECK(textOf({ConfigFault::notAnObject, "", "", ""}) == "the file is not a JSON object");
   CHECK(textOf({ConfigFault::unreadableFile, "/a.json", "", ""}) == "cannot read /a.json");
-  CHECK(textOf({ConfigFault::missingSetting, "GW_CONFIG", "", ""}) == "GW_CONFIG is not set");
+  CHECK(textOf({ConfigFault::unsetVariable, "GW_CONFIG", "", ""}) == "GW_CONFIG is not set");
   const ConfigError error("of no kind");
   CHECK(error.problem().fault == ConfigFault::other);
   CHECK(textOf(error.problem()) == "of no kind");
--- a/tests/config/operator_config_test.cpp
+++ b/tests/config/operator_config_test.cpp
@@ -69,7 +69,7 @@
   CHECK(textOf(unknown) == "own.toml:2:1: 'log.levle' is not known here");
 
   const TomlProblem unfit = problemOf("[log]\nlevel = 3\n");
-  CHECK(unfit.fault == TomlFault::unfitValue);
+  CHECK(unfit.fault == TomlFault::invalidValue);
   CHECK(unfit.expected == "one of debug, info, warning, error");
   CHECK(unfit.found == "3");
   CHECK(textOf(unfit) == "own.toml:2:9: 'log.level': expected one of debug, info, warning, error, found 3");
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -70,7 +70,7 @@
   Breaker(Invariant rule, const config::GatewayConfig& config, core::DeadlineQueue& deadlines,
           core::Transport& transport)
       : rule_(rule), deadlines_(deadlines), transport_(transport) {
-    for (const auto& line : config.known.entries)
+    for (const auto& line : config.knownEndpoints.entries)
       if (line.serving) hosts_.push_back(line.address);
   }
   void requestArrived(TimePoint now, SlotRef client, const Request& a) override {
--- a/tests/gateway_core_test.cpp
+++ b/tests/gateway_core_test.cpp
@@ -58,13 +58,13 @@
 config::GatewayConfig plainConfig(int hosts) {
   config::GatewayConfig config{};
   config.settings = testPolicySettings(1);
-  config.methods = {"look", "book", "zoned", "pay"};
-  config.plans = {"metered", "open", "capped"};
+  config.methodNames = {"look", "book", "zoned", "pay"};
+  config.planNames = {"metered", "open", "capped"};
   config.answerSlack = 16ms;
   config.longestDeadline = 2s;
-  config.known.generation = 1;
+  config.knownEndpoints.generation = 1;
   for (int number = 0; number < hosts; ++number)
-    config.known.entries.push_back(endpoint("h" + std::to_string(number)));
+    config.knownEndpoints.entries.push_back(endpoint("h" + std::to_string(number)));
   return config;
 }
 
@@ -273,7 +273,7 @@
   const PolicySettings settings = testPolicySettings();
   const auto config = plainConfig(1);
   const core::NameTables names{
-      core::NameTable<MethodId>(config.methods), core::NameTable<PlanId>(config.plans), {}, {}};
+      core::NameTable<MethodId>(config.methodNames), core::NameTable<PlanId>(config.planNames), {}, {}};
   const std::string good =
       "GET /look HTTP/1.1\r\nReq-Id: 1\r\nReq-Kind: book\r\nPlan: open\r\nAccount: 00000000b4d65521\r\n"
       "Req-Deadline-Ms: 480\r\nQuota-Info: units=2, spread=3,first=1\r\n\r\n";
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -35,7 +35,7 @@
   for (const std::size_t end : ends) {
     bytes += text.substr(std::min(bytes.size(), text.size()), end - bytes.size());
     message.advance(bytes.data(), bytes.size());
-    if (message.stage() == Stage::done || message.stage() == Stage::bad) break;
+    if (message.stage() == Stage::done || message.stage() == Stage::invalid) break;
     moved = bytes;
     bytes.swap(moved);
     moved.assign(moved.size(), '#');
@@ -108,7 +108,7 @@
   const std::size_t step = std::max<std::size_t>(1, text.size() / 200);
   for (std::size_t at = 0; at <= text.size(); at += step) {
     const ParseResult got = read(Kind::request, text, {at, text.size()});
-    REQUIRE(got.stage == (Stage::bad));
+    REQUIRE(got.stage == (Stage::invalid));
     REQUIRE(got.errorStatus == status);
   }
 }
--- a/tests/json_stream_splitter_test.cpp
+++ b/tests/json_stream_splitter_test.cpp
@@ -24,17 +24,19 @@
     std::string held;
     for (const std::string& part : parts) {
       held += part;
-      for (auto end = JsonStreamSplitter::End::object; end == JsonStreamSplitter::End::object && !bad;) {
-        end = splitter.take(held);
-        bad = end == JsonStreamSplitter::End::bad;
-        if (end == JsonStreamSplitter::End::object)
-          objects.push_back(held.substr(splitter.from(), splitter.at() - splitter.from()));
-        const std::size_t done = splitter.begun() ? splitter.from() : splitter.at();
+      for (auto end = JsonStreamSplitter::Result::object;
+           end == JsonStreamSplitter::Result::object && !bad;) {
+        end = splitter.scan(held);
+        bad = end == JsonStreamSplitter::Result::invalid;
+        if (end == JsonStreamSplitter::Result::object)
+          objects.push_back(
+              held.substr(splitter.objectStart(), splitter.position() - splitter.objectStart()));
+        const std::size_t done = splitter.insideObject() ? splitter.objectStart() : splitter.position();
         held.erase(0, done);
-        splitter.dropped(done);
+        splitter.prefixRemoved(done);
       }
     }
-    begun = splitter.begun();
+    begun = splitter.insideObject();
   }
 };
 
--- a/tests/net/gateway_config_test.cpp
+++ b/tests/net/gateway_config_test.cpp
@@ -31,13 +31,13 @@
   const config::GatewayConfig config = config::readGatewayConfig(text);
   CHECK(config.settings.plans.size() == 1);
   const std::string lateStart = replaceOnce(text, "\"startedAtMs\":0", "\"startedAtMs\":9000000000000000");
-  CHECK(config::readGatewayConfig(lateStart).known.entries.at(0).started == 0s);
+  CHECK(config::readGatewayConfig(lateStart).knownEndpoints.entries.at(0).started == 0s);
 }
 
 TEST_CASE("An invalid configuration is rejected with the name of its field, and so is an invalid address") {
   GatewayUnderTest gateway;
   const std::string valid = gateway.configText("");
-  CHECK(config::readGatewayConfig(valid).sockets == 128);
+  CHECK(config::readGatewayConfig(valid).maxDescriptors == 128);
   const auto [search, replacement, error] = GENERATE(table<std::string, std::string, std::string>({
       {"{\"name\"", "\"name\"", "not a JSON object"},
       {"\"seed\":\"8c1f\"", "\"seed\":\"8c1x\"", "'seed' is not a hex number"},
--- a/tests/test_services/server_connection.hpp
+++ b/tests/test_services/server_connection.hpp
@@ -59,7 +59,7 @@
   void handleRequests() {
     while (open_ && bufferedBytes_ > 0) {
       const auto stage = request_.advance(buffer_.data(), bufferedBytes_);
-      if (stage == http::Message::Stage::bad) return close();
+      if (stage == http::Message::Stage::invalid) return close();
       if (stage != http::Message::Stage::done) return;
       handler_(shared_from_this(), request_);
       const std::size_t size = request_.size();
--- a/tests/test_services/validation_clients.cpp
+++ b/tests/test_services/validation_clients.cpp
@@ -175,7 +175,7 @@
         connection->receivedBytes += size;
         const auto stage =
             connection->response.advance(connection->received.data(), connection->receivedBytes);
-        if (stage == http::Message::Stage::bad) return handleConnectionLost(request, connection);
+        if (stage == http::Message::Stage::invalid) return handleConnectionLost(request, connection);
         if (stage != http::Message::Stage::done) return receive(request, connection);
         handleResponse(request, connection);
       });
