--- a/src/config/config_error.cpp
+++ b/src/config/config_error.cpp
@@ -15,13 +15,13 @@
     case ConfigFault::notANumber:
       return "is not a number";
     case ConfigFault::negative:
-      return "is below 0";
+      return "is negative";
     case ConfigFault::outOfRange:
       return "is out of range";
     case ConfigFault::notAnArray:
       return "is not an array";
     case ConfigFault::notAString:
-      return "holds what is not a name";
+      return "contains an element that is not a string";
     case ConfigFault::notHexadecimal:
       return "is not a hex number";
     default:
--- a/src/config/config_error.hpp
+++ b/src/config/config_error.hpp
@@ -5,9 +5,9 @@
 
 namespace merlinbridge::config {
 
-/// What is wrong with a configuration, or with a message of discovery or the simulator.
+/// What is wrong with a configuration, or with a message from discovery or the simulator.
 enum class ConfigFault {
-  unreadableFile,  ///< The file at `path` cannot be opened or read.
+  unreadableFile,  ///< The file `path` cannot be opened or read.
   unsetVariable,   ///< The environment variable `path` is not set.
   notAnObject,     ///< The text is not one JSON object.
   missingField,
@@ -18,28 +18,29 @@
   notAnArray,
   notAString,
   notHexadecimal,
-  other  ///< `allowed` says what is wrong in words of its own.
+  other  ///< Described by `description`.
 };
 
-/// One fault with its place.
+/// One fault and where it was found.
 struct ConfigProblem {
   ConfigFault fault = ConfigFault::other;
-  std::string path;   ///< Message and field as "config.seed"; a file; a variable; empty: the whole text.
-  std::string found;  ///< The JSON value that stands there, cut to kMaxFoundBytes; empty: none.
-  std::string description;  ///< What may stand there; empty: what the fault says.
+  std::string path;         ///< "message.field", a file or a variable; empty: the whole text.
+  std::string found;        ///< The JSON value at `path`, cut to kMaxFoundBytes; empty if there is none.
+  std::string description;  ///< What is wrong if `fault` is `other`; empty otherwise.
 };
 
-/// A longer value is cut in ConfigProblem::found.
+/// Longer values are cut in ConfigProblem::found.
 inline constexpr std::size_t kMaxFoundBytes = 60;
 
-/// The text of a problem for operators. It names message and field; `found` is not part of it.
+/// The error message for operators. It names the message and the field, but does not include `found`.
 std::string textOf(const ConfigProblem& problem);
 
-/// A configuration or message that cannot be used. Callers branch on `problem().fault`, never on the text.
+/// A configuration or message is invalid or cannot be read. Callers branch on `problem().fault`, never on the
+/// text.
 class ConfigError : public std::runtime_error {
  public:
   explicit ConfigError(ConfigProblem problem);
-  /// A problem that has no fault of its own: the text is `problem().allowed`.
+  /// A problem of the fault `other`: the text becomes `problem().description`.
   explicit ConfigError(const std::string& text);
 
   const ConfigProblem& problem() const { return problem_; }
--- a/src/config/endpoint_list.cpp
+++ b/src/config/endpoint_list.cpp
@@ -3,11 +3,11 @@
 namespace merlinbridge::config {
 namespace {
 
-// Values of `lifecycle`; all others mean a host that starts or drains.
+// Values of `lifecycle`; any other value means that the host is starting or draining.
 constexpr std::string_view kInService = "in_service";
 constexpr std::string_view kTerminated = "terminated";
 
-// A start that no clock can hold is no date: it counts as long ago.
+// A start time that does not fit a Duration is treated as unknown.
 Duration readStart(const JsonFields& endpoint) {
   constexpr auto kLatest = std::chrono::duration_cast<std::chrono::milliseconds>(Duration::max()).count();
   const auto started = endpoint.get("startedAtMs", std::int64_t{0});
--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -8,7 +8,7 @@
 namespace merlinbridge::config {
 namespace {
 
-// Where the platform's file is silent.
+// Defaults for settings that the platform's file leaves out.
 constexpr Duration kDefaultIdleTimeout = std::chrono::seconds(30);
 constexpr std::size_t kDefaultMaxDescriptors = 1024;
 
@@ -19,7 +19,8 @@
   if (!profile.has(field)) return names;
   for (const element entry : profile.array(field)) {
     std::string_view name;
-    if (entry.get(name) && entry["name"].get(name)) name = {};  // a nameless entry still has its id
+    if (entry.get(name) && entry["name"].get(name))
+      name = {};  // unnamed: still counts, since its index is its id
     names.emplace_back(name);
   }
   return names;
--- a/src/config/gateway_config.hpp
+++ b/src/config/gateway_config.hpp
@@ -9,31 +9,31 @@
 
 namespace merlinbridge::config {
 
-/// The platform's configuration of one gateway. Read at the start; at SIGHUP only discovery and counter of a
-/// new reading are used.
+/// The platform's configuration of one gateway. It is read at start-up; a reload on SIGHUP applies only the
+/// addresses of discovery and the counter service.
 struct GatewayConfig {
-  std::string name;              ///< The gateway's.
-  std::string listenAddress;     ///< Address for clients, as "10.0.0.4:8080". Addresses are not checked here.
-  std::string discoveryAddress;  ///< Address of the discovery agent.
-  std::string counterAddress;    ///< Address of the counter service; empty: there is none.
-  std::uint64_t seed = 0;        ///< Of all random draws.
-  std::size_t maxDescriptors = 0;  ///< Descriptors that may be open, all kinds of connections together.
-  EndpointList knownEndpoints;     ///< The hosts as last known, in force until discovery answers.
+  std::string name;                ///< Name of the gateway.
+  std::string listenAddress;       ///< For clients, as "10.0.0.4:8080"; addresses are not checked here.
+  std::string discoveryAddress;    ///< The discovery agent.
+  std::string counterAddress;      ///< The counter service; empty: there is none.
+  std::uint64_t seed = 0;          ///< Seed of all random numbers.
+  std::size_t maxDescriptors = 0;  ///< Limit on open descriptors, over all kinds of connections.
+  EndpointList knownEndpoints;     ///< The hosts to use until discovery responds.
   PolicySettings settings;
   std::vector<std::string> methodNames;   ///< Names by MethodId.
   std::vector<std::string> planNames;     ///< Names by PlanId.
   std::vector<std::string> zoneNames;     ///< Names by ZoneId.
   std::vector<std::string> machineNames;  ///< Names by MachineId.
-  Duration idleTimeout{};                 ///< A host closes a connection that was idle for so long.
-  Duration timerSlack{};                  ///< Timers may fire that much later than due.
-  Duration answerSlack{};                 ///< An answer so long after its deadline still counts.
-  Duration longestDeadline{};             ///< Of all methods.
-  Duration drainGrace{};                  ///< No request may reach a host so long after it began to drain.
+  Duration idleTimeout{};                 ///< Hosts close connections that have been idle this long.
+  Duration timerSlack{};                  ///< Timers may fire this much late.
+  Duration answerSlack{};                 ///< A response this long after its deadline still counts.
+  Duration longestDeadline{};             ///< The longest deadline of all methods.
+  Duration drainGrace{};  ///< No request may reach a host later than this after it began to drain.
 };
 
-/// Reads the settings alone; the rest is left empty. Throws ConfigError.
+/// Reads only the settings; the other members keep their defaults. Throws ConfigError.
 GatewayConfig readSettings(const JsonFields& profile);
-/// Reads the whole text of the platform's JSON file. Throws ConfigError, which names message and field.
+/// Reads the contents of the platform's JSON file. Throws ConfigError.
 GatewayConfig readGatewayConfig(std::string text);
 
 }  // namespace merlinbridge::config
--- a/src/config/json_fields.hpp
+++ b/src/config/json_fields.hpp
@@ -15,57 +15,59 @@
 
 using simdjson::dom::element;
 
-/// Reads the fields of one JSON object and names message and field in every error. Refers to the message's
-/// name and to the parsed document, which must outlive it. All functions that read throw ConfigError.
+/// Reads the fields of one JSON object; every error names the message and the field. Keeps references to the
+/// message's name and to the parsed document, which must outlive it. All functions that read throw
+/// ConfigError.
 class JsonFields {
  public:
-  /// `body` may be none: then every field is missing.
+  /// If `body` is empty, every field is missing.
   JsonFields(std::string_view message, std::optional<element> body) : message_(message), body_(body) {}
 
-  /// Throws the fault of this field, with the value that stands there.
+  /// Throws a ConfigError for this field, with the value that was found.
   [[noreturn]] void fail(std::string_view field, ConfigFault fault) const {
     throw ConfigError({fault, pathOf(field), foundIn(field), {}});
   }
-  /// The same in words: the text says `message: field 'x' WHAT`.
-  [[noreturn]] void fail(std::string_view field, std::string_view what) const {
-    throw ConfigError({ConfigFault::other, pathOf(field), foundIn(field), std::string(what)});
+  /// Throws a ConfigError with a description: the text becomes `message: field 'x' <description>`.
+  [[noreturn]] void fail(std::string_view field, std::string_view description) const {
+    throw ConfigError({ConfigFault::other, pathOf(field), foundIn(field), std::string(description)});
   }
 
-  /// Whether the field is there and not null.
+  /// Whether the field exists and is not null.
   bool has(std::string_view field) const {
     const auto found = find(field);
     return found && !found->is_null();
   }
-  /// The field's value; it must be there and of that type.
+  /// The field's value; fails if the field is missing or of another type.
   template <class Value>
   Value require(std::string_view field) const {
     const auto found = find(field);
     if (!found) fail(field, ConfigFault::missingField);
     return read<Value>(field, *found);
   }
-  /// The field's value, or `defaultValue` where it is missing or null.
+  /// The field's value, or `defaultValue` if it is missing or null.
   template <class Value>
   Value get(std::string_view field, Value defaultValue) const {
     return has(field) ? require<Value>(field) : defaultValue;
   }
-  /// The elements of the array that the field must be.
+  /// The field's elements; fails if the field is missing or not an array.
   simdjson::dom::array array(std::string_view field) const {
     simdjson::dom::array entries;
     if (require<element>(field).get(entries)) fail(field, ConfigFault::notAnArray);
     return entries;
   }
-  /// The object in the field, which must be there. Errors in it name the field as their message.
+  /// The object in the field; fails if the field is missing. Errors in the object name this field as their
+  /// message.
   JsonFields section(std::string_view field) const { return {field, require<element>(field)}; }
-  /// The object in the field; all its fields are missing where the field is.
+  /// The object in the field. If the field is missing, so are all fields of the object.
   JsonFields optionalSection(std::string_view field) const { return {field, find(field)}; }
-  /// A time in microseconds.
+  /// A duration; the field holds microseconds.
   Duration duration(std::string_view field) const { return asDuration(field, require<double>(field)); }
   Duration duration(std::string_view field, Duration defaultValue) const {
     return has(field) ? duration(field) : defaultValue;
   }
 
  private:
-  // Beyond these, a double does not fit a signed 64-bit number, or its microseconds a Duration.
+  // Larger doubles do not fit a signed 64-bit integer, or, as microseconds, a Duration.
   static constexpr double kMaxInteger = 9e18;
   static constexpr double kMaxMicroseconds = 9e15;
 
--- a/src/config/json_stream_splitter.cpp
+++ b/src/config/json_stream_splitter.cpp
@@ -9,7 +9,7 @@
   return character == ' ' || character == '\t' || character == '\r' || character == '\n';
 }
 
-// Of a number, or of true, false and null.
+// Whether a number, true, false or null can contain the character.
 bool isLiteralCharacter(char character) {
   return (character >= '0' && character <= '9') || (character >= 'a' && character <= 'z') ||
          character == 'E' || character == '+' || character == '-' || character == '.';
--- a/src/config/json_stream_splitter.hpp
+++ b/src/config/json_stream_splitter.hpp
@@ -6,49 +6,50 @@
 
 namespace merlinbridge::config {
 
-/// Finds where JSON objects end that come one after another in a stream, each on a line of its own or
-/// indented over many. Checks the structure (brackets, commas, colons, strings) and leaves the values to the
-/// parser of the complete object: an object that is cut short is bad as soon as the next one begins, instead
-/// of swallowing all that follow. Keeps no text; the reader owns the buffer.
+/// Splits a stream of consecutive JSON objects into single objects, whether each is on a line of its own or
+/// spread over several. Checks only the structure (brackets, commas, colons, strings) and leaves the values
+/// to the parser of the complete object. A truncated object is thus invalid as soon as the next one begins,
+/// and does not swallow those that follow. Stores no text; the caller owns the buffer.
 class JsonStreamSplitter {
  public:
+  /// How a scan ended.
   enum class Result {
-    incomplete,  ///< All of the text was looked at, and no object has ended.
-    object,      ///< One object ends right before position(); what follows it is looked at by the next call.
-    invalid      ///< The byte at position() cannot stand there. The splitter is not to be used any further.
+    incomplete,  ///< The whole text was scanned without reaching the end of an object.
+    object,      ///< An object ends just before position(); the next call goes on from there.
+    invalid      ///< The byte at position() is not allowed there. The splitter must not be used any further.
   };
 
-  /// Goes on at position(). `text` is all that the reader holds, from the first byte that was not
-  /// prefixRemoved().
+  /// Scans on from position(). `text` is the caller's whole buffer: all bytes of the stream but those
+  /// reported to prefixRemoved().
   Result scan(std::string_view text);
-  /// Bytes of the text that have been looked at.
+  /// Number of bytes of the text that have been scanned.
   std::size_t position() const { return position_; }
-  /// Where the object begins that has begun or ended last.
+  /// Offset of the object that began last.
   std::size_t objectStart() const { return objectStart_; }
-  /// Whether an object has begun and not ended.
+  /// Whether an object has begun but not ended.
   bool insideObject() const { return depth_ > 0; }
-  /// The reader has removed so many bytes from the front of its text; at most position().
+  /// The caller has removed `bytes` bytes, at most position(), from the front of its buffer.
   void prefixRemoved(std::size_t bytes) {
     position_ -= bytes;
     objectStart_ -= objectStart_ < bytes ? objectStart_ : bytes;
   }
 
  private:
-  /// What may stand next, spaces aside.
+  /// What must come next, apart from white space.
   enum class Expected { value, firstValue, key, firstKey, colon, comma };
-  /// What the byte before was part of.
+  /// What the previous byte belongs to.
   enum class Token {
     none,
-    literal,  ///< A number, true, false or null; which, the parser finds out.
+    literal,  ///< A number, true, false or null; the parser checks which.
     string,   ///< A string.
-    escape    ///< A string, right after a backslash.
+    escape    ///< A string, just after a backslash.
   };
   enum class Container { array, object };
 
-  /// Objects and arrays within one another; more are bad. One bit of objectBits_ for each.
+  /// The deepest nesting of objects and arrays that is allowed: objectBits_ has a bit for each level.
   static constexpr int kMaxDepth = 64;
 
-  /// These look at one byte of an object. False: it cannot stand there.
+  /// Each of these checks one byte of an object. Returns false if it is not allowed there.
   bool accept(char character);
   bool acceptInString(char character);
   bool acceptLiteral();
@@ -66,7 +67,7 @@
   std::size_t position_ = 0;
   std::size_t objectStart_ = 0;
   int depth_ = 0;
-  std::uint64_t objectBits_ = 0;  ///< A bit for each depth: 1 is an object, 0 an array.
+  std::uint64_t objectBits_ = 0;  ///< A bit for each level: 1 for an object, 0 for an array.
   Expected expected_ = Expected::value;
   Token token_ = Token::none;
 };
--- a/src/config/operator_config.cpp
+++ b/src/config/operator_config.cpp
@@ -7,7 +7,7 @@
 
 constexpr int kMaxReloadRetries = 12;
 
-/// Where the two times of the shutdown stand.
+/// The table and the keys of the two shutdown durations.
 struct ShutdownKeys {
   const char* section;
   const char* acceptFor;
@@ -25,7 +25,7 @@
 void readShutdown(TomlTable& root, OperatorConfig& config) {
   const bool usesOldKeys = root.has(kOldShutdownKeys.section);
   if (usesOldKeys && root.has(kShutdownKeys.section))
-    root.fail(kOldShutdownKeys.section, "no table beside [shutdown], which is its new name");
+    root.fail(kOldShutdownKeys.section, "no table [end], since its new name [shutdown] is also set");
   if (usesOldKeys)
     config.renamed.push_back(
         {"table end with still_coming and most_life", "shutdown with accept_for and killed_after"});
@@ -34,7 +34,7 @@
   config.acceptFor = shutdown.duration(keys.acceptFor, config.acceptFor);
   config.killedAfter = shutdown.duration(keys.killedAfter, config.killedAfter);
   if (config.killedAfter < config.acceptFor)
-    shutdown.fail(keys.killedAfter, std::string("a time no shorter than ") + keys.acceptFor);
+    shutdown.fail(keys.killedAfter, std::string("a duration no shorter than ") + keys.acceptFor);
   shutdown.rejectUnknownKeys();
 }
 
--- a/src/config/operator_config.hpp
+++ b/src/config/operator_config.hpp
@@ -8,30 +8,31 @@
 
 namespace merlinbridge::config {
 
-/// An option or key that was given under its old name, which is still read.
+/// An option or key that was given under its old name, which is still accepted.
 struct RenamedSetting {
-  std::string oldName;  ///< With its kind: "key reload.looks".
+  std::string oldName;  ///< With its kind, as in "key reload.looks".
   std::string newName;
 
-  /// The warning that names both.
+  /// The warning, which names both.
   std::string text() const { return oldName + " is now called " + newName; }
 };
 
-/// What the operators set themselves, beside what the platform sets. Every key may be missing.
+/// The operators' settings, which supplement the platform's configuration. All keys are optional.
 struct OperatorConfig {
   LogForm form = LogForm::text;
   Level level = Level::info;
-  /// After SIGTERM, all that comes is answered for so long. Part of killedAfter.
+  /// For this long after SIGTERM, every request that arrives is answered. Part of killedAfter.
   Duration acceptFor = std::chrono::milliseconds(700);
-  /// After SIGTERM, the process may be killed after so long; at least `acceptFor`.
+  /// This long after SIGTERM, the process may be killed; at least `acceptFor`.
   Duration killedAfter = std::chrono::milliseconds(3700);
-  /// After SIGHUP, how often a file that cannot be read is tried again; 0 to 12.
+  /// How many times a reload is retried after SIGHUP if the file is missing or invalid; 0 to 12.
   int reloadRetries = 5;
-  /// The keys that stand under their old names, in the order of the text.
+  /// The keys that were given under their old names.
   std::vector<RenamedSetting> renamed;
 };
 
-/// Checks the whole text before anything of it is used. `file` is named in errors. Throws TomlError.
+/// Reads the contents of the operators' TOML file. `file` is named in errors. Throws TomlError if any part of
+/// it is invalid.
 OperatorConfig readOperatorConfig(const std::string& text, const std::string& file);
 
 }  // namespace merlinbridge::config
--- a/src/config/policy_settings_reader.cpp
+++ b/src/config/policy_settings_reader.cpp
@@ -3,9 +3,10 @@
 namespace merlinbridge::config {
 namespace {
 
-// Where the settings are silent. No wait may be without end, nor over at once.
+// Used if the setting is missing or not positive: a wait without end, or one that ends at once, is not
+// allowed.
 constexpr Duration kDefaultConnectTimeout = std::chrono::milliseconds(250);
-// The plan of all customers where the settings have none: no quota, no ceiling, and price 1.
+// The plan of all customers if the settings have no plans: no quota, no ceiling, and price 1.
 constexpr Plan kUnlimitedPlan{0, 0, 0, 0, 0, 0, 1};
 
 constexpr double kMillisecondsPerSecond = 1000;
@@ -32,7 +33,7 @@
           plan.get("price", 1.0)};
 }
 
-/// A time above 0; where it is missing or not above 0, the default value.
+/// The duration in the field, or the default value if that is missing or not above 0.
 Duration positiveDuration(const JsonFields& section, std::string_view field, Duration defaultValue) {
   const Duration duration = section.duration(field, defaultValue);
   return duration > Duration{0} ? duration : defaultValue;
--- a/src/config/policy_settings_reader.hpp
+++ b/src/config/policy_settings_reader.hpp
@@ -9,14 +9,13 @@
 
 namespace merlinbridge::config {
 
-/// Reads what the decision engine needs from the platform's settings, with the defaults that hold where these
-/// are silent. Throws ConfigError.
+/// Reads the decision engine's settings from the platform's settings; missing ones get their defaults. Throws
+/// ConfigError.
 PolicySettings readPolicySettings(const JsonFields& profile);
-/// The names of the figures in a host's load report, in the order in which the simulator sends them. Throws
+/// The names of the fields of a host's load report, in the order in which the simulator sends them. Throws
 /// ConfigError.
 std::vector<std::string> loadFieldNames(const JsonFields& profile);
-/// Writes one figure of a host's load report to its member, by either of its names. An unknown name has no
-/// effect.
+/// Sets one field of a host's load report, by either of its names. Unknown names are ignored.
 void setLoadField(LoadReport& load, std::string_view name, double value);
 
 }  // namespace merlinbridge::config
--- a/src/config/toml_error.hpp
+++ b/src/config/toml_error.hpp
@@ -9,28 +9,28 @@
 
 namespace merlinbridge::config {
 
-/// What is wrong with a TOML text.
+/// What is wrong with a TOML document.
 enum class TomlFault {
-  malformed,          ///< Not TOML; `expected` holds the parser's description.
-  missingKey,         ///< The key must be there.
-  invalidValue,       ///< The key's value is of the wrong type or out of its range.
-  unknownKey,         ///< No such key is read: misspelt, it would have no effect.
-  conflictingOldKey,  ///< A key is given under its former name and, in `expected`, under its present one.
-  other               ///< `expected` holds the whole text.
+  malformed,          ///< Not TOML; `expected` holds the parser's error message.
+  missingKey,         ///< A required key is missing.
+  invalidValue,       ///< The value is of the wrong type or out of range.
+  unknownKey,         ///< The key is not read: a misspelt key would otherwise be ignored silently.
+  conflictingOldKey,  ///< The key's new name, in `expected`, is set as well.
+  other               ///< `expected` holds the whole error message.
 };
 
-/// One fault with its place.
+/// One fault and where it was found.
 struct TomlProblem {
   TomlFault fault = TomlFault::other;
   std::string file;
-  std::uint32_t line = 0;    ///< From 1.
-  std::uint32_t column = 0;  ///< From 1.
-  std::string key;           ///< With its tables: "log.level".
+  std::uint32_t line = 0;    ///< Starts at 1.
+  std::uint32_t column = 0;  ///< Starts at 1.
+  std::string key;           ///< With its tables, as in "log.level".
   std::string expected;
-  std::string found;  ///< The value that stands there, as TOML.
+  std::string found;  ///< The value of the key, as TOML.
 };
 
-/// The text of a problem for operators: `own.toml:2:1: 'log.levle' is not known here`.
+/// The error message for operators: `own.toml:2:1: unknown key 'log.levle'`.
 inline std::string textOf(const TomlProblem& problem) {
   const auto withPlace = [&problem](const std::string& what) {
     return fmt::format("{}:{}:{}: {}", problem.file, problem.line, problem.column, what);
@@ -44,22 +44,21 @@
       return withPlace(
           fmt::format("'{}': expected {}, found {}", problem.key, problem.expected, problem.found));
     case TomlFault::unknownKey:
-      return withPlace(fmt::format("'{}' is not known here", problem.key));
+      return withPlace(fmt::format("unknown key '{}'", problem.key));
     case TomlFault::conflictingOldKey:
-      return withPlace(
-          fmt::format("'{}' stands beside '{}', which is its new name", problem.key, problem.expected));
+      return withPlace(fmt::format("'{}' and its new name '{}' are both set", problem.key, problem.expected));
     case TomlFault::other:
       break;
   }
   return problem.expected;
 }
 
-/// A TOML text that cannot be used. Callers branch on `problem().fault`, never on the text.
+/// A TOML document is invalid. Callers branch on `problem().fault`, never on the text.
 class TomlError : public std::runtime_error {
  public:
   explicit TomlError(TomlProblem problem)
       : std::runtime_error(textOf(problem)), problem_(std::move(problem)) {}
-  /// A problem that has no fault of its own: the text is `problem().expected`.
+  /// A problem of the fault `other`: the text becomes `problem().expected`.
   explicit TomlError(const std::string& text)
       : std::runtime_error(text), problem_{TomlFault::other, "", 0, 0, "", text, ""} {}
 
--- a/src/config/toml_table.hpp
+++ b/src/config/toml_table.hpp
@@ -18,24 +18,24 @@
 
 namespace merlinbridge::config {
 
-/// The min and the max of what is drawn by a seed.
+/// Bounds of a random value.
 struct Range {
   double min = 0;
   double max = 0;
 };
 
-inline constexpr double kMaxSeconds = 86'400;  ///< Seconds; a day. No time in a text may be longer.
+inline constexpr double kMaxSeconds = 86'400;  ///< The longest duration in a TOML document: one day.
 
-/// Reads one table of a TOML text, and knows which of its keys were read. Every reader takes the key's name
-/// and a default value (none: the key must be there), and throws TomlError for a value that is not allowed.
-/// Refers to the parsed table and to the file's name, which must outlive it.
+/// Reads one table of a TOML document and records which of its keys were read. The functions that read take
+/// the key and a default value (without one, the key is required), and throw TomlError if the value is not
+/// allowed. Keeps references to the parsed table and to the file's name, which must outlive it.
 class TomlTable {
  public:
-  /// `path`: the table's own name, empty for the whole text.
+  /// `path`: the table's full name; empty for the root table.
   TomlTable(const toml::table& table, std::string path, const std::string& file)
       : table_(table), path_(std::move(path)), file_(file) {}
 
-  /// Throws what is wrong with a key: that it is missing, or that its value is not what was expected.
+  /// Throws a TomlError: the key is missing, or its value is not what was expected.
   [[noreturn]] void fail(std::string_view key, const std::string& expected) const {
     const toml::node* const node = table_.get(key);
     std::ostringstream found;
@@ -46,7 +46,7 @@
   }
 
   std::string string(std::string_view key, std::optional<std::string> defaultValue = {}) {
-    return read<std::string>(key, std::move(defaultValue), "a text",
+    return read<std::string>(key, std::move(defaultValue), "a string",
                              [](const toml::node& node) { return node.value_exact<std::string>(); });
   }
   bool flag(std::string_view key, bool defaultValue) {
@@ -58,28 +58,29 @@
     return read<double>(key, defaultValue, fmt::format("a number from {} to {}", min, max),
                         [=](const toml::node& node) { return within(node, min, max); });
   }
-  /// A whole number from `min` to `max`.
+  /// An integer from `min` to `max`.
   template <class Integer>
   Integer integer(std::string_view key, std::optional<Integer> defaultValue, Integer min, Integer max) {
-    return read<Integer>(key, defaultValue, fmt::format("a whole number from {} to {}", min, max),
+    return read<Integer>(key, defaultValue, fmt::format("an integer from {} to {}", min, max),
                          [=](const toml::node& node) -> std::optional<Integer> {
                            const auto value = node.value_exact<std::int64_t>();
                            if (!value || *value < std::int64_t{min} || *value > std::int64_t{max}) return {};
                            return static_cast<Integer>(*value);
                          });
   }
-  /// A time with its unit, as "250ms"; ns, us, ms, s, min or h.
+  /// A duration with its unit, such as "250ms"; units are ns, us, ms, s, min and h.
   Duration duration(std::string_view key, std::optional<Duration> defaultValue) {
-    return read<Duration>(key, defaultValue, "a time from 0 to a day, as \"250ms\"",
+    return read<Duration>(key, defaultValue, "a duration from 0 to 1 day, such as \"250ms\"",
                           [](const toml::node& node) -> std::optional<Duration> {
                             const auto value = secondsOf(node);
                             if (!value) return {};
                             return durationOf(*value);
                           });
   }
-  /// Seconds, either one time or the min and the max.
+  /// A range of seconds: one duration, or an array of the minimum and the maximum.
   Range range(std::string_view key, std::optional<Range> defaultValue) {
-    return read<Range>(key, defaultValue, "a time, as \"2s\", or the min and the max, as [\"1s\", \"3s\"]",
+    return read<Range>(key, defaultValue,
+                       "a duration, such as \"2s\", or a minimum and a maximum, such as [\"1s\", \"3s\"]",
                        [](const toml::node& node) -> std::optional<Range> {
                          if (const auto one = secondsOf(node)) return Range{*one, *one};
                          const toml::array* const both = node.as_array();
@@ -90,7 +91,7 @@
                          return Range{*min, *max};
                        });
   }
-  /// The value whose name stands there; `words` has pairs of name and value.
+  /// The enum value of that name; `words` has pairs of name and value.
   template <class Value, class NameTables>
   Value oneOf(std::string_view key, std::optional<Value> defaultValue, const NameTables& words) {
     std::string all;
@@ -103,9 +104,9 @@
                          return {};
                        });
   }
-  /// Whether the key is there. Does not count as reading it.
+  /// Whether the key exists. Does not record it as read.
   bool has(std::string_view key) const { return table_.contains(key); }
-  /// The table under the key; an empty one where it is missing.
+  /// The table under the key; empty if the key is missing.
   TomlTable section(std::string_view key) {
     used_.emplace(key);
     static const toml::table kNone;
@@ -113,21 +114,22 @@
     if (node && !node->is_table()) fail(key, "a table");
     return {node ? *node->as_table() : kNone, nameOf(key), file_};
   }
-  /// The tables of the array under the key; none where it is missing.
+  /// The tables in the array under the key; empty if the key is missing.
   std::vector<TomlTable> sections(std::string_view key) {
     used_.emplace(key);
     std::vector<TomlTable> all;
     const toml::node* const node = table_.get(key);
     if (!node) return all;
     const toml::array* const array = node->as_array();
-    if (!array) fail(key, "tables, each under [[" + nameOf(key) + "]]");
+    if (!array) fail(key, "an array of tables, each written as [[" + nameOf(key) + "]]");
     for (const toml::node& each : *array) {
-      if (!each.is_table()) fail(key, "tables, each under [[" + nameOf(key) + "]]");
+      if (!each.is_table()) fail(key, "an array of tables, each written as [[" + nameOf(key) + "]]");
       all.emplace_back(*each.as_table(), fmt::format("{}[{}]", nameOf(key), all.size()), file_);
     }
     return all;
   }
-  /// Throws if the table has a key that was not read: misspelt, it would have no effect. To be called last.
+  /// Throws if the table has a key that was not read: a misspelt key would otherwise be ignored silently. To
+  /// be called after all reads.
   void rejectUnknownKeys() const {
     for (const auto& [key, node] : table_)
       if (!used_.contains(std::string(key.str())))
@@ -187,7 +189,7 @@
   std::set<std::string> used_;  ///< The keys that were read.
 };
 
-/// The whole text as one table. Throws TomlError.
+/// Parses a TOML document. `file` is named in errors. Throws TomlError.
 inline toml::table parse(const std::string& text, const std::string& file) {
   try {
     return toml::parse(text, file);
--- a/src/daemon/commands.cpp
+++ b/src/daemon/commands.cpp
@@ -15,7 +15,8 @@
 namespace merlinbridge::daemon {
 namespace {
 
-/// One step of `serve` that is repeated for transient errors. All other errors become a ServeError.
+/// Runs one start-up step of `serve` and retries it after transient errors. All other errors become a
+/// ServeError.
 template <class Step>
 auto runStartStep(ServeStep name, Log& log, const Step& step) {
   try {
@@ -52,7 +53,7 @@
   }
 }
 
-/// The one line with which a failed `serve` ends, and its exit code.
+/// Logs the one line that reports why `serve` failed, and returns the exit code.
 ExitCode logFailure(Log& log, const ServeError& error) {
   const std::string_view text = error.what();
   switch (error.failure) {
@@ -69,7 +70,7 @@
   return ExitCode::failure;
 }
 
-/// Prints what `checkFile` returns or, where it throws, the error's text. False: it threw.
+/// Prints what `checkFile` returns or the message of the error that it throws. Returns false if it throws.
 bool printCheckResult(std::string_view file, const std::function<std::string()>& checkFile) {
   try {
     std::cout << file << ": " << checkFile() << '\n';
@@ -86,7 +87,7 @@
 
 std::string checkOperatorConfig(const ConfigSources& sources) {
   printRenamedSettings(sources.readOperator().renamed);
-  return sources.operatorFile.empty() ? "none, defaults hold" : "fit";
+  return sources.operatorFile.empty() ? "not set, using defaults" : "valid";
 }
 
 std::string checkPlatformConfig(const ConfigSources& sources) {
@@ -94,7 +95,7 @@
   net::parseAddress(config.listenAddress);
   net::parseAddress(config.discoveryAddress);
   if (!config.counterAddress.empty()) net::parseAddress(config.counterAddress);
-  return fmt::format("fit: {} hosts known, {} methods, {} plans, {} gateways",
+  return fmt::format("valid: {} hosts known, {} methods, {} plans, {} gateways",
                      config.knownEndpoints.entries.size(), config.settings.methods.size(),
                      config.settings.plans.size(), config.settings.gateways);
 }
--- a/src/daemon/commands.hpp
+++ b/src/daemon/commands.hpp
@@ -4,20 +4,20 @@
 
 #include "daemon/config_sources.hpp"
 
-/// The commands of the program: what main calls once the command line is read.
+/// The commands of the program, which main calls after it has read the command line.
 namespace merlinbridge::daemon {
 
 /// Exit codes of the program.
 enum class ExitCode : int {
-  success = 0,  ///< Stopped by SIGTERM or SIGINT; or all files are valid.
-  failure = 1,  ///< Could not start or continue.
-  badInput = 2  ///< An unknown option or command, or a file that is not valid.
+  success = 0,  ///< Stopped by SIGTERM or SIGINT; for `check`, all files are valid.
+  failure = 1,  ///< The gateway could not start or continue.
+  badInput = 2  ///< The command line or a configuration file is invalid.
 };
 
-/// Runs the gateway until SIGTERM or SIGINT. `renamed`: options given under their old names, logged first.
-/// Throws nothing: each error is one log line and an exit code.
+/// Runs the gateway until SIGTERM or SIGINT. `renamed` lists options given under their old names, which are
+/// logged at start-up. Does not throw: an error becomes one log line and an exit code.
 ExitCode serve(const ConfigSources& sources, const std::vector<config::RenamedSetting>& renamed);
-/// Writes to standard output, for each file, whether it can be served; starts nothing.
+/// Prints for each configuration file whether it is valid, without starting the gateway.
 ExitCode check(const ConfigSources& sources, const std::vector<config::RenamedSetting>& renamed);
 
 }  // namespace merlinbridge::daemon
--- a/src/daemon/config_sources.cpp
+++ b/src/daemon/config_sources.cpp
@@ -15,9 +15,10 @@
 namespace merlinbridge::daemon {
 namespace {
 
-constexpr std::size_t kReadBytes = 65536;  // for one read of a file
+constexpr std::size_t kReadBytes = 65536;  // per read call
 
-// A missing file, or one without rights, stays so; a transient error may be over at the next try.
+// A transient error is thrown as std::system_error, so that the caller may retry. Others, such as a missing
+// file or missing permissions, are permanent.
 [[noreturn]] void throwUnreadable(const std::string& path) {
   const int error = errno;
   if (!isTransient(error)) throw config::ConfigError({config::ConfigFault::unreadableFile, path, {}, {}});
--- a/src/daemon/config_sources.hpp
+++ b/src/daemon/config_sources.hpp
@@ -7,21 +7,21 @@
 
 namespace merlinbridge::daemon {
 
-/// Where the daemon's two configuration files are: those that the environment names, unless the command line
-/// names others. Each read opens the file anew.
+/// Paths of the daemon's two configuration files, from the environment or the command line, which takes
+/// precedence. Each read opens the file again.
 struct ConfigSources {
-  std::string platformFile;  ///< JSON, from GW_CONFIG. Empty: not named, which readPlatform() refuses.
-  std::string operatorFile;  ///< TOML, from GW_OWN. Empty: all defaults hold.
+  std::string platformFile;  ///< JSON, from GW_CONFIG. Empty: not set; readPlatform() fails.
+  std::string operatorFile;  ///< TOML, from GW_OWN. Empty: not set; all defaults apply.
 
-  /// The files that GW_CONFIG and GW_OWN name.
+  /// The paths in GW_CONFIG and GW_OWN.
   static ConfigSources fromEnvironment();
 
-  /// Reads the platform's file. Throws config::ConfigError where it is missing or not valid,
-  /// std::system_error where it cannot be read for the moment.
+  /// Reads the platform's file. Throws config::ConfigError if it is missing or invalid, and std::system_error
+  /// if a transient error prevents reading it.
   config::GatewayConfig readPlatform() const;
-  /// Reads the operators' file; the level of GW_LOG_LEVEL, if that is one, goes before the file's. Throws
-  /// config::ConfigError where the file is missing, config::TomlError where it is not valid, and
-  /// std::system_error as above.
+  /// Reads the operators' file. A valid log level in GW_LOG_LEVEL takes precedence over the file's. Throws
+  /// config::ConfigError if the file is missing, config::TomlError if it is invalid, and std::system_error as
+  /// above.
   config::OperatorConfig readOperator() const;
 };
 
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -6,18 +6,20 @@
 namespace merlinbridge::daemon {
 namespace {
 
-// Part of OperatorConfig::killedAfter: what is left at its end for writing the last answers.
+// The end of OperatorConfig::killedAfter, reserved for writing the last responses.
 constexpr Duration kWriteReserve = std::chrono::milliseconds(150);
-// Part of kWriteReserve: for so long a client may read its last answer and close before it is closed as idle.
+// Part of kWriteReserve: a client has this long to read its last response and to close the connection before
+// the gateway closes it as idle.
 constexpr Duration kClientCloseTimeout = kWriteReserve / 3;
-// Between two looks at whether the shutdown is complete.
+// Interval between checks of whether the shutdown is complete.
 constexpr Duration kShutdownCheckInterval = kWriteReserve / 20;
-// After so long without traffic the process stops with client connections open.
+// After this long without traffic, the process stops even if client connections are open.
 constexpr Duration kNoTrafficTimeout = 2 * kWriteReserve;
-// A file that cannot be read may be half written: it is read again after so long, each wait twice the one
-// before. All retries are over well before the change counts as notified.
+// A file that cannot be read may be half written, so it is read again after this delay, which doubles with
+// each retry. All retries end well before the platform considers the change delivered.
 constexpr Duration kFirstReloadRetry = std::chrono::milliseconds(50);
-// The least time between two lines config_rejected; rejections between them are config_retry_failed.
+// Minimum interval between two config_rejected log lines; rejections in between are logged as
+// config_retry_failed.
 constexpr Duration kReloadWarningInterval = std::chrono::seconds(10);
 
 constexpr Duration reloadRetryDelay(int retry) {
@@ -64,8 +66,8 @@
   reload(0);
 }
 
-// Only the addresses of discovery and the counter service change while the gateway serves; all other settings
-// hold from the next start on.
+// Only the addresses of discovery and the counter service change while the gateway runs; other settings take
+// effect at the next start.
 void Daemon::reload(int retry) {
   reloadTimer_ = {};
   try {
@@ -76,7 +78,7 @@
                   std::string_view(config.counterAddress.empty() ? "none" : config.counterAddress)});
   } catch (const std::runtime_error& e) {  // config::ConfigError and std::system_error
     rejectReload(retry, e.what());
-  } catch (const std::invalid_argument& e) {  // an address that is none
+  } catch (const std::invalid_argument& e) {  // an invalid address
     rejectReload(retry, e.what());
   }
 }
@@ -130,9 +132,9 @@
   loop_.deadlines.add(loop_.now() + acceptFor, [this](TimePoint) { enter(Phase::closingIdle); });
 }
 
-// Ends at answerDeadline_ at the latest, since the process may be killed soon after: clients that never read,
-// stay idle for ever or stop in the middle of a request cannot delay it. Clients that connect meanwhile are
-// still accepted.
+// The shutdown ends shortly after answerDeadline_ at the latest, since the process may be killed soon after:
+// clients that never read, stay idle or stop in the middle of a request cannot delay it. Clients that connect
+// in the meantime are still accepted.
 void Daemon::checkShutdown() {
   const TimePoint now = loop_.now();
   if (now >= answerDeadline_ + kClientCloseTimeout) return enter(Phase::stopped);
--- a/src/daemon/daemon.hpp
+++ b/src/daemon/daemon.hpp
@@ -9,62 +9,65 @@
 
 namespace merlinbridge::daemon {
 
-/// The gateway process from its configuration to its exit: the phases, and the signals that move it through
-/// them. SIGTERM and SIGINT begin the graceful shutdown, further ones have no effect; SIGHUP reads the
-/// platform's file again, in every phase. All of it runs on the event loop's one strand; timers refer to the
-/// daemon, which owns the loop and so outlives them.
+/// The gateway process from start-up to exit: its phases, and the signals that change them. The first SIGTERM
+/// or SIGINT begins the graceful shutdown, further ones have no effect. SIGHUP reloads the platform's file,
+/// in every phase. Everything runs on the event loop's one strand. Timers refer to the daemon, which owns the
+/// loop and thus outlives them.
 class Daemon {
  public:
-  /// In their order; each gives way to the next one only. `enter()` has all transitions.
+  /// In order; each phase is followed only by the next one. enter() implements all transitions.
   enum class Phase {
-    starting,     ///< Sockets are open, no client is accepted. Until run().
-    serving,      ///< Ready; clients are accepted. Until SIGTERM or SIGINT.
-    draining,     ///< Not ready; all that comes is answered. For OperatorConfig::acceptFor.
-    closingIdle,  ///< Idle connections are closed, requests in flight are answered. Until all is, or time is
-                  ///< up.
-    stopped       ///< The event loop ends.
+    starting,     ///< Sockets are open, no client is accepted. Ends with run().
+    serving,      ///< Ready; clients are accepted. Ends with SIGTERM or SIGINT.
+    draining,     ///< Not ready; every request that arrives is answered. Lasts OperatorConfig::acceptFor.
+    closingIdle,  ///< Idle connections are closed, requests in flight are answered. Ends when all of them
+                  ///< are answered, or at the deadline.
+    stopped       ///< The event loop stops.
   };
 
-  /// Reads the platform's configuration and binds the address. The arguments must outlive the daemon. Throws
-  /// config::ConfigError, std::invalid_argument for an address that is none, and what the sockets throw.
+  /// Reads the platform's configuration and binds the listen address. The arguments must outlive the daemon.
+  /// Throws config::ConfigError, std::invalid_argument for an invalid address, and the errors of socket
+  /// calls.
   Daemon(const ConfigSources& sources, const config::OperatorConfig& operatorConfig, SignalWatch& signals,
          Log& log);
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
-  /// Signals that come from here on are kept by the SignalWatch.
+  /// Later signals are kept pending by the SignalWatch.
   ~Daemon();
 
-  /// Serves until SIGTERM or SIGINT, and until what was accepted is answered. To be called once.
+  /// Serves until SIGTERM or SIGINT and then shuts down gracefully. To be called once.
   void run();
 
  private:
   config::GatewayConfig readInitialConfig();
   void handleSignal(Signal signal);
-  /// Reads the platform's file and moves discovery and the counter service to its addresses. `retry`: 0 at
-  /// the signal, then counted up to OperatorConfig::reloadRetries.
+  /// Reads the platform's file and applies its addresses of discovery and the counter service. `retry`: 0 for
+  /// the signal itself, then counted up to OperatorConfig::reloadRetries.
   void reload(int retry);
   void rejectReload(int retry, std::string_view reason);
-  /// Enters a later phase and does what it begins with; the present phase or an earlier one has no effect.
+  /// Enters a later phase and performs its first actions. Has no effect for the current or an earlier phase.
   void enter(Phase phase);
   void beginDraining();
-  /// Timer of the phase closingIdle: closes what has become idle and ends the phase when that is due.
+  /// Called by a timer in the phase `closingIdle`: closes connections that have become idle and ends the
+  /// phase when the shutdown is complete or its time is up.
   void checkShutdown();
-  /// Whether every request has its answer, and every client has closed or had time to read it.
+  /// Whether every request is answered, and every client has closed its connection or had time to read the
+  /// response.
   bool shutdownComplete(TimePoint now);
 
   const ConfigSources& sources_;
   const config::OperatorConfig operatorConfig_;
   Log& log_;
   const net::SystemClock clock_;
-  Duration longestDeadline_{};  ///< Of all methods of the platform's configuration.
+  Duration longestDeadline_{};  ///< The longest deadline of all configured methods.
   net::EventLoop loop_;
-  SignalWatch& signals_;  ///< Signals that come before run() are handled by it.
+  SignalWatch& signals_;  ///< Signals that arrive before run() are handled by run().
   net::Server server_;
   Phase phase_ = Phase::starting;
-  core::DeadlineQueue::Ticket reloadTimer_{};    ///< Of the next retry of a reload, if one is due.
-  TimePoint reloadWarnedAt_{};                   ///< Of the last config_rejected; the origin: none yet.
-  TimePoint noTrafficSince_ = TimePoint::max();  ///< In phase closingIdle; max: there is traffic.
-  TimePoint answerDeadline_{};                   ///< From draining on: all requests are answered by then.
+  core::DeadlineQueue::Ticket reloadTimer_{};    ///< For the next reload retry, if any.
+  TimePoint reloadWarnedAt_{};                   ///< Time of the last config_rejected; TimePoint{}: none yet.
+  TimePoint noTrafficSince_ = TimePoint::max();  ///< In the phase closingIdle; max(): there is traffic.
+  TimePoint answerDeadline_{};  ///< From the phase draining on: when all requests must be answered.
 };
 
 }  // namespace merlinbridge::daemon
--- a/src/daemon/log_stream.cpp
+++ b/src/daemon/log_stream.cpp
@@ -13,10 +13,10 @@
 namespace merlinbridge::daemon {
 namespace {
 
-// With the line feed. A pipe that is ready accepts so many bytes at once without a wait; longer lines are
-// cut.
+// Including the line feed. Longer lines are cut: a pipe that polls as writable accepts this many bytes
+// without blocking.
 constexpr std::size_t kMaxLineBytes = 4096;
-// So often a call for one line is made while signals interrupt it.
+// How many times a line's system calls are repeated when signals interrupt them.
 constexpr int kMaxInterruptedWrites = 16;
 
 bool isSocket(int descriptor) {
@@ -24,7 +24,7 @@
   return ::fstat(descriptor, &status) == 0 && S_ISSOCK(status.st_mode);
 }
 
-// In text form whatever form the other lines have: a stream of characters does not know it.
+// Always in text format: the stream buffer does not know the format of the other lines.
 std::string droppedLine(std::uint64_t dropped) {
   std::string line = formatLogLine(LogForm::text, LogEvent::logLinesDropped, LogField{"count", dropped});
   line += '\n';
@@ -57,7 +57,7 @@
   line_.clear();
 }
 
-// The rest of a line that was accepted in part is given up.
+// If only part of a line is accepted, the rest is dropped.
 bool LogBuffer::tryWrite(const std::string& text) const {
   for (int tries = 0; tries < kMaxInterruptedWrites; ++tries) {
     pollfd state{descriptor_, POLLOUT, 0};
--- a/src/daemon/log_stream.hpp
+++ b/src/daemon/log_stream.hpp
@@ -7,12 +7,12 @@
 
 namespace merlinbridge::daemon {
 
-/// Writes whole lines to a descriptor and never waits: a line that the descriptor does not accept at once is
-/// dropped, and the next one that it accepts is preceded by a line log_lines_dropped with their number. The
-/// stream never becomes bad. For the gateway's one thread.
+/// Writes whole lines to a descriptor without blocking. A line that the descriptor does not accept at once is
+/// dropped; the next line that it accepts is preceded by a log_lines_dropped line with the number of dropped
+/// lines. Failed writes do not set the stream's error state. Not thread-safe.
 class LogBuffer final : public std::streambuf {
  public:
-  /// The descriptor stays the caller's.
+  /// The caller keeps ownership of the descriptor.
   explicit LogBuffer(int descriptor);
 
  protected:
@@ -21,18 +21,18 @@
 
  private:
   void append(char character);
-  /// Writes the line that is complete, after a line log_lines_dropped if lines were dropped before.
+  /// Writes the complete line, preceded by a log_lines_dropped line if lines were dropped before.
   void writeLine();
-  /// Writes without waiting. False: the descriptor did not accept all of the text.
+  /// Writes without blocking. Returns false if the descriptor did not accept the whole text.
   bool tryWrite(const std::string& text) const;
 
   const int descriptor_;
-  const bool isSocket_;        ///< Decided once: a socket is written to with flags of its own.
-  std::string line_;           ///< What has come of the line that is being written.
-  std::uint64_t dropped_ = 0;  ///< Lines since the last one that was accepted.
+  const bool isSocket_;        ///< Sockets are written with send() and its flags.
+  std::string line_;           ///< The incomplete line.
+  std::uint64_t dropped_ = 0;  ///< Lines dropped and not yet reported.
 };
 
-/// An output stream on a LogBuffer of its own. The descriptor stays the caller's.
+/// An output stream that writes to a LogBuffer. The caller keeps ownership of the descriptor.
 class LogStream final : public std::ostream {
  public:
   explicit LogStream(int descriptor) : std::ostream(nullptr), buffer_(descriptor) { rdbuf(&buffer_); }
--- a/src/daemon/serve_error.hpp
+++ b/src/daemon/serve_error.hpp
@@ -6,25 +6,25 @@
 
 namespace merlinbridge::daemon {
 
-/// The steps of `serve`, in their order.
+/// The steps of `serve`, in order.
 enum class ServeStep {
-  readOperatorConfig,  ///< The operators' file, GW_OWN.
-  catchSignals,        ///< The pipe and the handlers of SignalWatch.
-  openGateway,         ///< The platform's file, GW_CONFIG, and the sockets that it names.
-  run                  ///< The event loop, until the process stops.
+  readOperatorConfig,  ///< Reads the operators' file, GW_OWN.
+  catchSignals,        ///< Creates the SignalWatch's pipe and installs its handlers.
+  openGateway,         ///< Reads the platform's file, GW_CONFIG, and opens the sockets.
+  run                  ///< Runs the event loop until the process stops.
 };
 
-/// The step's name as it stands in a log line.
+/// The step's name in log lines.
 std::string_view nameOf(ServeStep step);
 
-/// Whose fault it is that a step failed.
+/// What made a step fail.
 enum class ServeFailure {
-  platformConfig,  ///< A file cannot be read for good, or the platform's file is not valid.
-  operatorConfig,  ///< The operators' file is not valid.
-  system           ///< The system refused something that may be there at the next start.
+  platformConfig,  ///< The platform's file is invalid, or either file is missing or unreadable.
+  operatorConfig,  ///< The operators' file is invalid.
+  system           ///< A system call or resource failed; a later start may succeed.
 };
 
-/// Which step of `serve` failed, and why. The text says with what: file and field, or the system's error.
+/// A step of `serve` failed. The text names the file and field, or the system error.
 struct ServeError : std::runtime_error {
   ServeError(ServeStep failedStep, ServeFailure cause, const std::string& text)
       : std::runtime_error(text), step(failedStep), failure(cause) {}
@@ -33,7 +33,7 @@
   ServeFailure failure;
 };
 
-/// Throws the exception that is being handled as a ServeError of that step. To be called in a catch clause.
+/// Rethrows the exception being handled as a ServeError for that step. To be called in a catch block.
 [[noreturn]] void rethrowAsServeError(ServeStep step);
 
 }  // namespace merlinbridge::daemon
--- a/src/daemon/signal_watch.cpp
+++ b/src/daemon/signal_watch.cpp
@@ -12,7 +12,7 @@
 namespace merlinbridge::daemon {
 namespace {
 
-// What the signal handler may touch: a flag for each Signal, and the write end of the pipe.
+// The only state that the signal handler uses: a flag for each Signal, and the write end of the pipe.
 volatile std::sig_atomic_t terminateReceived = 0;  // NOLINT(readability-identifier-naming): not a constant
 volatile std::sig_atomic_t hangUpReceived = 0;     // NOLINT(readability-identifier-naming): not a constant
 volatile std::sig_atomic_t wakeDescriptor = -1;    // NOLINT(readability-identifier-naming): not a constant
@@ -28,7 +28,7 @@
   errno = savedErrno;
 }
 
-// Whether the flag was set. A signal that comes after it was cleared sets it again.
+// Returns whether the flag was set, and clears it. A signal that arrives later sets it again.
 bool takeFlag(volatile std::sig_atomic_t& flag) {
   if (flag == 0) return false;
   flag = 0;
@@ -40,7 +40,7 @@
 SignalWatch::SignalWatch() {
   std::array<int, 2> ends{};
   if (::pipe2(ends.data(), O_NONBLOCK | O_CLOEXEC) != 0)
-    throw std::system_error(errno, std::generic_category(), "a pipe for signals");
+    throw std::system_error(errno, std::generic_category(), "cannot create the signal pipe");
   readEnd_ = net::Descriptor(ends[0]);
   writeEnd_ = net::Descriptor(ends[1]);
   wakeDescriptor = writeEnd_.get();
@@ -72,14 +72,14 @@
   waitForWake();
 }
 
-// Where the system refuses the wait, the next deliverPending() asks for it again.
+// If the wait cannot be started, the next deliverPending() tries again.
 void SignalWatch::waitForWake() {
   if (waiting_) return;
   net::Error error;
   if (!wakeStream_->is_open()) wakeStream_->assign(readEnd_.get(), error);
   if (error) return;
   waiting_ = true;
-  // On the loop's strand; stopDelivery() aborts the wait before `this` goes.
+  // Runs on the loop's strand; stopDelivery() aborts the wait before `this` is destroyed.
   wakeStream_->async_wait(net::asio::posix::descriptor_base::wait_read, [this](const net::Error& waitError) {
     if (waitError == net::asio::error::operation_aborted) return;
     waiting_ = false;
--- a/src/daemon/signal_watch.hpp
+++ b/src/daemon/signal_watch.hpp
@@ -9,35 +9,36 @@
 
 namespace merlinbridge::daemon {
 
-/// What a signal asks of the daemon.
+/// What a signal requests from the daemon.
 enum class Signal {
   terminate,  ///< SIGTERM and SIGINT: graceful shutdown.
   hangUp      ///< SIGHUP: reload of the platform's configuration.
 };
 
-/// Catches SIGTERM, SIGINT and SIGHUP from its construction on, and hands each to the event loop. The signal
-/// itself is kept in a flag; the pipe only wakes the loop, so a failed write or read delays a signal to the
-/// next deliverPending() and loses none. One at a time in a process, since signal handlers are the process's
-/// own.
+/// Catches SIGTERM, SIGINT and SIGHUP from its construction on and delivers them to the event loop. The
+/// signal is stored in a flag and the pipe only wakes the loop, so a failed write or read delays a signal
+/// until the next deliverPending() but does not lose it. A process may have only one instance at a time,
+/// since signal handlers are global.
 class SignalWatch {
  public:
   /// Runs on the event loop's strand.
   using Handler = std::function<void(Signal)>;
 
-  /// Throws std::system_error where the system gives no pipe.
+  /// Throws std::system_error if the pipe cannot be created.
   SignalWatch();
   SignalWatch(const SignalWatch&) = delete;
   SignalWatch& operator=(const SignalWatch&) = delete;
-  /// From then on the signals have their default effect again.
+  /// Restores the signals' default actions.
   ~SignalWatch();
 
-  /// From here on `handler` is called for each signal, those that have come already included. Several of a
-  /// kind that come together count as one. The loop, and what the handler refers to, must live until
+  /// From now on `handler` is called for each signal, including those already received. Pending signals of
+  /// the same kind are delivered as one. The loop, and what the handler refers to, must live until
   /// stopDelivery().
   void deliverTo(net::EventLoop& loop, Handler handler);
-  /// Ends delivery; signals that come later are kept. To be called before the loop is destroyed.
+  /// Stops delivery; later signals are kept pending. To be called before the loop is destroyed.
   void stopDelivery();
-  /// Delivers what has come. Called by the pipe's handler, and at intervals in case a wake was lost.
+  /// Delivers the signals received so far. Called when the pipe is readable, and at intervals in case a
+  /// wake-up was lost.
   void deliverPending();
 
  private:
@@ -46,9 +47,9 @@
 
   net::Descriptor readEnd_;
   net::Descriptor writeEnd_;
-  /// The read end as the loop waits for it; none: nothing is delivered.
+  /// The read end as registered with the loop; null while nothing is delivered.
   std::unique_ptr<net::asio::posix::basic_stream_descriptor<net::Strand>> wakeStream_;
-  bool waiting_ = false;  ///< A wait for the read end is pending in the loop.
+  bool waiting_ = false;  ///< The loop is waiting for the read end.
   net::EventLoop* loop_ = nullptr;
   Handler handler_;
 };
--- a/src/http/chunked_decoder.cpp
+++ b/src/http/chunked_decoder.cpp
@@ -10,7 +10,7 @@
 
 constexpr int kHexBase = 16;
 constexpr int kDecimalBase = 10;
-// Of a chunk's size: 60 bits, so that sums with it cannot overflow 64 bits.
+// Limits a chunk's size to 60 bits, so that sums with it cannot overflow 64 bits.
 constexpr int kMaxSizeDigits = 15;
 constexpr int kNoDigit = -1;
 
@@ -44,7 +44,7 @@
   if (remaining_ == 0) state_ = State::dataCr;
 }
 
-// Reads one byte that is no data. Returns false if it must not stand there.
+// Reads one byte of the framing. Returns false if it is not allowed there.
 bool ChunkedDecoder::readFraming(char byte) {
   switch (state_) {
     case State::size:
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-// ---- Life of a message ----
+// ---- Lifetime of a message ----
 
 void Message::clear() {
   data_ = nullptr;
@@ -73,11 +73,11 @@
   return {static_cast<std::uint32_t>(part.data() - data_), static_cast<std::uint32_t>(part.size())};
 }
 
-// Makes the message bad and returns false. The functions below return false for a message that is bad, or
-// whose head is incomplete.
+// Makes the message invalid and returns false. The functions below return false if the message is invalid or
+// its head is incomplete.
 bool Message::fail(int errorStatus) {
   errorStatus_ = errorStatus;
-  keepsAlive_ = false;  // where the next message would start is not known
+  keepsAlive_ = false;  // the start of the next message is unknown
   stage_ = Stage::invalid;
   return false;
 }
@@ -87,8 +87,8 @@
 bool Message::readHead(std::size_t size) {
   while (true) {
     if (!findHeadEnd(size) || !readHeadLines()) return false;
-    if (!isInterimAnswer()) return readFraming();
-    skipInterimAnswer();
+    if (!isInterimResponse()) return readFraming();
+    skipInterimResponse();
   }
 }
 
@@ -97,7 +97,7 @@
   // RFC 9112, section 2.2: empty lines before a request are skipped.
   if (kind_ == Kind::request)
     while (bytes.substr(start_).starts_with(kLineEnd)) start_ += kLineEnd.size();
-  // The terminator may have arrived in part by the last call.
+  // Part of the terminator may have arrived before this call.
   const std::size_t overlap = kHeadTerminator.size() - 1;
   const std::size_t searchFrom = std::max(start_, headSeen_ > overlap ? headSeen_ - overlap : 0);
   const std::size_t terminator = bytes.find(kHeadTerminator, searchFrom);
@@ -168,12 +168,12 @@
   return true;
 }
 
-bool Message::isInterimAnswer() const {
+bool Message::isInterimResponse() const {
   return kind_ == Kind::response && status_ / kStatusesPerClass == kInterimClass &&
          status_ != kSwitchingProtocols;
 }
 
-void Message::skipInterimAnswer() {
+void Message::skipInterimResponse() {
   char* const data = data_;
   const std::size_t skipped = headEnd_;
   clear();
@@ -184,8 +184,8 @@
 
 // ---- Framing ----
 
-// Decides where the body ends. Any two fields that contradict each other make the message bad: another reader
-// on the way might believe the other one.
+// Determines where the body ends. Contradictory fields make the message invalid: another HTTP implementation
+// on the path might honor the other field.
 bool Message::readFraming() {
   FramingFields framing;
   for (std::size_t index = 0; index < fields_.size(); ++index)
--- a/src/http/status.hpp
+++ b/src/http/status.hpp
@@ -2,7 +2,7 @@
 
 namespace merlinbridge::http {
 
-// Status codes of HTTP (RFC 9110, section 15) that the reading of messages depends on.
+// HTTP status codes (RFC 9110, section 15) that the parser treats specially or reports.
 inline constexpr int kSwitchingProtocols = 101;
 inline constexpr int kNoContent = 204;
 inline constexpr int kNotModified = 304;
--- a/src/http/syntax.cpp
+++ b/src/http/syntax.cpp
@@ -6,7 +6,7 @@
 namespace merlinbridge::http {
 namespace {
 
-constexpr unsigned char kBlank = 0x20;  // the first character that is no control character
+constexpr unsigned char kBlank = 0x20;  // the first character that is not a control character
 constexpr unsigned char kDelete = 0x7f;
 constexpr char kUpperToLower = 'a' - 'A';
 
@@ -32,7 +32,7 @@
 
 bool equalsIgnoringCase(std::string_view a, std::string_view b) {
   if (a.size() != b.size()) return false;
-  // Nearly all peers write names in the usual case: the bytes are equal then.
+  // Fast path: nearly all peers write names in the usual case.
   if (std::memcmp(a.data(), b.data(), a.size()) == 0) return true;
   return std::equal(a.begin(), a.end(), b.begin(),
                     [](char left, char right) { return toLower(left) == toLower(right); });
--- a/tests/config/config_error_test.cpp
+++ b/tests/config/config_error_test.cpp
@@ -1,4 +1,4 @@
-// Errors of the platform's configuration: the fault, the field, what was found, and the text for operators.
+// Errors in the platform's configuration: the fault, the field, the value found and the error message.
 #include "config/config_error.hpp"
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// The problem that a call throws.
+/// The problem of the ConfigError that `call` throws.
 ConfigProblem problemOf(const std::function<void()>& call) {
   try {
     call();
@@ -21,11 +21,11 @@
     CHECK(e.what() == textOf(e.problem()));
     return e.problem();
   }
-  FAIL("nothing was thrown");
+  FAIL("no ConfigError was thrown");
   return {};
 }
 
-/// A parsed message with one field of each kind.
+/// A parsed message with one field of each type.
 struct Message {
   simdjson::dom::parser parser;
   element root = parser.parse(std::string(R"({"text":"x","flag":true,"below":-1,"huge":1e30,"list":[1],)"
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-TEST_CASE("a field that cannot be used is named with its fault and the value found") {
+TEST_CASE("an error names the field, the fault and the value found") {
   struct Case {
     std::string name;
     std::function<void(const JsonFields&)> read;
@@ -53,15 +53,15 @@
       {"not a number", [](const JsonFields& fields) { fields.get("text", 1.0); }, ConfigFault::notANumber,
        "message.text", "\"x\"", "message: field 'text' is not a number"},
       {"negative", [](const JsonFields& fields) { fields.get("below", 1u); }, ConfigFault::negative,
-       "message.below", "-1", "message: field 'below' is below 0"},
+       "message.below", "-1", "message: field 'below' is negative"},
       {"out of range", [](const JsonFields& fields) { fields.get("huge", 1); }, ConfigFault::outOfRange,
        "message.huge", "1e+30", "message: field 'huge' is out of range"},
-      {"no duration", [](const JsonFields& fields) { fields.duration("huge"); }, ConfigFault::outOfRange,
-       "message.huge", "1e+30", "message: field 'huge' is out of range"},
+      {"duration out of range", [](const JsonFields& fields) { fields.duration("huge"); },
+       ConfigFault::outOfRange, "message.huge", "1e+30", "message: field 'huge' is out of range"},
       {"not an array", [](const JsonFields& fields) { fields.array("flag"); }, ConfigFault::notAnArray,
        "message.flag", "true", "message: field 'flag' is not an array"},
-      {"in words", [](const JsonFields& fields) { fields.fail("text", "is not known"); }, ConfigFault::other,
-       "message.text", "\"x\"", "message: field 'text' is not known"},
+      {"described in words", [](const JsonFields& fields) { fields.fail("text", "is not known"); },
+       ConfigFault::other, "message.text", "\"x\"", "message: field 'text' is not known"},
   }));
   INFO(given.name);
   const Message message;
@@ -72,13 +72,13 @@
   CHECK(textOf(problem) == given.text);
 }
 
-TEST_CASE("the value found is cut") {
+TEST_CASE("a long value is cut in the error") {
   const Message message;
   const ConfigProblem problem = problemOf([&] { message.fields.require<double>("long"); });
   CHECK(problem.found == "\"" + std::string(kMaxFoundBytes - 1, 'a'));
 }
 
-TEST_CASE("fields that are missing or null have their default value") {
+TEST_CASE("fields that are missing or null get the default value") {
   const Message message;
   CHECK(message.fields.get("gone", 7) == 7);
   CHECK(message.fields.get("none", 7) == 7);
@@ -87,13 +87,13 @@
   CHECK(message.fields.duration("gone", Duration{5}) == Duration{5});
 }
 
-TEST_CASE("problems without a field have a fault and a text of their own") {
+TEST_CASE("problems that concern no field have their own fault and message") {
   CHECK(problemOf([] { readGatewayConfig("{"); }).fault == ConfigFault::notAnObject);
   CHECK(problemOf([] { readGatewayConfig("[]"); }).fault == ConfigFault::notAnObject);
   CHECK(textOf({ConfigFault::notAnObject, "", "", ""}) == "the file is not a JSON object");
   CHECK(textOf({ConfigFault::unreadableFile, "/a.json", "", ""}) == "cannot read /a.json");
   CHECK(textOf({ConfigFault::unsetVariable, "GW_CONFIG", "", ""}) == "GW_CONFIG is not set");
-  const ConfigError error("of no kind");
+  const ConfigError error("some other problem");
   CHECK(error.problem().fault == ConfigFault::other);
-  CHECK(textOf(error.problem()) == "of no kind");
+  CHECK(textOf(error.problem()) == "some other problem");
 }
--- a/tests/config/operator_config_test.cpp
+++ b/tests/config/operator_config_test.cpp
@@ -1,4 +1,4 @@
-// The operators' file: its values, its old names, and errors with their place.
+// The operators' configuration file: values, old names, and errors with their line and column.
 #include "config/operator_config.hpp"
 
 #include <catch2/catch.hpp>
@@ -19,13 +19,13 @@
     CHECK(e.what() == textOf(e.problem()));
     return e.problem();
   }
-  FAIL("nothing was thrown");
+  FAIL("no TomlError was thrown");
   return {};
 }
 
 }  // namespace
 
-TEST_CASE("an empty operators' file has the defaults") {
+TEST_CASE("an empty operator configuration has the defaults") {
   const OperatorConfig config = readOperatorConfig("", "own.toml");
   CHECK(config.form == LogForm::text);
   CHECK(config.level == Level::info);
@@ -35,7 +35,7 @@
   CHECK(config.renamed.empty());
 }
 
-TEST_CASE("all keys of the operators' file are read") {
+TEST_CASE("all keys of the operator configuration are read") {
   const OperatorConfig config = readOperatorConfig(
       "[log]\nform = \"json\"\nlevel = \"error\"\n[shutdown]\naccept_for = \"1s\"\nkilled_after = \"2s\"\n"
       "[reload]\nretries = 12\n",
@@ -48,7 +48,7 @@
   CHECK(config.renamed.empty());
 }
 
-TEST_CASE("old names of the operators' file are read, and each is listed with its new name") {
+TEST_CASE("old names in the operator configuration are accepted, and each is listed with its new name") {
   const OperatorConfig config = readOperatorConfig(
       "[end]\nstill_coming = \"1s\"\nmost_life = \"2s\"\n[reload]\nlooks = 3\n", "own.toml");
   CHECK(config.acceptFor == 1s);
@@ -60,24 +60,24 @@
   CHECK(config.renamed[1].text() == "key reload.looks is now called reload.retries");
 }
 
-TEST_CASE("an error of the operators' file says place, key, what is expected and what was found") {
+TEST_CASE("an error in the operator configuration names position, key, expected and found value") {
   const TomlProblem unknown = problemOf("[log]\nlevle = \"info\"\n");
   CHECK(unknown.fault == TomlFault::unknownKey);
   CHECK(unknown.line == 2);
   CHECK(unknown.column == 1);
   CHECK(unknown.key == "log.levle");
-  CHECK(textOf(unknown) == "own.toml:2:1: 'log.levle' is not known here");
+  CHECK(textOf(unknown) == "own.toml:2:1: unknown key 'log.levle'");
 
-  const TomlProblem unfit = problemOf("[log]\nlevel = 3\n");
-  CHECK(unfit.fault == TomlFault::invalidValue);
-  CHECK(unfit.expected == "one of debug, info, warning, error");
-  CHECK(unfit.found == "3");
-  CHECK(textOf(unfit) == "own.toml:2:9: 'log.level': expected one of debug, info, warning, error, found 3");
+  const TomlProblem invalid = problemOf("[log]\nlevel = 3\n");
+  CHECK(invalid.fault == TomlFault::invalidValue);
+  CHECK(invalid.expected == "one of debug, info, warning, error");
+  CHECK(invalid.found == "3");
+  CHECK(textOf(invalid) == "own.toml:2:9: 'log.level': expected one of debug, info, warning, error, found 3");
 
   CHECK(problemOf("[end\n").fault == TomlFault::malformed);
   CHECK(problemOf("[end]\n[shutdown]\n").key == "end");
   CHECK(problemOf("[shutdown]\naccept_for = \"9s\"\nkilled_after = \"1s\"\n").expected ==
-        "a time no shorter than accept_for");
-  CHECK(problemOf("[reload]\nretries = 13\n").expected == "a whole number from 0 to 12");
+        "a duration no shorter than accept_for");
+  CHECK(problemOf("[reload]\nretries = 13\n").expected == "an integer from 0 to 12");
   CHECK(problemOf("[reload]\nlooks = 1\nretries = 1\n").key == "reload.retries");
 }
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -250,18 +250,18 @@
   CHECK(complaint(replaced("rate = 150", "rate = -1")) ==
         "s.toml:10:8: 'clients.rate': expected a number from 0 to 10000000, found -1");
   CHECK(complaint(replaced("gateways = 3", "gatewais = 3")) ==
-        "s.toml:3:1: 'fleet.gateways' is missing: expected a whole number from 1 to 4096");
-  CHECK(complaint(replaced("zones = 2", "zone = 2")) == "s.toml:5:1: 'fleet.zone' is not known here");
+        "s.toml:3:1: 'fleet.gateways' is missing: expected an integer from 1 to 4096");
+  CHECK(complaint(replaced("zones = 2", "zone = 2")) == "s.toml:5:1: unknown key 'fleet.zone'");
   CHECK(complaint(replaced("\"6s\"", "\"6 weeks\"")) ==
-        "s.toml:2:10: 'length': expected a time from 0 to a day, as \"250ms\", found '6 weeks'");
+        "s.toml:2:10: 'length': expected a duration from 0 to 1 day, such as \"250ms\", found '6 weeks'");
   CHECK(complaint(replaced("\"6s\"", "\"1e300h\"")) != "");
   CHECK(complaint(replaced("\"6s\"", "\"-1s\"")) != "");
   CHECK(complaint(replaced("rate = 150", "rate = nan")) != "");
   CHECK(complaint(replaced("rate = 150", "rate = ")).starts_with("s.toml:10:"));
   CHECK(complaint(replaced("[hosts]", "hosts = 1\n[host]")).starts_with("s.toml:"));
   CHECK(complaint(kPlain + fault("host_slow", "3s", "-1s")) ==
-        "s.toml:35:9: 'fault[0].lasts': expected a time, as \"2s\", or the least and the most, as [\"1s\", "
-        "\"3s\"], "
+        "s.toml:35:9: 'fault[0].lasts': expected a duration, such as \"2s\", or a minimum and a maximum, "
+        "such as [\"1s\", \"3s\"], "
         "found '-1s'");
   CHECK(complaint(kPlain + "[[fault]]\nkind=\"host_slow\"\nfrom=[\"3s\",\"2s\"]\n") != "");
   CHECK(complaint(kPlain + fault("host_slow", "7s", "1s")) != "");  // after all is over
@@ -318,7 +318,7 @@
     std::string both = text;
     both.insert(line, fmt::format("{} = {}\n", oldName, value));
     CHECK(complaint(both).ends_with(
-        fmt::format("'{}' stands beside '{}', which is its new name", oldKey, newKey)));
+        fmt::format("'{}' and its new name '{}' are both set", oldKey, newKey)));
   }
 }
 
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -13,9 +13,9 @@
 
 const std::string kPostRequest =
     "POST /book?x=1 HTTP/1.1\r\nHost: h\r\nReq-Id:  ab \r\nContent-Length: 5\r\n\r\nhello";
-const std::string kChunkedAnswer =
+const std::string kChunkedResponse =
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\nhel\r\n2\r\nlo\r\n0\r\nX: y\r\n\r\n";
-const std::string kInterimAnswer =
+const std::string kInterimResponse =
     "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 
 // What is read of a text that arrives in parts which end at the given offsets; the buffer moves each time.
@@ -55,8 +55,8 @@
 TEST_CASE("a message is read the same wherever the buffer is split") {
   const auto [kind, text] = GENERATE(table<Kind, std::string>({{Kind::request, kPostRequest},
                                                                {Kind::request, "\r\n" + kPostRequest},
-                                                               {Kind::response, kChunkedAnswer},
-                                                               {Kind::response, kInterimAnswer}}));
+                                                               {Kind::response, kChunkedResponse},
+                                                               {Kind::response, kInterimResponse}}));
   const std::string withNext = text + "GET";  // bytes of the next message
   for (std::size_t first = 0; first <= text.size(); ++first)
     for (std::size_t second = first; second <= text.size(); ++second) {
@@ -125,7 +125,7 @@
 TEST_CASE("a message with random bytes is read the same in one part and in two") {
   const auto seed = GENERATE(range(0u, 60u));
   std::ranlux24_base random(seed);
-  const std::string base = seed % 2 ? kPostRequest : kChunkedAnswer;
+  const std::string base = seed % 2 ? kPostRequest : kChunkedResponse;
   for (int round = 0; round < 200; ++round) {
     std::string text = base;
     for (int count = 0; count < 3; ++count) text[random() % text.size()] = static_cast<char>(random());
--- a/tests/json_stream_splitter_test.cpp
+++ b/tests/json_stream_splitter_test.cpp
@@ -13,68 +13,68 @@
     "{\r\n  \"generation\" : 44,\n\n  \"note\": \"a } \\\" { ] \\\\\",\n  \"instances\": [\n"
     "    { \"cell\": -1.5e+3, \"on\": true, \"off\": null, \"in\": [[], {}, [1, 2]] },\n    {}\n  ]\n}";
 
-/// The objects of a text that comes in parts, and the state of the splitter after it.
-struct Read {
+/// The objects found in a text that arrives in parts, and the splitter's state after the last part.
+struct SplitStream {
   std::vector<std::string> objects;
-  bool bad = false;
-  bool begun = false;
+  bool invalid = false;
+  bool insideObject = false;
 
-  explicit Read(const std::vector<std::string>& parts) {
+  explicit SplitStream(const std::vector<std::string>& parts) {
     JsonStreamSplitter splitter;
-    std::string held;
+    std::string buffer;
     for (const std::string& part : parts) {
-      held += part;
+      buffer += part;
       for (auto end = JsonStreamSplitter::Result::object;
-           end == JsonStreamSplitter::Result::object && !bad;) {
-        end = splitter.scan(held);
-        bad = end == JsonStreamSplitter::Result::invalid;
+           end == JsonStreamSplitter::Result::object && !invalid;) {
+        end = splitter.scan(buffer);
+        invalid = end == JsonStreamSplitter::Result::invalid;
         if (end == JsonStreamSplitter::Result::object)
           objects.push_back(
-              held.substr(splitter.objectStart(), splitter.position() - splitter.objectStart()));
+              buffer.substr(splitter.objectStart(), splitter.position() - splitter.objectStart()));
         const std::size_t done = splitter.insideObject() ? splitter.objectStart() : splitter.position();
-        held.erase(0, done);
+        buffer.erase(0, done);
         splitter.prefixRemoved(done);
       }
     }
-    begun = splitter.insideObject();
+    insideObject = splitter.insideObject();
   }
 };
 
 }  // namespace
 
-TEST_CASE("objects are found wherever the stream is cut, on lines of their own or indented") {
+TEST_CASE("objects on one line or on several are found, wherever the stream is split") {
   const std::string text = std::string("\n\r\n") + kPlain + "\n\n" + kIndented + kPlain + "\n";
-  const std::vector<std::string> wanted{kPlain, kIndented, kPlain};
+  const std::vector<std::string> expected{kPlain, kIndented, kPlain};
   for (std::size_t cut = 0; cut <= text.size(); ++cut)
-    CHECK(Read({text.substr(0, cut), text.substr(cut)}).objects == wanted);
+    CHECK(SplitStream({text.substr(0, cut), text.substr(cut)}).objects == expected);
   std::vector<std::string> bytes;
   for (const char byte : text) bytes.emplace_back(1, byte);
-  CHECK(Read(bytes).objects == wanted);
+  CHECK(SplitStream(bytes).objects == expected);
 }
 
-TEST_CASE("an object that is cut short is bad as soon as the next one begins, wherever it was cut") {
+TEST_CASE("a truncated object is invalid as soon as the next one begins, wherever it was truncated") {
   const std::string whole = kPlain;
   for (std::size_t cut = 1; cut < whole.size(); ++cut) {
-    const Read read({whole.substr(0, cut) + "\n", whole + "\n", whole + "\n"});
-    // In an array, the next list could be one more entry; what follows it could not.
+    const SplitStream split({whole.substr(0, cut) + "\n", whole + "\n", whole + "\n"});
+    // Cut inside an array, the next object is a valid entry of that array; the one after it is not.
     INFO(whole.substr(0, cut));
-    CHECK(read.bad);
-    CHECK(read.objects.empty());
+    CHECK(split.invalid);
+    CHECK(split.objects.empty());
   }
 }
 
-TEST_CASE("a byte that cannot stand in an object is bad at once") {
+TEST_CASE("a byte that is not allowed in an object is invalid at once") {
   const std::string text =
       GENERATE(as<std::string>(), "x", "[", "1", "\"", "}", "{]", "{,", "{1", "{:", "{\"a\",", "{\"a\"}",
                "{\"a\"\"", "{\"a\":}", "{\"a\":,", "{\"a\":1 2", "{\"a\":1\"", "{\"a\":1:", "{\"a\":1,}",
                "{\"a\":[1,]", "{\"a\":[}", "{\"a\":{]", "{\"a\n", "{\"a\":T", "{\"a\":[1}", "{{");
-  CHECK(Read({text}).bad);
-  const Read deep({"{\"a\":" + std::string(100'000, '[')});
-  CHECK(deep.bad);
+  CHECK(SplitStream({text}).invalid);
+  const SplitStream deep({"{\"a\":" + std::string(100'000, '[')});
+  CHECK(deep.invalid);
 }
 
-TEST_CASE("heartbeats between objects belong to none, and an object that has begun is reported as such") {
-  CHECK_FALSE(Read({"\n", " \r\n"}).begun);
-  CHECK(Read({"\n{\"a\""}).begun);
-  CHECK_FALSE(Read({"\n{\"a\"", ":1}"}).begun);
+TEST_CASE("heartbeats between objects belong to no object, and an object that has begun is reported") {
+  CHECK_FALSE(SplitStream({"\n", " \r\n"}).insideObject);
+  CHECK(SplitStream({"\n{\"a\""}).insideObject);
+  CHECK_FALSE(SplitStream({"\n{\"a\"", ":1}"}).insideObject);
 }
--- a/tests/net/gateway_config_test.cpp
+++ b/tests/net/gateway_config_test.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// The gateway's configuration as the server reads it: defaults, out-of-range values and the fields that
-/// errors name.
+/// The platform's configuration as the server reads it: defaults, out-of-range values, and the fields named
+/// in errors.
 #include <catch2/catch.hpp>
 #include <stdexcept>
 
@@ -22,7 +22,8 @@
   CHECK(config.drainGrace == 250ms);
 }
 
-TEST_CASE("A configuration without plans gets one, and a start time out of range is read as long ago") {
+TEST_CASE(
+    "A configuration without plans gets a default plan, and a start time out of range is read as unknown") {
   GatewayUnderTest gateway;
   std::string text = gateway.configText("");
   const auto plansBegin = text.find("\"tariffs\"");
--- a/tests/process_log_test.cpp
+++ b/tests/process_log_test.cpp
@@ -64,7 +64,7 @@
   CHECK(status == 2);
   CHECK_THAT(text,
              Catch::Contains("error: operator_config_invalid: operator configuration is invalid error="));
-  CHECK_THAT(text, Catch::Contains("own.toml:2:1: 'log.levle' is not known here"));
+  CHECK_THAT(text, Catch::Contains("own.toml:2:1: unknown key 'log.levle'"));
   CHECK(countOf(text, "error: ") == 1);
 }
 
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -219,10 +219,10 @@
   };
   auto [text, status] = checked("[log]\nform = \"json\"\n[end]\nstill_coming = \"1s\"\n");
   CHECK(status == 0);
-  CHECK(text.find("configuration: fit: 1 hosts known, 3 methods") != std::string::npos);
+  CHECK(text.find("configuration: valid: 1 hosts known, 3 methods") != std::string::npos);
   std::tie(text, status) = checked("[log]\nlevle = \"info\"\n");
   CHECK(status == 2);
-  CHECK(text.find("own.toml:2:1: 'log.levle' is not known here") != std::string::npos);
+  CHECK(text.find("own.toml:2:1: unknown key 'log.levle'") != std::string::npos);
   std::tie(text, status) = checked("[log]\nlevel = 3\n");
   CHECK(text.find("own.toml:2:9: 'log.level': expected one of debug, info, warning, error, found 3") !=
         std::string::npos);
