--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -18,7 +18,7 @@
 const std::string kInterimResponse =
     "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 
-// What is read of a text that arrives in parts which end at the given offsets; the buffer moves each time.
+// What the parser reports at the end.
 struct ParseResult {
   Stage stage = Stage::head;
   int errorStatus = 0;
@@ -28,6 +28,8 @@
   std::string requestId;
   std::string body;
 };
+
+// Reads a text that arrives in parts, which end at the given offsets. The buffer moves after each part.
 ParseResult read(Kind kind, const std::string& text, const std::vector<std::size_t>& ends) {
   Message message(kind);
   std::string bytes;
@@ -71,7 +73,7 @@
   CHECK(read(kind, withNext, everyByte).body == "hello");
 }
 
-TEST_CASE("a malformed message is refused with its status code, wherever the buffer is split") {
+TEST_CASE("a malformed message is rejected with its status code, wherever the buffer is split") {
   const std::string line = "GET / HTTP/1.1\r\n";
   const std::string chunked = line + "Transfer-Encoding: chunked\r\n\r\n";
   const auto [text, status] = GENERATE_COPY(table<std::string, int>({
@@ -113,7 +115,7 @@
   }
 }
 
-TEST_CASE("too many header fields and too much chunk framing round a short body are refused") {
+TEST_CASE("too many header fields and too much chunk framing around a short body are rejected") {
   std::string manyFields = "GET / HTTP/1.1\r\n";
   std::string muchFraming = "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (int count = 0; count < 200; ++count) manyFields += "a: b\r\n";
@@ -122,7 +124,7 @@
   CHECK(read(Kind::request, muchFraming, {muchFraming.size()}).errorStatus == 413);
 }
 
-TEST_CASE("a message with random bytes is read the same in one part and in two") {
+TEST_CASE("a message with random bytes is read the same in one part as in two") {
   const auto seed = GENERATE(range(0u, 60u));
   std::ranlux24_base random(seed);
   const std::string base = seed % 2 ? kPostRequest : kChunkedResponse;
@@ -152,7 +154,7 @@
   CHECK(other.peerClosed() == Stage::body);
 }
 
-TEST_CASE("a message keeps its connection alive or not by its version and Connection field") {
+TEST_CASE("the version and the Connection field decide whether the connection is kept alive") {
   const auto [text, keepsAlive] = GENERATE(table<std::string, bool>({
       {"GET / HTTP/1.1\r\n\r\n", true},
       {"GET / HTTP/1.1\r\nConnection: x, Close\r\n\r\n", false},
@@ -165,7 +167,7 @@
   CHECK(message.keepsAlive() == keepsAlive);
 }
 
-TEST_CASE("Buffer keeps its bytes while it grows, moves and is cut") {
+TEST_CASE("Buffer holds the expected bytes after appends, moves and removals") {
   net::Buffer buffer;
   std::string model;
   std::ranlux24_base random(7);
--- a/tests/process_log_test.cpp
+++ b/tests/process_log_test.cpp
@@ -1,5 +1,4 @@
-// The log lines of the program itself: each case makes the program write events that docs/on-call.md
-// describes.
+// The program's log lines: each test makes the program log events that docs/on-call.md describes.
 #include "program.hpp"
 
 using namespace merlinbridge;
@@ -11,13 +10,13 @@
   return program.file("own.toml", "[log]\nlevel = \"debug\"\n");
 }
 
-/// Whether the log holds all of these lines' beginnings, each after the one before.
-bool holdsInOrder(const std::string& log, const std::vector<std::string>& lines) {
+/// Whether the log contains all of these texts, in this order.
+bool containsInOrder(const std::string& log, const std::vector<std::string>& parts) {
   std::size_t from = 0;
-  for (const std::string& line : lines) {
-    const std::size_t found = log.find(line, from);
+  for (const std::string& part : parts) {
+    const std::size_t found = log.find(part, from);
     if (found == std::string::npos) return false;
-    from = found + line.size();
+    from = found + part.size();
   }
   return true;
 }
@@ -39,9 +38,9 @@
   INFO(log);
   CHECK(log.starts_with("info: starting: configuration read, about to listen gateway=n0 listen=127.0.0.1:" +
                         std::to_string(program.listenPort) + " known_hosts=1\n"));
-  CHECK(holdsInOrder(log, {"info: ready: accepting clients\n", "info: draining: graceful shutdown",
-                           "info: closing_idle_connections: closing idle client connections",
-                           "unanswered_requests=0\n", "info: stopped: shutdown complete\n"}));
+  CHECK(containsInOrder(log, {"info: ready: accepting clients\n", "info: draining: graceful shutdown",
+                              "info: closing_idle_connections: closing idle client connections",
+                              "unanswered_requests=0\n", "info: stopped: shutdown complete\n"}));
 }
 
 TEST_CASE("a start that fails logs one error event and exits with 1 or 2") {
@@ -84,12 +83,12 @@
   CHECK(countOf(program.log(), "config_rejected") == 1);
 }
 
-TEST_CASE("bad messages of discovery are logged with host or field") {
+TEST_CASE("invalid messages from discovery are logged with host or field") {
   Program program;
   const std::string address = program.host.address();
-  const std::string unfit =
+  const std::string invalidEndpoint =
       replaceOnce(endpointJson(program.host.port, "h1", "in_service"), address, "nowhere");
-  program.start(program.config(unfit), debugLevel(program));
+  program.start(program.config(invalidEndpoint), debugLevel(program));
   std::optional<TestPeer> watch;
   REQUIRE(within([&] { return program.discovery.accept(watch); }));
   watch->send("HTTP/1.1 200 OK\r\n\r\n{\"instances\":[]}\n");
@@ -116,7 +115,7 @@
   host->send(okResponse("one"));
   REQUIRE(within([&] { return client.hasReceived("one"); }));
   client.send(clientRequest("pay", "x"));
-  std::optional<TestPeer> next;  // a request that must not run twice gets a connection of its own
+  std::optional<TestPeer> next;  // a request that must not run twice is sent on a new connection
   REQUIRE(within([&] { return program.host.accept(next); }));
   REQUIRE(within([&] { return next->hasReceived("\r\n\r\nx"); }));
   next->closeWithReset();
@@ -124,7 +123,7 @@
   REQUIRE(program.logHolds("status=502 written=complete\n"));
   const std::string log = program.log();
   INFO(log);
-  CHECK(holdsInOrder(
+  CHECK(containsInOrder(
       log,
       {"debug: attempt_started: attempt started request=", " request_number=", " attempt=0 host=h1\n",
        "debug: attempt_ended: attempt ended request_number=", " attempt=0 host=h1 outcome=ok error=none\n",
@@ -141,7 +140,7 @@
   CHECK(drained.logHolds(" status=429\n"));
 }
 
-TEST_CASE("a client that leaves is logged with what it missed") {
+TEST_CASE("a client that disconnects early is logged with its request") {
   Program program;
   program.start(program.config(), debugLevel(program));
   REQUIRE(program.logHolds("info: ready"));
@@ -156,23 +155,23 @@
                        "request="));
   CHECK(program.logHolds(" seen_as=end_of_stream\n"));
 
-  // Each request is rejected at once; the answers are never read, and fill the connection's buffers.
+  // Each request is rejected at once; the responses are never read, so they fill the connection's buffers.
   Program drained;
   drained.start(drained.config(endpointJson(drained.host.port, "h1", "terminating")));
   REQUIRE(drained.logHolds("info: ready"));
   const std::string request = clientRequest("look");
   std::string many;
   for (int copies = 0; copies < 1000; ++copies) many += request;
-  TestPeer deaf = drained.client();
+  TestPeer neverReads = drained.client();
   std::size_t sent = 0;
   auto lastAccepted = std::chrono::steady_clock::now();
   REQUIRE(within([&] {
-    const std::size_t accepted = deaf.trySend(std::string_view(many).substr(sent % request.size()));
+    const std::size_t accepted = neverReads.trySend(std::string_view(many).substr(sent % request.size()));
     sent += accepted;
     if (accepted > 0) lastAccepted = std::chrono::steady_clock::now();
     return std::chrono::steady_clock::now() - lastAccepted > 300ms;
   }));
-  deaf.closeWithReset();
+  neverReads.closeWithReset();
   CHECK(
       drained.logHolds("info: response_incomplete: connection closed before the response was written "
                        "completely request=00ff error="));
@@ -193,14 +192,14 @@
 TEST_CASE("lines that standard error does not accept are counted in the next line") {
   int ends[2] = {-1, -1};
   REQUIRE(::pipe2(ends, O_CLOEXEC | O_NONBLOCK) == 0);
-  const std::string filling(4096, '.');
-  while (::write(ends[1], filling.data(), filling.size()) > 0) {
+  const std::string filler(4096, '.');
+  while (::write(ends[1], filler.data(), filler.size()) > 0) {
   }
   Program program;
   program.logDescriptor = ends[1];
   program.start(program.config());
   std::optional<TestPeer> client;
-  REQUIRE(within([&] {  // `starting` and `ready` have not been accepted by then
+  REQUIRE(within([&] {  // by then, the `starting` and `ready` lines have been dropped
     if (!client || client->isClosedByRemote()) client.emplace(program.client());
     client->send("GET /health/ready HTTP/1.1\r\n\r\n");
     return client->hasReceived("HTTP/1.1 200");
@@ -215,9 +214,10 @@
   program.signal(SIGHUP);
   CHECK(within([&] {
     readAll();
-    return holdsInOrder(log, {"warning: log_lines_dropped: log lines dropped, standard error did not accept "
-                              "them count=2\n",
-                              "info: config_reloaded: "});
+    return containsInOrder(log,
+                           {"warning: log_lines_dropped: log lines dropped, standard error did not accept "
+                            "them count=2\n",
+                            "info: config_reloaded: "});
   }));
   ::close(ends[0]);
   ::close(ends[1]);
