--- a/src/config/gateway_config.hpp
+++ b/src/config/gateway_config.hpp
@@ -20,10 +20,10 @@
   std::size_t maxDescriptors = 0;  ///< Limit on open descriptors, over all kinds of connections.
   EndpointList knownEndpoints;     ///< The hosts to use until discovery responds.
   PolicySettings settings;
-  std::vector<std::string> methodNames;   ///< Names by MethodId.
-  std::vector<std::string> planNames;     ///< Names by PlanId.
-  std::vector<std::string> zoneNames;     ///< Names by ZoneId.
-  std::vector<std::string> machineNames;  ///< Names by MachineId.
+  std::vector<std::string> methodNames;   ///< Indexed by MethodId.
+  std::vector<std::string> planNames;     ///< Indexed by PlanId.
+  std::vector<std::string> zoneNames;     ///< Indexed by ZoneId.
+  std::vector<std::string> machineNames;  ///< Indexed by MachineId.
   Duration idleTimeout{};                 ///< Hosts close connections that have been idle this long.
   Duration timerSlack{};                  ///< Timers may fire this much late.
   Duration answerSlack{};                 ///< A response this long after its deadline still counts.
--- a/src/daemon/serve_error.cpp
+++ b/src/daemon/serve_error.cpp
@@ -26,8 +26,7 @@
     throw ServeError(step, ServeFailure::operatorConfig, e.what());
   } catch (const config::ConfigError& e) {
     throw ServeError(step, ServeFailure::platformConfig, e.what());
-  } catch (
-      const std::invalid_argument& e) {  // from net::parseAddress: an invalid address in the platform's file
+  } catch (const std::invalid_argument& e) {  // an invalid address, from net::parseAddress
     throw ServeError(step, ServeFailure::platformConfig, e.what());
   } catch (const std::exception& e) {
     throw ServeError(step, ServeFailure::system, e.what());
--- a/src/http/limits.hpp
+++ b/src/http/limits.hpp
@@ -4,7 +4,7 @@
 
 namespace merlinbridge::http {
 
-/// The largest body of a request or an answer, in bytes after decoding. Specified by the protocol between
+/// The largest body of a request or a response, in bytes after decoding. Specified by the protocol between
 /// clients, gateway and hosts.
 inline constexpr std::size_t kMaxBodyBytes = 64 * 1024;
 /// The largest head of a message, in bytes from the start of the buffer to the empty line that ends the head.
