--- a/src/net/counter/counter_connection.cpp
+++ b/src/net/counter/counter_connection.cpp
@@ -76,7 +76,7 @@
 // closed.
 bool CounterConnection::readResponse() {
   const auto stage = responseMessage_.advance(buffer_.data(), received());
-  if (stage == http::Message::Stage::bad || calls_.empty()) {
+  if (stage == http::Message::Stage::invalid || calls_.empty()) {
     onClosed();
     return false;
   }
--- a/src/net/discovery/poll_connection.cpp
+++ b/src/net/discovery/poll_connection.cpp
@@ -20,7 +20,7 @@
 
 void PollConnection::onData() {
   const auto stage = response_.advance(buffer_.data(), received());
-  if (stage == http::Message::Stage::bad) return finish(DiscoveryOutcome::failed);
+  if (stage == http::Message::Stage::invalid) return finish(DiscoveryOutcome::failed);
   if (stage != http::Message::Stage::done) return;
   if (response_.status() != kStatusOk) return finish(DiscoveryOutcome::rejected);
   const bool applied = handler_.applyEndpointList(std::string(response_.body()));
--- a/src/net/discovery/watch_connection.cpp
+++ b/src/net/discovery/watch_connection.cpp
@@ -20,16 +20,16 @@
 void WatchConnection::onData() {
   lastReceivedAt_ = loop_.now();
   if (state_ == State::readingHead && !readHead()) return;
-  const http::ChunkedDecoder::End end = decodeBody();
+  const http::ChunkedDecoder::Result end = decodeBody();
   readEndpointLists();
-  if (isUp() && (end != http::ChunkedDecoder::End::more || decodedBytes_ > kMaxEndpointListBytes)) onClosed();
+  if (isUp() && (end != http::ChunkedDecoder::Result::incomplete || decodedBytes_ > kMaxEndpointListBytes)) onClosed();
 }
 
 // Returns true once the head is complete with status 200; the buffer then starts with the body.
 bool WatchConnection::readHead() {
   const auto stage = head_.advance(buffer_.data(), buffer_.size());
   if (stage == http::Message::Stage::head) return false;
-  if (stage == http::Message::Stage::bad || head_.status() != kStatusOk) {
+  if (stage == http::Message::Stage::invalid || head_.status() != kStatusOk) {
     onClosed();
     return false;
   }
@@ -38,10 +38,10 @@
   return true;
 }
 
-http::ChunkedDecoder::End WatchConnection::decodeBody() {
+http::ChunkedDecoder::Result WatchConnection::decodeBody() {
   if (!head_.isChunked()) {
     decodedBytes_ = buffer_.size();
-    return http::ChunkedDecoder::End::more;
+    return http::ChunkedDecoder::Result::incomplete;
   }
   std::size_t raw = decodedBytes_;
   const auto end = chunkedDecoder_.decode(buffer_.data(), decodedBytes_, raw, buffer_.size());
@@ -50,17 +50,17 @@
 }
 
 void WatchConnection::readEndpointLists() {
-  using End = config::JsonStreamSplitter::End;
+  using Result = config::JsonStreamSplitter::Result;
   while (isUp()) {
-    const std::size_t scannedBytesBefore = splitter_.at();
-    const bool wasInObject = splitter_.begun();
-    const End end = splitter_.take(buffer_.view().substr(0, decodedBytes_));
-    if (end == End::bad) return onClosed();
+    const std::size_t scannedBytesBefore = splitter_.position();
+    const bool wasInObject = splitter_.insideObject();
+    const Result end = splitter_.scan(buffer_.view().substr(0, decodedBytes_));
+    if (end == Result::invalid) return onClosed();
     trackObjectProgress(scannedBytesBefore, wasInObject, end);
     std::string list;
-    if (end == End::object) list = buffer_.view().substr(splitter_.from(), splitter_.at() - splitter_.from());
+    if (end == Result::object) list = buffer_.view().substr(splitter_.objectStart(), splitter_.position() - splitter_.objectStart());
     dropCompleteBytes();
-    if (end == End::more) return;
+    if (end == Result::incomplete) return;
     if (!handler_.applyEndpointList(std::move(list))) return onClosed();
   }
 }
@@ -68,8 +68,8 @@
 // Records when an object started. Tells the handler of heartbeats and complete objects, but not of the bytes
 // of an incomplete object.
 void WatchConnection::trackObjectProgress(std::size_t scannedBytesBefore, bool wasInObject,
-                                          config::JsonStreamSplitter::End end) {
-  if (!wasInObject && (splitter_.begun() || end == config::JsonStreamSplitter::End::object))
+                                          config::JsonStreamSplitter::Result end) {
+  if (!wasInObject && (splitter_.insideObject() || end == config::JsonStreamSplitter::Result::object))
     objectStartedAt_ = loop_.now();
   if (completeBytes() > scannedBytesBefore) handler_.watchReceivedData();
 }
@@ -80,7 +80,7 @@
   if (bytes == 0) return;
   buffer_.consume(bytes);
   decodedBytes_ -= bytes;
-  splitter_.dropped(bytes);
+  splitter_.prefixRemoved(bytes);
 }
 
 void WatchConnection::onClosed() {
@@ -89,7 +89,7 @@
 }
 
 bool WatchConnection::expectsMore() const {
-  return state_ == State::readingBody ? splitter_.begun() : head_.hasBegun();
+  return state_ == State::readingBody ? splitter_.insideObject() : head_.hasBegun();
 }
 
 // Discovery sends a heartbeat every kHeartbeatInterval, so a peer that vanished without closing the
@@ -101,7 +101,7 @@
 }
 
 TimePoint WatchConnection::waitStartedAt() const {
-  return splitter_.begun() ? std::min(objectStartedAt_, lastReceivedAt_) : lastReceivedAt_;
+  return splitter_.insideObject() ? std::min(objectStartedAt_, lastReceivedAt_) : lastReceivedAt_;
 }
 
 }  // namespace merlinbridge::net
--- a/src/net/discovery/watch_connection.hpp
+++ b/src/net/discovery/watch_connection.hpp
@@ -32,12 +32,12 @@
 
   TimePoint waitStartedAt() const;
   bool readHead();
-  http::ChunkedDecoder::End decodeBody();
+  http::ChunkedDecoder::Result decodeBody();
   void readEndpointLists();
   void trackObjectProgress(std::size_t scannedBytesBefore, bool wasInObject,
-                           config::JsonStreamSplitter::End end);
+                           config::JsonStreamSplitter::Result end);
   void dropCompleteBytes();
-  std::size_t completeBytes() const { return splitter_.begun() ? splitter_.from() : splitter_.at(); }
+  std::size_t completeBytes() const { return splitter_.insideObject() ? splitter_.objectStart() : splitter_.position(); }
 
   DiscoveryResponseHandler& handler_;
   const Duration connectTimeout_;
