--- a/src/emulator/client_population.cpp
+++ b/src/emulator/client_population.cpp
@@ -166,7 +166,8 @@
 // Whether a client may send a request again that may have been served: it must have no second effect.
 ClientPopulation::Retry ClientPopulation::retryAfterFailure(const ClientRequest& request) const {
   const ScenarioMethod& method = run_.scenario().methods[request.method];
-  const bool deduplicated = method.repeat == Idempotency::deduplicated && method.group == DeduplicationScope::all &&
+  const bool deduplicated = method.repeat == Idempotency::deduplicated &&
+                            method.group == DeduplicationScope::all &&
                             run_.now() < request.startedAt + method.window;
   return method.repeat == Idempotency::idempotent || deduplicated ? Retry::allowed : Retry::forbidden;
 }
--- a/src/emulator/emulated_gateway.cpp
+++ b/src/emulator/emulated_gateway.cpp
@@ -78,8 +78,9 @@
     const TimePoint abandonAt = std::min(request.deadline, answerDeadline_) - slack_;
     const auto sent = transport_.startAttempt(requestId, {0}, client, *host, {abandonAt, TimePoint::max()});
     if (std::holds_alternative<Outcome>(sent)) return transport_.sendRejection(client, Duration{0});
-    requests_[requestId.value] = {client, std::get<SlotRef>(sent),
-                                  settings_.methods[request.method.value].idempotency == Idempotency::idempotent};
+    requests_[requestId.value] = {
+        client, std::get<SlotRef>(sent),
+        settings_.methods[request.method.value].idempotency == Idempotency::idempotent};
     byClient_[client.packed()] = requestId.value;
     deadlines_.add(std::max(now, abandonAt),
                    [this, requestId](TimePoint) { closeAttempt(requestId, Answering::failed); });
--- a/src/emulator/invariant_checker.cpp
+++ b/src/emulator/invariant_checker.cpp
@@ -163,9 +163,10 @@
   // Beside what the table allows: did the same effect really come twice?
   for (const Attempt& attempt : open->attempts) {
     if (!attempt.ran || method.repeat == Idempotency::idempotent) continue;
-    const bool dropped = method.repeat == Idempotency::deduplicated && now < attempt.sentAt + method.window &&
-                         (method.group == DeduplicationScope::all ||
-                          (method.group == DeduplicationScope::zone ? attempt.zone == zone : attempt.cell == cell));
+    const bool dropped =
+        method.repeat == Idempotency::deduplicated && now < attempt.sentAt + method.window &&
+        (method.group == DeduplicationScope::all ||
+         (method.group == DeduplicationScope::zone ? attempt.zone == zone : attempt.cell == cell));
     if (dropped) return;
     ++runsTwice_;
     violation(now, Invariant::duplicate, attemptId, "its effect came twice");
--- a/src/emulator/scenario.hpp
+++ b/src/emulator/scenario.hpp
@@ -57,13 +57,13 @@
 struct ScenarioMethod {
   std::string name;
   Idempotency repeat{};
-  DeduplicationScope group{};        ///< The hosts that discard repeats of a deduplicated request,
-  Duration window{};    ///< and for how long.
-  Duration soft{};      ///< Soft deadline: an answer after it is worth less.
-  Duration deadline{};  ///< How long a client waits.
-  Duration work{};      ///< Mean time of a core for one request.
-  double share = 1;     ///< Weight among the methods.
-  double utility = 1;   ///< Of one unit.
+  DeduplicationScope group{};  ///< The hosts that discard repeats of a deduplicated request,
+  Duration window{};           ///< and for how long.
+  Duration soft{};             ///< Soft deadline: an answer after it is worth less.
+  Duration deadline{};         ///< How long a client waits.
+  Duration work{};             ///< Mean time of a core for one request.
+  double share = 1;            ///< Weight among the methods.
+  double utility = 1;          ///< Of one unit.
 };
 
 /// A plan that customers have.
--- a/src/emulator/scenario_words.hpp
+++ b/src/emulator/scenario_words.hpp
@@ -35,10 +35,12 @@
 });
 inline constexpr std::array kRepeats =
     std::to_array<std::pair<std::string_view, Idempotency>>({{"idempotent", Idempotency::idempotent},
-                                                        {"deduplicated", Idempotency::deduplicated},
-                                                        {"non-idempotent", Idempotency::nonIdempotent}});
-inline constexpr std::array kGroups = std::to_array<std::pair<std::string_view, DeduplicationScope>>(
-    {{"all", DeduplicationScope::all}, {"zone", DeduplicationScope::zone}, {"cell", DeduplicationScope::cell}});
+                                                             {"deduplicated", Idempotency::deduplicated},
+                                                             {"non-idempotent", Idempotency::nonIdempotent}});
+inline constexpr std::array kGroups =
+    std::to_array<std::pair<std::string_view, DeduplicationScope>>({{"all", DeduplicationScope::all},
+                                                                    {"zone", DeduplicationScope::zone},
+                                                                    {"cell", DeduplicationScope::cell}});
 
 /// The name of a value in one of these tables; empty if it has none.
 template <class Value, class Words>
--- a/src/lab/scenario_shrinker.cpp
+++ b/src/lab/scenario_shrinker.cpp
@@ -58,8 +58,8 @@
   void shorten() {
     double lastStart = 0;
     for (const Fault& fault : scenario_.faults) lastStart = std::max(lastStart, fault.from.max);
-    const Duration shorter =
-        std::max({scaled(scenario_.length, 0.5), durationFromSeconds(lastStart + kSecondsAfterLastFault), kMinLength});
+    const Duration shorter = std::max(
+        {scaled(scenario_.length, 0.5), durationFromSeconds(lastStart + kSecondsAfterLastFault), kMinLength});
     if (shorter < scenario_.length) smaller_.emplace_back(scenario_).length = shorter;
   }
   void startFaultsEarlier() {
--- a/src/net/discovery/watch_connection.cpp
+++ b/src/net/discovery/watch_connection.cpp
@@ -22,7 +22,8 @@
   if (state_ == State::readingHead && !readHead()) return;
   const http::ChunkedDecoder::Result end = decodeBody();
   readEndpointLists();
-  if (isUp() && (end != http::ChunkedDecoder::Result::incomplete || decodedBytes_ > kMaxEndpointListBytes)) onClosed();
+  if (isUp() && (end != http::ChunkedDecoder::Result::incomplete || decodedBytes_ > kMaxEndpointListBytes))
+    onClosed();
 }
 
 // Returns true once the head is complete with status 200; the buffer then starts with the body.
@@ -58,7 +59,8 @@
     if (end == Result::invalid) return onClosed();
     trackObjectProgress(scannedBytesBefore, wasInObject, end);
     std::string list;
-    if (end == Result::object) list = buffer_.view().substr(splitter_.objectStart(), splitter_.position() - splitter_.objectStart());
+    if (end == Result::object)
+      list = buffer_.view().substr(splitter_.objectStart(), splitter_.position() - splitter_.objectStart());
     dropCompleteBytes();
     if (end == Result::incomplete) return;
     if (!handler_.applyEndpointList(std::move(list))) return onClosed();
--- a/src/net/discovery/watch_connection.hpp
+++ b/src/net/discovery/watch_connection.hpp
@@ -37,7 +37,9 @@
   void trackObjectProgress(std::size_t scannedBytesBefore, bool wasInObject,
                            config::JsonStreamSplitter::Result end);
   void dropCompleteBytes();
-  std::size_t completeBytes() const { return splitter_.insideObject() ? splitter_.objectStart() : splitter_.position(); }
+  std::size_t completeBytes() const {
+    return splitter_.insideObject() ? splitter_.objectStart() : splitter_.position();
+  }
 
   DiscoveryResponseHandler& handler_;
   const Duration connectTimeout_;
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -40,11 +40,12 @@
     : loop_(loop),
       clients_(loop, parseAddress(config.listenAddress), connectionsPerSide(config.maxDescriptors),
                {config.idleTimeout, config.longestDeadline}),
-      hosts_(loop, connectionsPerSide(config.maxDescriptors), config.idleTimeout, config.settings.connectTimeout),
+      hosts_(loop, connectionsPerSide(config.maxDescriptors), config.idleTimeout,
+             config.settings.connectTimeout),
       counter_(loop, config.counterAddress,
                {config.settings.counterTimeout, config.settings.connectTimeout, config.idleTimeout}),
-      discovery_(loop, config.discoveryAddress, config.knownEndpoints.generation, config.settings.connectTimeout,
-                 config.drainGrace, config.seed),
+      discovery_(loop, config.discoveryAddress, config.knownEndpoints.generation,
+                 config.settings.connectTimeout, config.drainGrace, config.seed),
       core_(config, loop.now(), loop.deadlines, *this) {
   loop_.setCheckInterval(config.settings.connectTimeout / kCheckIntervalDivisor);
   loop_.setRetryPause(config.settings.connectTimeout / kRetryPauseDivisor);
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -317,8 +317,7 @@
 
     std::string both = text;
     both.insert(line, fmt::format("{} = {}\n", oldName, value));
-    CHECK(complaint(both).ends_with(
-        fmt::format("'{}' and its new name '{}' are both set", oldKey, newKey)));
+    CHECK(complaint(both).ends_with(fmt::format("'{}' and its new name '{}' are both set", oldKey, newKey)));
   }
 }
 
