--- a/src/gateway_core/slot_table.hpp
+++ b/src/gateway_core/slot_table.hpp
@@ -8,15 +8,15 @@
 
 namespace merlinbridge::core {
 
-/// Refers to one element of a SlotTable: a numbered slot and the generation of the element in it. A reference
-/// that outlives its element finds nothing, even if the slot has been used again. A default-constructed one
-/// refers to no element.
+/// Refers to an element of a SlotTable by the number of its slot and the element's generation. If the element
+/// has been dropped, the reference is not found, even if the slot has been reused. A default-constructed
+/// reference refers to no element.
 struct SlotRef {
   std::uint32_t slot = 0;
-  std::uint32_t generation = 0;  ///< Counts from 1; 0: no element.
-  /// The reference as one number, for use as an id; 0 only if it refers to no element.
+  std::uint32_t generation = 0;  ///< Counted from 1 for each slot; 0: no element.
+  /// The reference as one number, usable as an id; 0 only if it refers to no element.
   std::uint64_t packed() const { return std::uint64_t{generation} << 32 | slot; }
-  /// The reference that packed() made the number from.
+  /// The reference from which packed() made the number.
   static SlotRef unpacked(std::uint64_t number) {
     return {static_cast<std::uint32_t>(number), static_cast<std::uint32_t>(number >> 32)};
   }
@@ -24,38 +24,38 @@
   bool operator==(const SlotRef&) const = default;
 };
 
-/// A table of elements in numbered slots; owns its elements. An element keeps its address until it is
-/// dropped, while others come and go. Freed slots are used again, the last freed first; memory is kept for
-/// the largest number of elements that there ever were. Not thread-safe.
+/// A table that owns its elements, each in a numbered slot. The address of an element does not change until
+/// it is dropped, whatever other elements are added or dropped. Freed slots are reused, the last freed first.
+/// The table keeps the memory for its largest size so far. Not thread-safe.
 template <class T>
 class SlotTable {
  public:
-  /// Constructs an element from the arguments and returns the reference to it.
+  /// Constructs an element from the arguments and returns a reference to it.
   template <class... Args>
   SlotRef add(Args&&... args) {
     std::uint32_t slot = 0;
     if (freeSlots_.empty()) {
-      slot = static_cast<std::uint32_t>(rows_.size());
-      rows_.emplace_back();
+      slot = static_cast<std::uint32_t>(slots_.size());
+      slots_.emplace_back();
     } else {
       slot = freeSlots_.back();
       freeSlots_.pop_back();
     }
-    Row& row = rows_[slot];
-    row.element.emplace(std::forward<Args>(args)...);
+    Slot& entry = slots_[slot];
+    entry.element.emplace(std::forward<Args>(args)...);
     ++size_;
-    return {slot, ++row.generation};
+    return {slot, ++entry.generation};
   }
-  /// Returns the element, which the table owns, or nullptr if it has been dropped.
+  /// Returns the element, which stays owned by the table, or nullptr if it has been dropped.
   T* find(SlotRef ref) {
-    if (ref.slot >= rows_.size()) return nullptr;
-    Row& row = rows_[ref.slot];
-    return row.element && row.generation == ref.generation ? &*row.element : nullptr;
+    if (ref.slot >= slots_.size()) return nullptr;
+    Slot& entry = slots_[ref.slot];
+    return entry.element && entry.generation == ref.generation ? &*entry.element : nullptr;
   }
-  /// Destroys the element and frees its slot. Has no effect if it has been dropped already.
+  /// Destroys the element and frees its slot. No effect if it has already been dropped.
   void drop(SlotRef ref) {
     if (!find(ref)) return;
-    rows_[ref.slot].element.reset();
+    slots_[ref.slot].element.reset();
     freeSlots_.push_back(ref.slot);
     --size_;
   }
@@ -65,18 +65,18 @@
   /// drop elements.
   template <class Visitor>
   void forEach(Visitor visitor) {
-    for (std::uint32_t slot = 0; slot < rows_.size(); ++slot) {
-      Row& row = rows_[slot];
-      if (row.element) visitor(SlotRef{slot, row.generation}, *row.element);
+    for (std::uint32_t slot = 0; slot < slots_.size(); ++slot) {
+      Slot& entry = slots_[slot];
+      if (entry.element) visitor(SlotRef{slot, entry.generation}, *entry.element);
     }
   }
 
  private:
-  struct Row {
-    std::uint32_t generation = 0;  ///< Of the element here, or of the last one.
+  struct Slot {
+    std::uint32_t generation = 0;  ///< Of the present element or, in a free slot, the previous one.
     std::optional<T> element;
   };
-  std::deque<Row> rows_;
+  std::deque<Slot> slots_;
   std::vector<std::uint32_t> freeSlots_;
   std::size_t size_ = 0;
 };
