--- a/src/util/host_table.hpp
+++ b/src/util/host_table.hpp
@@ -30,7 +30,7 @@
 
   /// Whether each of two hosts recognizes repeats of requests sent to the other, for a method with this
   /// group.
-  bool inSameDeduplicationScope(Group scope, HostId first, HostId second) const;
+  bool inSameDeduplicationScope(DeduplicationScope scope, HostId first, HostId second) const;
 
  private:
   /// Extends the arrays to `size` hosts if they are shorter.
--- a/tests/policy/policy_fixture.hpp
+++ b/tests/policy/policy_fixture.hpp
@@ -7,13 +7,13 @@
 #include "policy/engine_context.hpp"
 #include "util/host_table.hpp"
 
-/// What the tests of single policy classes share: a clock set by hand, a seeded random source, a sink that
-/// records what it is asked for, and settings, requests and results to start from.
+/// Shared by the tests of single policy classes: a clock that the test advances, a seeded random source, a
+/// sink that records its calls, and functions that create settings, requests and results.
 namespace merlinbridge::policy::testing {
 
 using namespace std::chrono_literals;
 
-/// Records what the engine or one of its parts asks for; answers nothing.
+/// Records the calls of the engine or one of its components; does not respond to them.
 struct RecordingSink final : DecisionSink {
   struct CounterCall {
     CounterKey key;
@@ -29,7 +29,7 @@
   void reject(RequestId, Duration) override { ++rejected; }
   void fail(RequestId) override { ++failed; }
   void addToCounter(const CounterKey& key, double units, Duration) override { calls.push_back({key, units}); }
-  void wakeAt(TimePoint at, TimerId id) override { timers.push_back({at, id}); }
+  void setTimer(TimePoint at, TimerId id) override { timers.push_back({at, id}); }
   void report(EngineEvent event) override { events.push_back(event); }
 
   std::vector<HostId> attempts;
@@ -41,13 +41,14 @@
   int failed = 0;
 };
 
-/// One method of each kind, and a plan with a quota, one with a concurrency limit, one with a ceiling.
-inline PolicySettings someSettings(std::uint32_t gateways = 1) {
+/// Methods: idempotent, deduplicated by all hosts, deduplicated within a zone, non-idempotent. Plans: with a
+/// quota, with a concurrency limit, with a quota and a hard ceiling.
+inline PolicySettings makeSettings(std::uint32_t gateways = 1) {
   PolicySettings settings;
-  settings.methods = {{Repeat::idempotent, Group::all, 0ns, 500ms, 1},
-                      {Repeat::deduplicated, Group::all, 2s, 500ms, 4},
-                      {Repeat::deduplicated, Group::zone, 100ms, 500ms, 2},
-                      {Repeat::nonIdempotent, Group::all, 2s, 500ms, 3}};
+  settings.methods = {{Idempotency::idempotent, DeduplicationScope::all, 0ns, 500ms, 1},
+                      {Idempotency::deduplicated, DeduplicationScope::all, 2s, 500ms, 4},
+                      {Idempotency::deduplicated, DeduplicationScope::zone, 100ms, 500ms, 2},
+                      {Idempotency::nonIdempotent, DeduplicationScope::all, 2s, 500ms, 3}};
   settings.plans = {{4, 12, 0, 0, 0, 0, 1}, {0, 0, 2, 0, 0, 0, 1}, {20, 30, 0, 40, 60, 8, 1.5}};
   settings.gateways = gateways;
   settings.hasCounter = true;
@@ -67,12 +68,12 @@
 /// Start of the gateway process.
 inline constexpr TimePoint kStart{1000s};
 
-/// The context of the part that is tested, with its time set by hand.
+/// The context of the tested component. The test advances its time.
 struct Fixture {
-  explicit Fixture(const PolicySettings& settings = someSettings()) : context(settings, 7, kStart, sink) {}
+  explicit Fixture(const PolicySettings& settings = makeSettings()) : context(settings, 7, kStart, sink) {}
 
-  void pass(Duration time) { context.now += time; }
-  /// Fires the timers that are due, in the order in which they were set.
+  void advanceTime(Duration duration) { context.now += duration; }
+  /// Fires the due timers, in the order in which they were set.
   void fireTimers() {
     const auto due = std::exchange(sink.timers, {});
     for (const auto& timer : due) {
@@ -97,7 +98,7 @@
   return update;
 }
 
-inline Request someRequest(std::uint32_t method = 0, std::uint32_t plan = 0, double units = 1) {
+inline Request makeRequest(std::uint32_t method = 0, std::uint32_t plan = 0, double units = 1) {
   Request request;
   request.requestId = {1};
   request.customer = {5};
@@ -108,7 +109,7 @@
   return request;
 }
 
-inline AttemptResult someResult(std::uint32_t host, Outcome outcome, Duration duration = 20ms) {
+inline AttemptResult makeResult(std::uint32_t host, Outcome outcome, Duration duration = 20ms) {
   AttemptResult result;
   result.requestId = {1};
   result.host = {host};
