--- a/src/net/discovery/discovery_client.hpp
+++ b/src/net/discovery/discovery_client.hpp
@@ -4,52 +4,52 @@
 #include <string>
 
 #include "gateway_core/gateway_core.hpp"
-#include "net/discovery/discovery_response_owner.hpp"
+#include "net/discovery/discovery_response_handler.hpp"
 #include "net/discovery/discovery_schedule.hpp"
 
 namespace merlinbridge::net {
 
-/// The client of discovery: keeps the core's endpoint list up to date. It holds a watch open from the last
-/// generation that it knows; while discovery rejects watches, it polls whole lists, and asks for a watch
-/// again after every few polls. At most one request is open at a time. All functions run on the event loop's
-/// strand.
-class DiscoveryClient final : private DiscoveryResponseOwner {
+/// Client of discovery: keeps the core's endpoint list up to date. Holds a watch open that delivers all
+/// changes after the last applied generation. While discovery rejects watches, the client polls complete
+/// lists and retries the watch after a few polls. At most one request is open at a time. All functions run on
+/// the event loop's strand.
+class DiscoveryClient final : private DiscoveryResponseHandler {
  public:
-  /// `address`: "host:port". `generation`: of the endpoint list that the core has already. `drainGrace` and
-  /// `seed`: see DiscoverySchedule. Throws std::invalid_argument.
+  /// `address`: "host:port". `generation`: that of the core's initial endpoint list. `drainGrace` and `seed`:
+  /// see DiscoverySchedule. Throws std::invalid_argument if the address cannot be parsed.
   DiscoveryClient(EventLoop&, std::string address, std::uint64_t generation, Duration connectTimeout,
                   Duration drainGrace, std::uint64_t seed);
 
-  /// Sends the first request. The core outlives the client.
-  void serve(core::GatewayCore& core);
-  /// Closes the present request and asks this address at once for all changes since the last generation. Has
-  /// no effect if the address is the present one and a request to it is open. Throws std::invalid_argument,
-  /// and then nothing has changed.
+  /// Sends the first request. Endpoint lists go to `core`, which must outlive the client.
+  void start(core::GatewayCore& core);
+  /// Closes the open request and immediately sends a watch request to this address, for all changes after the
+  /// last applied generation. No effect if the address is the current one and a request to it is open. Throws
+  /// std::invalid_argument if the address cannot be parsed, and then changes nothing.
   void setAddress(const std::string& address);
 
  private:
   enum class Reachability { reachable, unreachable };
 
   bool applyEndpointList(std::string json) override;
-  void watchHeard() override { discoveryHeard(); }
+  void watchReceivedData() override { markReachable(); }
   void requestEnded(SlotRef connection, DiscoveryOutcome) override;
 
   void sendRequest();
   Connection& openConnection();
   std::string requestMessage(std::string_view query) const;
-  void discoveryHeard();
+  void markReachable();
   void scheduleRequest(DiscoveryOutcome);
 
   EventLoop& loop_;
   core::GatewayCore* core_ = nullptr;
   std::string address_;
-  SocketAddress peer_;
-  std::uint64_t generation_;  ///< Of the last endpoint list applied.
+  SocketAddress peerAddress_;
+  std::uint64_t generation_;  ///< Of the last applied endpoint list.
   const Duration connectTimeout_;
   DiscoverySchedule schedule_;
   Reachability reachability_ = Reachability::reachable;
-  SlotRef openRequest_{};                      ///< Its connection; empty between requests.
-  core::DeadlineQueue::Handle nextRequest_{};  ///< Between requests.
+  SlotRef requestConnection_{};  ///< Connection of the open request; empty between requests.
+  core::DeadlineQueue::Handle nextRequestTimer_{};  ///< Sends the next request; empty while one is open.
 };
 
 }  // namespace merlinbridge::net
--- /dev/null
+++ b/src/net/discovery/discovery_response_handler.hpp
@@ -0,0 +1,30 @@
+#pragma once
+
+#include <cstddef>
+#include <string>
+
+#include "net/discovery/discovery_schedule.hpp"
+#include "net/event_loop.hpp"
+
+namespace merlinbridge::net {
+
+/// Upper bound on the size of an endpoint list, enough for several thousand hosts in indented JSON.
+inline constexpr std::size_t kMaxEndpointListBytes = 2 * 1024 * 1024;
+
+/// Receives what PollConnection and WatchConnection read. All functions run on the event loop's strand. The
+/// implementation must outlive the connections.
+class DiscoveryResponseHandler {
+ public:
+  virtual ~DiscoveryResponseHandler() = default;
+  /// Applies a complete endpoint list or a change to it. `json`: one complete JSON object. Returns false if
+  /// it cannot be parsed; the connection then ends its request as `failed`.
+  virtual bool applyEndpointList(std::string json) = 0;
+  /// The watch has received a heartbeat or a complete object. Not called for the bytes of an incomplete
+  /// object.
+  virtual void watchReceivedData() = 0;
+  /// The request on this connection has ended; the handler closes the connection. Ignored for a connection
+  /// whose request has ended before.
+  virtual void requestEnded(SlotRef connection, DiscoveryOutcome) = 0;
+};
+
+}  // namespace merlinbridge::net
--- a/src/net/discovery/watch_connection.hpp
+++ b/src/net/discovery/watch_connection.hpp
@@ -7,22 +7,23 @@
 #include "http/chunked_decoder.hpp"
 #include "http/message.hpp"
 #include "net/connection.hpp"
-#include "net/discovery/discovery_response_owner.hpp"
+#include "net/discovery/discovery_response_handler.hpp"
 
 namespace merlinbridge::net {
 
-/// One watch: a request to discovery whose response does not end. Its body is a JSON object for each change,
-/// and an empty line as a heartbeat. The watch ends as failed when no byte comes for a heartbeat interval and
-/// a connect timeout, or when an object takes longer than that. The event loop owns the connection.
+/// One watch: a request to discovery whose response stays open. The body has a JSON object for each change
+/// and an empty line for each heartbeat. The watch ends as `failed` if no byte is received, or an object
+/// stays incomplete, for longer than a heartbeat interval plus the connect timeout. The event loop owns the
+/// connection.
 class WatchConnection final : public Connection {
  public:
   /// `message`: the whole HTTP request, written once the connection is up.
-  WatchConnection(EventLoop&, DiscoveryResponseOwner&, Duration connectTimeout, std::string_view message);
+  WatchConnection(EventLoop&, DiscoveryResponseHandler&, Duration connectTimeout, std::string_view message);
 
  private:
   enum class State { readingHead, readingBody };
 
-  void onConnected() override { lastHeardAt_ = loop_.now(); }
+  void onConnected() override { lastReceivedAt_ = loop_.now(); }
   void onData() override;
   void onClosed() override;
   bool expectsMore() const override;
@@ -33,19 +34,21 @@
   bool readHead();
   http::ChunkedDecoder::End decodeBody();
   void readEndpointLists();
-  void trackObject(std::size_t splitBefore, bool begunBefore, config::JsonStreamSplitter::End end);
-  void dropSplit();
-  std::size_t splitBytes() const { return splitter_.begun() ? splitter_.from() : splitter_.at(); }
+  void trackObjectProgress(std::size_t scannedBytesBefore, bool wasInObject,
+                           config::JsonStreamSplitter::End end);
+  void dropCompleteBytes();
+  std::size_t completeBytes() const { return splitter_.begun() ? splitter_.from() : splitter_.at(); }
 
-  DiscoveryResponseOwner& owner_;
+  DiscoveryResponseHandler& handler_;
   const Duration connectTimeout_;
   State state_ = State::readingHead;
   http::Message head_{http::Message::Kind::response, http::Message::Body::streamed};
-  http::ChunkedDecoder chunks_;
-  std::size_t decodedBytes_ = 0;  ///< Of the body, at the front of the buffer.
+  http::ChunkedDecoder chunkedDecoder_;
+  std::size_t decodedBytes_ = 0;  ///< Bytes of the decoded body at the front of the buffer.
   config::JsonStreamSplitter splitter_;
-  TimePoint lastHeardAt_;      ///< Last byte received; before, when the connection was made or came up.
-  TimePoint objectBegunAt_{};  ///< While an object is incomplete.
+  TimePoint lastReceivedAt_;  ///< When the last byte was received; before, when the connection was created or
+                              ///< came up.
+  TimePoint objectStartedAt_{};  ///< Valid while an object is incomplete.
 };
 
 }  // namespace merlinbridge::net
