--- a/src/net/forwarded_request.cpp
+++ b/src/net/forwarded_request.cpp
@@ -12,8 +12,7 @@
 namespace merlinbridge::net {
 namespace {
 
-// Fields that are not forwarded: those that concern one connection only (hop-by-hop), and those that the
-// gateway writes itself.
+// Fields that are not forwarded: hop-by-hop fields, and those that the gateway sets itself.
 constexpr std::array kFieldsNotForwarded{kHostField,
                                          kConnectionField,
                                          kContentLengthField,
@@ -26,7 +25,7 @@
                                          std::string_view("Expect"),
                                          std::string_view("Proxy-Connection")};
 
-// `connectionField`: the request's Connection field, which lists further hop-by-hop fields.
+// `connectionField` is the value of the request's Connection field, which lists additional hop-by-hop fields.
 bool isForwarded(std::string_view name, std::string_view connectionField) {
   const auto isSame = [name](std::string_view other) { return http::equalsIgnoringCase(name, other); };
   return std::none_of(kFieldsNotForwarded.begin(), kFieldsNotForwarded.end(), isSame) &&
@@ -41,8 +40,8 @@
   fmt::format_to(std::back_inserter(message), FMT_COMPILE("{} {} HTTP/1.1\r\nHost: {}{}{}\r\n"),
                  request.method(), request.target(), hostAddress, kDeadlineLine, millisecondsLeft(timeLeft));
   const std::string_view connectionField = request.get(kConnectionField);
-  for (std::size_t at = 0; at < request.fieldCount(); ++at) {
-    const auto [name, value] = request.field(at);
+  for (std::size_t index = 0; index < request.fieldCount(); ++index) {
+    const auto [name, value] = request.field(index);
     if (isForwarded(name, connectionField)) message.append(name).append(": ").append(value).append("\r\n");
   }
   if (!request.body().empty() || request.method() != "GET")
--- a/src/net/stream_writer.cpp
+++ b/src/net/stream_writer.cpp
@@ -9,10 +9,10 @@
 WriteEvent StreamWriter::send(std::initializer_list<std::string_view> parts) {
   std::size_t written = 0;
   if (socket_.isUp() && unsent_ == 0) {
-    SendParts atOnce{};
-    std::copy(parts.begin(), parts.end(), atOnce.begin());
+    SendParts partArray{};
+    std::copy(parts.begin(), parts.end(), partArray.begin());
     socket_.ensureNoDelay();
-    const CallResult sent = net::send(socket_.descriptor(), atOnce);
+    const CallResult sent = net::send(socket_.descriptor(), partArray);
     socket_.recordResult(SystemCall::send, sent);
     if (sent.status == CallStatus::broken) return WriteEvent::failed;
     written = sent.bytes;
@@ -63,13 +63,13 @@
       if (lastStatus_ == CallStatus::broken) return WriteEvent::failed;
     } while (unsent_ > 0);
   }
-  // A yield leaves the block above, too: only a completed coroutine has written all.
+  // A yield also reaches this point; everything has been written only if the coroutine is complete.
   const bool completed = coroutine_.is_complete() && socket_.isUp() && std::exchange(waiting_, false);
   return completed ? WriteEvent::allWritten : WriteEvent::none;
 }
 
-// Writes until all is written or the socket takes no more. Returns the status of the last call, or `broken`
-// if nothing may be written any more.
+// Writes until everything is written or the socket accepts no more. Returns the status of the last call, or
+// `broken` if mayWrite() forbids writing.
 CallStatus StreamWriter::writeUnsent() {
   if (!callbacks_.mayWrite()) return CallStatus::broken;
   callbacks_.beforeWritingUnsent();
