--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -6,18 +6,20 @@
 namespace merlinbridge::daemon {
 namespace {
 
-// Part of OperatorConfig::killedAfter: what is left at its end for writing the last answers.
+// The end of OperatorConfig::killedAfter, reserved for writing the last responses.
 constexpr Duration kWriteReserve = std::chrono::milliseconds(150);
-// Part of kWriteReserve: for so long a client may read its last answer and close before it is closed as idle.
-constexpr Duration kClientCloseTime = kWriteReserve / 3;
-// Between two looks at whether the shutdown is complete.
+// Part of kWriteReserve: a client has this long to read its last response and to close the connection before
+// the gateway closes it as idle.
+constexpr Duration kClientCloseTimeout = kWriteReserve / 3;
+// Interval between checks of whether the shutdown is complete.
 constexpr Duration kShutdownCheckInterval = kWriteReserve / 20;
-// After so long without traffic the process stops with client connections open.
-constexpr Duration kNoTrafficTime = 2 * kWriteReserve;
-// A file that cannot be read may be half written: it is read again after so long, each wait twice the one
-// before. All retries are over well before the change counts as notified.
+// After this long without traffic, the process stops even if client connections are open.
+constexpr Duration kNoTrafficTimeout = 2 * kWriteReserve;
+// A file that cannot be read may be half written, so it is read again after this delay, which doubles with
+// each retry. All retries end well before the platform considers the change delivered.
 constexpr Duration kFirstReloadRetry = std::chrono::milliseconds(50);
-// The least time between two lines config_rejected; rejections between them are config_retry_failed.
+// Minimum interval between two config_rejected log lines; rejections in between are logged as
+// config_retry_failed.
 constexpr Duration kReloadWarningInterval = std::chrono::seconds(10);
 
 constexpr Duration reloadRetryDelay(int retry) {
@@ -33,7 +35,7 @@
       log_(log),
       loop_(log, clock_),
       signals_(signals),
-      server_(loop_, readAtStart()) {}
+      server_(loop_, readInitialConfig()) {}
 
 Daemon::~Daemon() {
   signals_.stopDelivery();
@@ -45,16 +47,16 @@
   loop_.endTurn();
   loop_.run([this] {
     server_.recoverMissedReadiness();
-    signals_.check();
+    signals_.deliverPending();
   });
 }
 
-config::GatewayConfig Daemon::readAtStart() {
+config::GatewayConfig Daemon::readInitialConfig() {
   config::GatewayConfig config = sources_.readPlatform();
-  loop_.setTimerCoalescing(config.step);
+  loop_.setTimerCoalescing(config.timerSlack);
   longestDeadline_ = config.longestDeadline;
-  log_(LogEvent::starting, LogField{"gateway", config.name}, LogField{"listen", config.listen},
-       LogField{"known_hosts", config.known.entries.size()});
+  log_(LogEvent::starting, LogField{"gateway", config.name}, LogField{"listen", config.listenAddress},
+       LogField{"known_hosts", config.knownEndpoints.entries.size()});
   return config;
 }
 
@@ -64,18 +66,19 @@
   reload(0);
 }
 
-// Only the addresses of discovery and the counter service change while the gateway serves; all other settings
-// hold from the next start on.
+// Only the addresses of discovery and the counter service change while the gateway runs; other settings take
+// effect at the next start.
 void Daemon::reload(int retry) {
   reloadTimer_ = {};
   try {
     const config::GatewayConfig config = sources_.readPlatform();
-    server_.setAddresses(config.discovery, config.counter);
-    log_(LogEvent::configReloaded, LogField{"discovery", config.discovery},
-         LogField{"counter", std::string_view(config.counter.empty() ? "none" : config.counter)});
+    server_.setAddresses(config.discoveryAddress, config.counterAddress);
+    log_(LogEvent::configReloaded, LogField{"discovery", config.discoveryAddress},
+         LogField{"counter",
+                  std::string_view(config.counterAddress.empty() ? "none" : config.counterAddress)});
   } catch (const std::runtime_error& e) {  // config::ConfigError and std::system_error
     rejectReload(retry, e.what());
-  } catch (const std::invalid_argument& e) {  // an address that is none
+  } catch (const std::invalid_argument& e) {  // an invalid address
     rejectReload(retry, e.what());
   }
 }
@@ -129,13 +132,13 @@
   loop_.deadlines.add(loop_.now() + acceptFor, [this](TimePoint) { enter(Phase::closingIdle); });
 }
 
-// Ends at answerDeadline_ at the latest, since the process may be killed soon after: clients that never read,
-// stay idle for ever or stop in the middle of a request cannot delay it. Clients that connect meanwhile are
-// still accepted.
+// The shutdown ends shortly after answerDeadline_ at the latest, since the process may be killed soon after:
+// clients that never read, stay idle or stop in the middle of a request cannot delay it. Clients that connect
+// in the meantime are still accepted.
 void Daemon::checkShutdown() {
   const TimePoint now = loop_.now();
-  if (now >= answerDeadline_ + kClientCloseTime) return enter(Phase::stopped);
-  server_.closeIdle(kClientCloseTime);
+  if (now >= answerDeadline_ + kClientCloseTimeout) return enter(Phase::stopped);
+  server_.closeIdle(kClientCloseTimeout);
   if (shutdownComplete(now)) return enter(Phase::stopped);
   loop_.deadlines.add(now + kShutdownCheckInterval, [this](TimePoint) { checkShutdown(); });
 }
@@ -143,7 +146,7 @@
 bool Daemon::shutdownComplete(TimePoint now) {
   noTrafficSince_ = server_.allAnswered() ? std::min(noTrafficSince_, now) : TimePoint::max();
   if (!server_.allAnswered()) return false;
-  const bool clientsDone = server_.allClosed() || now - noTrafficSince_ >= kNoTrafficTime;
+  const bool clientsDone = server_.allClosed() || now - noTrafficSince_ >= kNoTrafficTimeout;
   return clientsDone && server_.stopAccepting();
 }
 
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -67,7 +67,7 @@
 void UpstreamConnection::onData() {
   if (state_ == State::idle) return owner_.closeConnection(ref());  // unsolicited bytes
   const auto stage = response_.advance(buffer_.data(), received());
-  if (stage == http::Message::Stage::bad) return finish(Outcome::error);
+  if (stage == http::Message::Stage::invalid) return finish(Outcome::error);
   if (stage == http::Message::Stage::done) finish(outcomeOf(response_), readUpstreamResponse(response_));
 }
 
