--- a/src/lab/commands/command.hpp
+++ b/src/lab/commands/command.hpp
@@ -9,9 +9,9 @@
 
 /// Exit codes of the program.
 enum class ExitCode {
-  done = 0,
+  success = 0,
   invariantViolated = 1,  ///< The command did its work; a run violated an invariant.
-  notDone = 2             ///< Options, a file or a scenario cannot be used; nothing was run.
+  failure = 2             ///< Options, a file or a scenario cannot be used; nothing was run.
 };
 
 /// One subcommand of the program: its options and what it does.
--- a/src/lab/commands/compare_command.cpp
+++ b/src/lab/commands/compare_command.cpp
@@ -29,7 +29,7 @@
       std::cout << fmt::format("{:<14} {:.5g} -> {:.5g}: {}\n", comparison.figure, comparison.first.mean,
                                comparison.second.mean, comparison.verdict());
     }
-    return ExitCode::done;
+    return ExitCode::success;
   }
 
  private:
--- a/src/lab/commands/report_command.cpp
+++ b/src/lab/commands/report_command.cpp
@@ -34,7 +34,7 @@
       replaceFile(path, renderSvg(chartOf(rows, field_, figure, scale)));
       std::cout << path << '\n';
     }
-    return ExitCode::done;
+    return ExitCode::success;
   }
 
  private:
--- a/src/lab/commands/shrink_command.cpp
+++ b/src/lab/commands/shrink_command.cpp
@@ -18,8 +18,8 @@
 
 /// Names that earlier versions gave to invariants, each with the present one; both are accepted.
 struct RenamedInvariant {
-  std::string_view before;
-  std::string_view now;
+  std::string_view previous;
+  std::string_view current;
 };
 constexpr std::array kRenamedInvariants{RenamedInvariant{"twice", "duplicate"},
                                         RenamedInvariant{"cold", "slow_start"}};
@@ -36,12 +36,12 @@
 /// The invariant that is looked for; nothing: any. Throws LabError if the name is unknown.
 std::optional<Invariant> parseInvariant(std::string_view name) {
   if (name == kAnyInvariant) return std::nullopt;
-  std::string_view renamed = name;
-  for (const auto& [before, now] : kRenamedInvariants)
-    if (before == name) renamed = now;
+  std::string_view currentName = name;
+  for (const auto& [previous, current] : kRenamedInvariants)
+    if (previous == name) currentName = current;
   for (std::size_t index = 0; index < emulator::kInvariants; ++index) {
     const auto invariant = static_cast<Invariant>(index);
-    if (wordOf(invariant) == name || wordOf(invariant) == renamed) return invariant;
+    if (wordOf(invariant) == name || wordOf(invariant) == currentName) return invariant;
   }
   throw LabError(fmt::format("no rule '{}': expected {}", name, invariantNames()));
 }
@@ -57,7 +57,7 @@
     command->add_option("--policy", policy_, kPolicyHelp)->capture_default_str();
     command->add_option("--rule", invariant_, "the invariant: " + invariantNames())->capture_default_str();
     command->add_option("--most", maxRuns_, "runs at most")->capture_default_str();
-    command->add_option("--out", out_, "the scenario found")->required();
+    command->add_option("--out", outputFile_, "the scenario found")->required();
     return command;
   }
 
@@ -71,12 +71,13 @@
       const emulator::Metrics metrics = ExperimentRunner::play({candidate, {}, seed_, policy});
       return invariant ? metrics.violations[static_cast<std::size_t>(*invariant)] > 0 : metrics.broken() > 0;
     };
-    const auto [least, runs] = shrink(scenario, violates, maxRuns_);
-    replaceFile(out_, emulator::writeScenario(least));
+    const auto [smallest, runs] = shrink(scenario, violates, maxRuns_);
+    replaceFile(outputFile_, emulator::writeScenario(smallest));
     std::cout << fmt::format(
-        "{} after {} runs: {} gateways, {} hosts, {} faults, {:.3g} s, {:g} requests a second\n", out_, runs,
-        least.gateways, least.hosts, least.faults.size(), seconds(least.length), least.rate);
-    return ExitCode::done;
+        "{} after {} runs: {} gateways, {} hosts, {} faults, {:.3g} s, {:g} requests a second\n", outputFile_,
+        runs, smallest.gateways, smallest.hosts, smallest.faults.size(), seconds(smallest.length),
+        smallest.rate);
+    return ExitCode::success;
   }
 
  private:
@@ -85,7 +86,7 @@
   std::string policy_ = "module";
   std::string invariant_{kAnyInvariant};
   std::size_t maxRuns_ = 200;
-  std::string out_;
+  std::string outputFile_;
 };
 
 }  // namespace
--- a/src/lab/commands/sweep_command.cpp
+++ b/src/lab/commands/sweep_command.cpp
@@ -41,7 +41,7 @@
     }
     writeRows(rows);
     std::cout << rows.size() << " runs in " << table_ << ", invariants violated " << violations << " times\n";
-    return violations > 0 ? ExitCode::invariantViolated : ExitCode::done;
+    return violations > 0 ? ExitCode::invariantViolated : ExitCode::success;
   }
 
  private:
--- a/src/lab/comparison.cpp
+++ b/src/lab/comparison.cpp
@@ -23,7 +23,7 @@
   return key;
 }
 
-[[noreturn]] void refuseDuplicate(std::string_view table, std::uint64_t seed) {
+[[noreturn]] void throwDuplicateRun(std::string_view table, std::uint64_t seed) {
   throw LabError(fmt::format("the {} table has two runs of seed {} alike: which is the pair?", table, seed));
 }
 
@@ -33,7 +33,7 @@
   for (const Row& row : rows) {
     const auto value = row.figures.find(figure);
     if (value == row.figures.end()) continue;
-    if (!values.emplace(pairKey(row), value->second).second) refuseDuplicate("first", row.seed);
+    if (!values.emplace(pairKey(row), value->second).second) throwDuplicateRun("first", row.seed);
   }
   return values;
 }
@@ -76,7 +76,7 @@
     const auto before = firstValues.find(key);
     const auto after = row.figures.find(title);
     if (before == firstValues.end() || after == row.figures.end()) continue;
-    if (!paired.insert(key).second) refuseDuplicate("second", row.seed);
+    if (!paired.insert(key).second) throwDuplicateRun("second", row.seed);
     pairedFirst.push_back(before->second);
     pairedSecond.push_back(after->second);
     differences.push_back(after->second - before->second);
--- a/src/lab/csv.cpp
+++ b/src/lab/csv.cpp
@@ -10,8 +10,8 @@
 /// Takes a text character by character and gathers its lines.
 class CsvParser {
  public:
-  void take(char character, bool beforeQuote) {
-    if (inQuotes_) return takeQuoted(character, beforeQuote);
+  void consume(char character, bool nextIsQuote) {
+    if (inQuotes_) return consumeQuoted(character, nextIsQuote);
     switch (character) {
       case '"':
         inQuotes_ = true;
@@ -33,11 +33,11 @@
   std::vector<CsvLine> lines() && { return std::move(lines_); }
 
  private:
-  void takeQuoted(char character, bool beforeQuote) {
-    if (std::exchange(afterEscape_, false) || character != '"') {
+  void consumeQuoted(char character, bool nextIsQuote) {
+    if (std::exchange(quoteEscaped_, false) || character != '"') {
       cell_ += character;
-    } else if (beforeQuote) {
-      afterEscape_ = true;  // The second quote of the pair stands for itself.
+    } else if (nextIsQuote) {
+      quoteEscaped_ = true;  // The second quote of the pair stands for itself.
     } else {
       inQuotes_ = false;
     }
@@ -48,7 +48,7 @@
   CsvLine line_;
   std::string cell_;
   bool inQuotes_ = false;
-  bool afterEscape_ = false;
+  bool quoteEscaped_ = false;
 };
 
 }  // namespace
@@ -65,8 +65,8 @@
 
 std::vector<CsvLine> parseCsv(const std::string& text, const std::string& file) {
   CsvParser parser;
-  for (std::size_t at = 0; at < text.size(); ++at)
-    parser.take(text[at], at + 1 < text.size() && text[at + 1] == '"');
+  for (std::size_t index = 0; index < text.size(); ++index)
+    parser.consume(text[index], index + 1 < text.size() && text[index + 1] == '"');
   if (parser.insideLine()) throw LabError(file + ": the table is cut short");
   return std::move(parser).lines();
 }
--- a/src/lab/experiment_runner.cpp
+++ b/src/lab/experiment_runner.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr std::uint64_t kMaxSeedRange = 100'000;
-constexpr std::string_view kSeedRangeMark = "..";
+constexpr std::string_view kSeedRangeSeparator = "..";
 
 std::vector<std::string> splitAtCommas(const std::string& text) {
   std::vector<std::string> parts;
@@ -33,9 +33,9 @@
 }
 
 /// Runs that several threads play, each taking the next one that none has taken.
-class ParallelPlay {
+class ParallelRunner {
  public:
-  ParallelPlay(const std::vector<Run>& runs, const ProgressSink& progress)
+  ParallelRunner(const std::vector<Run>& runs, const ProgressSink& progress)
       : runs_(runs), progress_(progress), outcomes_(runs.size()) {}
 
   std::vector<RunOutcome> play(unsigned threadCount) && {
@@ -99,14 +99,14 @@
 
 std::vector<std::uint64_t> parseSeeds(const std::string& text) {
   std::vector<std::uint64_t> seeds;
-  const auto rangeMark = text.find(kSeedRangeMark);
-  if (rangeMark == std::string::npos) {
+  const auto separator = text.find(kSeedRangeSeparator);
+  if (separator == std::string::npos) {
     for (const std::string& seed : splitAtCommas(text)) seeds.push_back(parseSeed(seed, text));
     if (seeds.empty()) throw LabError("no seeds given");
     return seeds;
   }
-  const std::uint64_t first = parseSeed(text.substr(0, rangeMark), text);
-  const std::uint64_t last = parseSeed(text.substr(rangeMark + kSeedRangeMark.size()), text);
+  const std::uint64_t first = parseSeed(text.substr(0, separator), text);
+  const std::uint64_t last = parseSeed(text.substr(separator + kSeedRangeSeparator.size()), text);
   if (first > last || last - first >= kMaxSeedRange)
     throw LabError("seeds '" + text + "': expected the lesser first");
   for (std::uint64_t seed = first; seed <= last; ++seed) seeds.push_back(seed);
@@ -133,7 +133,7 @@
 
 std::vector<RunOutcome> ExperimentRunner::playAll(const std::vector<Run>& runs, unsigned parallelRuns,
                                                   const ProgressSink& progress) {
-  return ParallelPlay(runs, progress).play(std::max(1u, parallelRuns));
+  return ParallelRunner(runs, progress).play(std::max(1u, parallelRuns));
 }
 
 }  // namespace merlinbridge::lab
--- a/src/lab/figure_titles.cpp
+++ b/src/lab/figure_titles.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 struct RenamedTitle {
-  std::string_view before;
-  std::string_view now;
+  std::string_view previous;
+  std::string_view current;
 };
 
 /// The same list as scripts/renamed_titles.txt; a test compares the two.
@@ -51,8 +51,8 @@
 
 std::string_view currentTitle(std::string_view title) {
   const auto renamed = std::find_if(kRenamedTitles.begin(), kRenamedTitles.end(),
-                                    [title](const RenamedTitle& each) { return each.before == title; });
-  return renamed == kRenamedTitles.end() ? title : renamed->now;
+                                    [title](const RenamedTitle& each) { return each.previous == title; });
+  return renamed == kRenamedTitles.end() ? title : renamed->current;
 }
 
 std::string titleWithUnit(std::string_view title) {
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -17,7 +17,7 @@
 ExitCode executeSelected(const std::array<Subcommand, 5>& subcommands) {
   for (const auto& [command, parser] : subcommands)
     if (parser->parsed()) return command->execute();
-  return ExitCode::notDone;  // Not reached: the parser requires a subcommand.
+  return ExitCode::failure;  // Not reached: the parser requires a subcommand.
 }
 
 ExitCode runProgram(int argc, char** argv) {
@@ -36,13 +36,13 @@
   try {
     program.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
-    return program.exit(e) == 0 ? ExitCode::done : ExitCode::notDone;
+    return program.exit(e) == 0 ? ExitCode::success : ExitCode::failure;
   }
   try {
     return executeSelected(subcommands);
   } catch (const std::exception& e) {
     std::cerr << e.what() << '\n';
-    return ExitCode::notDone;
+    return ExitCode::failure;
   }
 }
 
--- a/src/lab/scenario_shrinker.cpp
+++ b/src/lab/scenario_shrinker.cpp
@@ -58,8 +58,8 @@
   void shorten() {
     double lastStart = 0;
     for (const Fault& fault : scenario_.faults) lastStart = std::max(lastStart, fault.from.max);
-    const Duration shorter =
-        std::max({scaled(scenario_.length, 0.5), durationFromSeconds(lastStart + kSecondsAfterLastFault), kMinLength});
+    const Duration shorter = std::max(
+        {scaled(scenario_.length, 0.5), durationFromSeconds(lastStart + kSecondsAfterLastFault), kMinLength});
     if (shorter < scenario_.length) smaller_.emplace_back(scenario_).length = shorter;
   }
   void startFaultsEarlier() {
@@ -77,16 +77,17 @@
 
 }  // namespace
 
-ShrunkScenario shrink(const Scenario& scenario, const ShowsBehaviour& shows, std::size_t maxRuns) {
+ShrunkScenario shrink(const Scenario& scenario, const ScenarioPredicate& showsBehaviour,
+                      std::size_t maxRuns) {
   ShrunkScenario found{scenario, 1};
-  if (!shows(scenario)) throw LabError("the scenario does not show it with this seed");
+  if (!showsBehaviour(scenario)) throw LabError("the scenario does not show it with this seed");
   bool improved = true;
   while (improved && found.runs < maxRuns) {
     improved = false;
     for (Scenario& smaller : SmallerScenarios(found.scenario).all()) {
       if (found.runs >= maxRuns) break;
       ++found.runs;
-      if (!shows(smaller)) continue;
+      if (!showsBehaviour(smaller)) continue;
       found.scenario = std::move(smaller);
       improved = true;
       break;
--- a/src/lab/scenario_shrinker.hpp
+++ b/src/lab/scenario_shrinker.hpp
@@ -8,7 +8,7 @@
 namespace merlinbridge::lab {
 
 /// Plays a scenario and says whether it still shows the behaviour that is looked for.
-using ShowsBehaviour = std::function<bool(const emulator::Scenario&)>;
+using ScenarioPredicate = std::function<bool(const emulator::Scenario&)>;
 
 /// The result of shrink().
 struct ShrunkScenario {
@@ -19,6 +19,6 @@
 /// The smallest scenario found that still shows the behaviour: leaves out faults, methods and plans one by
 /// one and halves numbers and times, in a fixed order, until nothing more can go or `maxRuns` plays are used
 /// up. Throws LabError if the scenario does not show the behaviour to begin with.
-ShrunkScenario shrink(const emulator::Scenario&, const ShowsBehaviour&, std::size_t maxRuns);
+ShrunkScenario shrink(const emulator::Scenario&, const ScenarioPredicate&, std::size_t maxRuns);
 
 }  // namespace merlinbridge::lab
--- a/src/simulator_adapter/gateway_instance.cpp
+++ b/src/simulator_adapter/gateway_instance.cpp
@@ -21,12 +21,12 @@
 GatewayInstance::GatewayInstance(std::int64_t number, const GatewayStart& start, TimePoint now,
                                  ReplyBuffer& reply)
     : writer_(number, reply),
-      loadFigureNames_(start.loadFigureNames),
+      loadFieldNames_(start.loadFieldNames),
       core_(start.config, now, deadlines_, *this, core::DeadlineEnforcer::adapter) {}
 
 void GatewayInstance::handle(const Message& message, TimePoint now) {
   dispatch(message, now);
-  requestWakeUp(now);
+  updateTimer(now);
 }
 
 void GatewayInstance::dispatch(const Message& message, TimePoint now) {
@@ -34,8 +34,8 @@
   switch (message.kind) {
     case MessageKind::requestArrived:
       return handleRequest(parseRequestArrival(fields), now);
-    case MessageKind::clientLeft:
-      return handleClientLeft(parseRequestIdField(fields), now);
+    case MessageKind::clientDisconnected:
+      return handleClientDisconnect(parseRequestIdField(fields), now);
     case MessageKind::attemptEnded:
       return handleAttemptEnd(fields, now);
     case MessageKind::timerFired:
@@ -58,45 +58,45 @@
   if (core_.contains(requestId)) requestIds_.emplace(arrival.id, requestId);
 }
 
-void GatewayInstance::handleClientLeft(WireRequestId id, TimePoint now) {
+void GatewayInstance::handleClientDisconnect(WireRequestId id, TimePoint now) {
   const auto request = requestIds_.find(id);
   if (request == requestIds_.end()) return;
   core_.clientDisconnected(now, request->second);
-  forgetIfEnded(request);
+  eraseIfEnded(request);
 }
 
 void GatewayInstance::handleAttemptEnd(const config::JsonFields& fields, TimePoint now) {
   const auto request = requestIds_.find(parseRequestIdField(fields));
   // The end of a request that is over is dropped with its other fields unread: they may be anything.
   if (request == requestIds_.end()) return;
-  const AttemptEnd end = parseAttemptEnd(fields, loadFigureNames_);
+  const AttemptEnd end = parseAttemptEnd(fields, loadFieldNames_);
   core::UpstreamResponse response;
   response.trueUnits = end.trueUnits;
   response.load = end.load;
-  response.duration = end.took;
-  response.forwardedByAdapter = end.clientAnswered;
+  response.duration = end.duration;
+  response.forwardedByAdapter = end.responseForwarded;
   core_.attemptEnded(now, request->second, end.attempt, end.outcome, response);
-  forgetIfEnded(request);
+  eraseIfEnded(request);
 }
 
 void GatewayInstance::handleTimer(TimePoint now) {
-  wakeUpAt_ = TimePoint::max();
+  timerDueAt_ = TimePoint::max();
   deadlines_.run(now);
 }
 
 void GatewayInstance::handleCounterCallEnd(const CounterCallEnd& end, TimePoint now) {
-  core_.counterCallEnded(now, end.key, end.outcome, end.total, end.took);
+  core_.counterCallEnded(now, end.key, end.outcome, end.total, end.duration);
 }
 
-void GatewayInstance::forgetIfEnded(RequestIds::iterator request) {
+void GatewayInstance::eraseIfEnded(RequestIds::iterator request) {
   if (!core_.contains(request->second)) requestIds_.erase(request);
 }
 
-void GatewayInstance::requestWakeUp(TimePoint now) {
+void GatewayInstance::updateTimer(TimePoint now) {
   const TimePoint next = deadlines_.nextDueAt();
-  if (next >= wakeUpAt_) return;
-  wakeUpAt_ = next;
-  writer_.wakeAt(std::max(next, now));
+  if (next >= timerDueAt_) return;
+  timerDueAt_ = next;
+  writer_.setTimer(std::max(next, now));
 }
 
 // The simulator hands a host's answer to the client itself.
--- a/src/simulator_adapter/gateway_instance.hpp
+++ b/src/simulator_adapter/gateway_instance.hpp
@@ -44,19 +44,19 @@
 
   void dispatch(const Message&, TimePoint now);
   void handleRequest(const RequestArrival&, TimePoint now);
-  void handleClientLeft(WireRequestId, TimePoint now);
+  void handleClientDisconnect(WireRequestId, TimePoint now);
   void handleAttemptEnd(const config::JsonFields&, TimePoint now);
   void handleTimer(TimePoint now);
   void handleCounterCallEnd(const CounterCallEnd&, TimePoint now);
-  void forgetIfEnded(RequestIds::iterator);
+  void eraseIfEnded(RequestIds::iterator);
   /// Asks to be woken for the next deadline, unless an earlier wake-up is due anyway.
-  void requestWakeUp(TimePoint now);
+  void updateTimer(TimePoint now);
 
   MessageWriter writer_;
-  std::vector<std::string> loadFigureNames_;
+  std::vector<std::string> loadFieldNames_;
   core::DeadlineQueue deadlines_;
-  TimePoint wakeUpAt_ = TimePoint::max();  ///< The earliest wake-up asked for; max(): none.
-  RequestIds requestIds_;                  ///< Of the requests that the core still holds.
+  TimePoint timerDueAt_ = TimePoint::max();  ///< The earliest wake-up asked for; max(): none.
+  RequestIds requestIds_;                    ///< Of the requests that the core still holds.
   core::GatewayCore core_;
 };
 
--- a/src/simulator_adapter/message.hpp
+++ b/src/simulator_adapter/message.hpp
@@ -20,18 +20,18 @@
 
 /// What a message from the simulator is about.
 enum class MessageKind {
-  batchStarted,      ///< Opens a batch and carries its time.
-  batchEnded,        ///< Closes the batch; the adapter replies then.
-  gatewayStarted,    ///< A gateway starts, or starts anew, with its settings.
-  gatewayStopped,    ///< A gateway's process ends at once.
-  requestArrived,    ///< A client's request.
-  clientLeft,        ///< The client no longer waits for its answer.
-  attemptEnded,      ///< The end of an attempt, by the simulator's clock or by a host.
-  timerFired,        ///< The wake-up that the gateway asked for.
-  counterCallEnded,  ///< The end of a call to the counter service.
-  endpointsUpdated,  ///< A list of hosts, or a change of it.
-  ignored,           ///< Known and without meaning here, see message_reader.cpp.
-  unknown            ///< Not a message of the wire.
+  batchStarted,        ///< Opens a batch and carries its time.
+  batchEnded,          ///< Closes the batch; the adapter replies then.
+  gatewayStarted,      ///< A gateway starts, or starts anew, with its settings.
+  gatewayStopped,      ///< A gateway's process ends at once.
+  requestArrived,      ///< A client's request.
+  clientDisconnected,  ///< The client no longer waits for its answer.
+  attemptEnded,        ///< The end of an attempt, by the simulator's clock or by a host.
+  timerFired,          ///< The wake-up that the gateway asked for.
+  counterCallEnded,    ///< The end of a call to the counter service.
+  endpointsUpdated,    ///< A list of hosts, or a change of it.
+  ignored,             ///< Known and without meaning here, see message_reader.cpp.
+  unknown              ///< Not a message of the wire.
 };
 
 /// One line of input. `name` and `fields` refer to the reader's buffers: valid until it reads the next line.
@@ -43,7 +43,7 @@
 
 /// Settings of a gateway that starts.
 struct GatewayStart {
-  std::vector<std::string> loadFigureNames;  ///< Names of a host's load figures, in the order of its reports.
+  std::vector<std::string> loadFieldNames;  ///< Names of a host's load figures, in the order of its reports.
   config::GatewayConfig config;
 };
 
@@ -59,8 +59,8 @@
   Outcome outcome = Outcome::notSent;
   double trueUnits = 0;  ///< Cost of the request; 0: not told.
   LoadReport load;
-  Duration took{};
-  bool clientAnswered = false;  ///< The simulator has handed the answer to the client.
+  Duration duration{};
+  bool responseForwarded = false;  ///< The simulator has handed the answer to the client.
 };
 
 /// How a call to the counter service ended.
@@ -68,7 +68,7 @@
   CounterKey key;
   CounterCallOutcome outcome = CounterCallOutcome::unknown;
   double total = 0;  ///< Of the counter after the call; 0 unless the outcome is ok.
-  Duration took{};
+  Duration duration{};
 };
 
 }  // namespace merlinbridge::simulator_adapter
--- a/src/simulator_adapter/message_reader.cpp
+++ b/src/simulator_adapter/message_reader.cpp
@@ -18,50 +18,50 @@
 constexpr std::size_t kQuotedCharacters = 60;
 
 template <class Value>
-struct WireWord {
-  std::string_view word;
+struct WireName {
+  std::string_view name;
   Value value;
 };
 
 constexpr std::array kMessageNames{
-    WireWord<MessageKind>{"turn", MessageKind::batchStarted},
-    WireWord<MessageKind>{"eofBatch", MessageKind::batchEnded},
-    WireWord<MessageKind>{"init", MessageKind::gatewayStarted},
-    WireWord<MessageKind>{"down", MessageKind::gatewayStopped},
-    WireWord<MessageKind>{"demand", MessageKind::requestArrived},
-    WireWord<MessageKind>{"cancelledByClient", MessageKind::clientLeft},
-    WireWord<MessageKind>{"result", MessageKind::attemptEnded},
-    WireWord<MessageKind>{"fired", MessageKind::timerFired},
-    WireWord<MessageKind>{"counted", MessageKind::counterCallEnded},
-    WireWord<MessageKind>{"peersKnown", MessageKind::endpointsUpdated},
+    WireName<MessageKind>{"turn", MessageKind::batchStarted},
+    WireName<MessageKind>{"eofBatch", MessageKind::batchEnded},
+    WireName<MessageKind>{"init", MessageKind::gatewayStarted},
+    WireName<MessageKind>{"down", MessageKind::gatewayStopped},
+    WireName<MessageKind>{"demand", MessageKind::requestArrived},
+    WireName<MessageKind>{"cancelledByClient", MessageKind::clientDisconnected},
+    WireName<MessageKind>{"result", MessageKind::attemptEnded},
+    WireName<MessageKind>{"fired", MessageKind::timerFired},
+    WireName<MessageKind>{"counted", MessageKind::counterCallEnded},
+    WireName<MessageKind>{"peersKnown", MessageKind::endpointsUpdated},
     // A response that breaks off after its head counts as answered: `result` says so.
-    WireWord<MessageKind>{"headReceived", MessageKind::ignored},
+    WireName<MessageKind>{"headReceived", MessageKind::ignored},
     // The gateways send no health checks.
-    WireWord<MessageKind>{"pingResult", MessageKind::ignored},
+    WireName<MessageKind>{"pingResult", MessageKind::ignored},
     // The gateways exchange no messages with one another.
-    WireWord<MessageKind>{"mail", MessageKind::ignored},
+    WireName<MessageKind>{"mail", MessageKind::ignored},
 };
 
-constexpr std::array kOutcomes{
-    WireWord<Outcome>{"served", Outcome::ok},
-    WireWord<Outcome>{"turned_away", Outcome::rejected},
-    WireWord<Outcome>{"no_answer", Outcome::noResponse},
-    WireWord<Outcome>{"no_connection", Outcome::noConnection},
-    WireWord<Outcome>{"connection_lost", Outcome::lost},
-    WireWord<Outcome>{"called_off", Outcome::cancelled},
-    WireWord<Outcome>{"not_sent", Outcome::notSent},
-    WireWord<Outcome>{"server_error", Outcome::error},
+constexpr std::array kOutcomeNames{
+    WireName<Outcome>{"served", Outcome::ok},
+    WireName<Outcome>{"turned_away", Outcome::rejected},
+    WireName<Outcome>{"no_answer", Outcome::noResponse},
+    WireName<Outcome>{"no_connection", Outcome::noConnection},
+    WireName<Outcome>{"connection_lost", Outcome::lost},
+    WireName<Outcome>{"called_off", Outcome::cancelled},
+    WireName<Outcome>{"not_sent", Outcome::notSent},
+    WireName<Outcome>{"server_error", Outcome::error},
 };
 
 template <class Value, std::size_t count>
-std::optional<Value> valueOf(std::string_view word, const std::array<WireWord<Value>, count>& words) {
-  for (const auto& known : words)
-    if (known.word == word) return known.value;
+std::optional<Value> valueOf(std::string_view name, const std::array<WireName<Value>, count>& names) {
+  for (const auto& known : names)
+    if (known.name == name) return known.value;
   return std::nullopt;
 }
 
 Outcome parseOutcome(const JsonFields& fields) {
-  const auto outcome = valueOf(fields.require<std::string_view>("code"), kOutcomes);
+  const auto outcome = valueOf(fields.require<std::string_view>("code"), kOutcomeNames);
   if (!outcome) fields.fail("code", "is not known");
   return *outcome;
 }
@@ -72,16 +72,16 @@
   return CounterCallOutcome::unknown;
 }
 
-LoadReport parseLoad(const JsonFields& fields, const std::vector<std::string>& figureNames) {
+LoadReport parseLoad(const JsonFields& fields, const std::vector<std::string>& fieldNames) {
   LoadReport load;
   if (!fields.has("stats")) return load;
   simdjson::dom::array stats;
   if (fields.require<element>("stats").get(stats)) fields.fail("stats", "is not an array");
-  auto name = figureNames.begin();
+  auto name = fieldNames.begin();
   for (const element stat : stats) {
     double value = 0;
     if (stat.get(value)) fields.fail("stats", "holds what is not a number");
-    if (name == figureNames.end()) break;
+    if (name == fieldNames.end()) break;
     config::setLoadField(load, *name++, value);
   }
   return load;
@@ -152,14 +152,14 @@
   return arrival;
 }
 
-AttemptEnd parseAttemptEnd(const JsonFields& fields, const std::vector<std::string>& loadFigureNames) {
+AttemptEnd parseAttemptEnd(const JsonFields& fields, const std::vector<std::string>& loadFieldNames) {
   AttemptEnd end;
   end.attempt = {fields.require<std::uint32_t>("sendNo")};
   end.outcome = parseOutcome(fields);
   end.trueUnits = fields.get("finalUnits", 0.0);
-  end.load = parseLoad(fields, loadFigureNames);
-  end.took = fields.duration("elapsed", Duration{0});
-  end.clientAnswered = fields.get("finished", false);
+  end.load = parseLoad(fields, loadFieldNames);
+  end.duration = fields.duration("elapsed", Duration{0});
+  end.responseForwarded = fields.get("finished", false);
   return end;
 }
 
@@ -170,7 +170,7 @@
   if (!key) return std::nullopt;
   end.key = *key;
   if (end.outcome == CounterCallOutcome::ok) end.total = fields.get("level", 0.0);
-  end.took = fields.duration("elapsed", Duration{0});
+  end.duration = fields.duration("elapsed", Duration{0});
   return end;
 }
 
--- a/src/simulator_adapter/message_reader.hpp
+++ b/src/simulator_adapter/message_reader.hpp
@@ -34,11 +34,11 @@
 /// The number of the gateway that a message is for; all but those about batches have one.
 std::int64_t parseGatewayNumber(const config::JsonFields&);
 GatewayStart parseGatewayStart(const config::JsonFields&);
-/// The request that requestArrived, clientLeft and attemptEnded are about.
+/// The request that requestArrived, clientDisconnected and attemptEnded are about.
 WireRequestId parseRequestIdField(const config::JsonFields&);
 RequestArrival parseRequestArrival(const config::JsonFields&);
-/// `loadFigureNames`: as in the gateway's GatewayStart. Figures beyond the named ones are ignored.
-AttemptEnd parseAttemptEnd(const config::JsonFields&, const std::vector<std::string>& loadFigureNames);
+/// `loadFieldNames`: as in the gateway's GatewayStart. Figures beyond the named ones are ignored.
+AttemptEnd parseAttemptEnd(const config::JsonFields&, const std::vector<std::string>& loadFieldNames);
 /// Nothing if the counter's name is not one that this adapter gives.
 std::optional<CounterCallEnd> parseCounterCallEnd(const config::JsonFields&);
 /// Nothing if the message only says that discovery was lost.
--- a/src/simulator_adapter/message_writer.cpp
+++ b/src/simulator_adapter/message_writer.cpp
@@ -51,7 +51,7 @@
         counterName(key));
 }
 
-void MessageWriter::wakeAt(TimePoint time) {
+void MessageWriter::setTimer(TimePoint time) {
   write(R"({{"notifyMe":{{"i":{},"fireAt":{},"mark":"due"}}}})", microseconds(time));
 }
 
--- a/src/simulator_adapter/message_writer.hpp
+++ b/src/simulator_adapter/message_writer.hpp
@@ -33,7 +33,7 @@
   /// Adds units to a counter of the counter service, which keeps it for that long.
   void addToCounter(const CounterKey&, double units, Duration keepFor);
   /// Asks for timerFired at that time.
-  void wakeAt(TimePoint);
+  void setTimer(TimePoint);
   /// A line of the gateway's log.
   void log(std::string_view text);
   /// Reports that handling a message failed.
--- a/src/simulator_adapter/wire_names.cpp
+++ b/src/simulator_adapter/wire_names.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t kRequestIdDigits = 16;
 constexpr int kHexadecimal = 16;
-constexpr char kQuotaUseLetter = 'u';
+constexpr char kQuotaUsageLetter = 'u';
 constexpr char kInFlightTimeLetter = 'o';
 /// A letter, a digit, the dot and a digit.
 constexpr std::size_t kMinCounterNameLength = 4;
@@ -25,7 +25,7 @@
 }
 
 std::string counterName(const CounterKey& key) {
-  const char letter = key.kind == CounterKey::Kind::quotaUsage ? kQuotaUseLetter : kInFlightTimeLetter;
+  const char letter = key.kind == CounterKey::Kind::quotaUsage ? kQuotaUsageLetter : kInFlightTimeLetter;
   return fmt::format("{}{}.{}", letter, key.customer.value, key.slot.value);
 }
 
@@ -33,7 +33,8 @@
   const auto dot = name.find('.');
   if (name.size() < kMinCounterNameLength || dot == 0 || dot >= name.size() - 1) return std::nullopt;
   CounterKey key;
-  key.kind = name.front() == kQuotaUseLetter ? CounterKey::Kind::quotaUsage : CounterKey::Kind::inFlightTime;
+  key.kind =
+      name.front() == kQuotaUsageLetter ? CounterKey::Kind::quotaUsage : CounterKey::Kind::inFlightTime;
   std::from_chars(name.data() + 1, name.data() + dot, key.customer.value);
   std::from_chars(name.data() + dot + 1, name.data() + name.size(), key.slot.value);
   return key;
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -108,12 +108,12 @@
   const AttemptEnd end = parseAttemptEnd(message->fields, {"queue", "util"});
   CHECK(end.attempt.value == 2);
   CHECK(end.outcome == Outcome::rejected);
-  CHECK(end.took == std::chrono::microseconds(1500));
+  CHECK(end.duration == std::chrono::microseconds(1500));
   CHECK(end.trueUnits == 2.5);
   CHECK(end.load.queued == 7);
   CHECK(end.load.utilization == 0.5);
   CHECK_FALSE(end.load.inFlight);
-  CHECK_FALSE(end.clientAnswered);
+  CHECK_FALSE(end.responseForwarded);
 }
 
 TEST_CASE("the message writer appends one line a message and escapes texts") {
