--- a/src/lab/chart.cpp
+++ b/src/lab/chart.cpp
@@ -12,9 +12,10 @@
 namespace merlinbridge::lab {
 namespace {
 
-/// A linear axis is divided into at most so many steps.
+/// Maximum number of steps on a linear axis.
 constexpr double kMaxSteps = 5;
-/// Share of a step, or of a tick, by which rounding may move a tick past the end of the axis.
+/// How far a rounding error may move a tick past the end of the axis: as a fraction of the step on a linear
+/// axis, of the axis's end on a logarithmic one.
 constexpr double kLinearTolerance = 1e-9;
 constexpr double kLogarithmicTolerance = 1e-3;
 
@@ -40,7 +41,7 @@
   std::vector<double> ticks;
   double index = std::ceil(low / step - kLinearTolerance);
   while (index * step <= high + kLinearTolerance * step) {
-    ticks.push_back(index == 0 ? 0 : index * step);  // Never -0, which would be written so.
+    ticks.push_back(index == 0 ? 0 : index * step);  // -0 would be printed as "-0".
     ++index;
   }
   return ticks;
@@ -50,7 +51,7 @@
 double positionOf(const std::string& value, const std::string& field) {
   double position = 0;
   if (std::from_chars(value.data(), value.data() + value.size(), position).ec != std::errc{})
-    throw LabError(fmt::format("field '{}' holds '{}', which has no place on an axis", field, value));
+    throw LabError(fmt::format("field '{}': value '{}' does not begin with a number", field, value));
   return position;
 }
 
@@ -61,7 +62,7 @@
   return name;
 }
 
-/// The field with the unit of its last value in the table.
+/// The field's path, followed by the unit of its last value in the table.
 std::string fieldWithUnit(const std::vector<Row>& rows, const std::string& field) {
   std::string unit;
   for (const Row& row : rows) {
--- a/src/lab/commands/command.cpp
+++ b/src/lab/commands/command.cpp
@@ -5,8 +5,8 @@
 namespace merlinbridge::lab {
 
 void ScenarioOptions::addTo(CLI::App& command) {
-  command.add_option("scenario", file, "a scenario in TOML")->required();
-  command.add_option("--set", changes, "path=value, replaces what the scenario says")
+  command.add_option("scenario", file, "scenario file in TOML")->required();
+  command.add_option("--set", changes, "path=value, overrides a field of the scenario; may be given again")
       ->allow_extra_args(false);
 }
 
--- a/src/lab/commands/command.hpp
+++ b/src/lab/commands/command.hpp
@@ -10,11 +10,11 @@
 /// Exit codes of the program.
 enum class ExitCode {
   success = 0,
-  invariantViolated = 1,  ///< The command did its work; a run violated an invariant.
-  failure = 2             ///< Options, a file or a scenario cannot be used; nothing was run.
+  invariantViolated = 1,  ///< The command finished, and a run violated an invariant.
+  failure = 2             ///< The command failed, for example on an invalid option, file or scenario.
 };
 
-/// One subcommand of the program: its options and what it does.
+/// One subcommand of the program.
 class Command {
  public:
   Command() = default;
@@ -22,12 +22,12 @@
   Command& operator=(const Command&) = delete;
   virtual ~Command() = default;
 
-  /// Adds the subcommand with its options to the program's and returns it. Parsing writes to this object,
-  /// which must outlive the program's parser.
+  /// Adds the subcommand and its options to the program's parser and returns the subcommand's parser. Parsing
+  /// writes to this object, which must outlive the program's parser.
   virtual CLI::App* addTo(CLI::App& program) = 0;
 
-  /// Does what the parsed options say: results go to standard output, progress and warnings to standard
-  /// error. Throws LabError, emulator::BadScenario or another std::exception if nothing could be done.
+  /// Executes the command with the parsed options. Writes results to standard output, progress and warnings
+  /// to standard error. Throws LabError, emulator::BadScenario or another std::exception if it fails.
   virtual ExitCode execute() = 0;
 };
 
@@ -40,17 +40,17 @@
 /// Options of the commands that play a scenario.
 struct ScenarioOptions {
   std::string file;
-  std::vector<std::string> changes;  ///< "path=value", each replacing what the file says.
+  std::vector<std::string> changes;  ///< "path=value", each overriding a field of the file.
 
   void addTo(CLI::App& command);
 };
 
-/// Figures that the commands compare or draw if none is named.
+/// Figures that the commands compare or draw if none are given.
 inline const std::vector<std::string> kDefaultFigures{"utility_served"};
 
 constexpr const char* kPolicyHelp = "module, all, even or truth";
 
-/// Writes one line to standard error.
+/// Writes a warning to standard error as one line.
 void warnOnStderr(const std::string& warning);
 
 }  // namespace merlinbridge::lab
--- a/src/lab/commands/compare_command.cpp
+++ b/src/lab/commands/compare_command.cpp
@@ -9,14 +9,14 @@
 namespace merlinbridge::lab {
 namespace {
 
-/// `compare`: compares figures of two tables, paired by seed and changed fields.
+/// `compare`: compares figures of the runs that have the same seed and changed fields in two tables.
 class CompareCommand final : public Command {
  public:
   CLI::App* addTo(CLI::App& program) override {
     CLI::App* const command =
         program.add_subcommand("compare", "compares two tables, paired by seed and fields");
-    command->add_option("first", firstTable_, "a table")->required();
-    command->add_option("second", secondTable_, "another")->required();
+    command->add_option("first", firstTable_, "first table")->required();
+    command->add_option("second", secondTable_, "second table")->required();
     command->add_option("--figure", figures_, "figures to compare")->delimiter(',')->capture_default_str();
     return command;
   }
--- a/src/lab/commands/report_command.cpp
+++ b/src/lab/commands/report_command.cpp
@@ -11,17 +11,17 @@
 namespace merlinbridge::lab {
 namespace {
 
-/// `report`: draws figures of a table over one of its changed fields, each in a file of its own.
+/// `report`: plots figures of a table against one of its changed fields, one file per figure.
 class ReportCommand final : public Command {
  public:
   CLI::App* addTo(CLI::App& program) override {
     CLI::App* const command =
-        program.add_subcommand("report", "draws figures of a table over one of its fields");
-    command->add_option("table", table_, "a table that sweep wrote")->required();
-    command->add_option("--field", field_, "the field along the axis")->required();
+        program.add_subcommand("report", "plots figures of a table against one of its fields");
+    command->add_option("table", table_, "table written by sweep")->required();
+    command->add_option("--field", field_, "field on the horizontal axis")->required();
     command->add_option("--figure", figures_, "figures to draw")->delimiter(',')->capture_default_str();
-    command->add_flag("--log-x", logarithmic_, "a logarithmic axis");
-    command->add_option("--out", folder_, "a folder for the charts")->required();
+    command->add_flag("--log-x", logarithmic_, "logarithmic horizontal axis");
+    command->add_option("--out", folder_, "folder for the charts")->required();
     return command;
   }
 
--- a/src/lab/commands/run_command.cpp
+++ b/src/lab/commands/run_command.cpp
@@ -13,9 +13,9 @@
   CLI::App* addTo(CLI::App& program) override {
     CLI::App* const command = program.add_subcommand("run", "plays a scenario once");
     scenario_.addTo(*command);
-    command->add_option("--seed", seed_, "the seed")->capture_default_str();
+    command->add_option("--seed", seed_, "random seed")->capture_default_str();
     command->add_option("--policy", policy_, kPolicyHelp)->capture_default_str();
-    command->add_option("--out", folder_, "a folder for the run's tables");
+    command->add_option("--out", folder_, "folder for the scenario and the tables of the run");
     return command;
   }
 
--- a/src/lab/commands/shrink_command.cpp
+++ b/src/lab/commands/shrink_command.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::string_view kAnyInvariant = "any";
 
-/// Names that earlier versions gave to invariants, each with the present one; both are accepted.
+/// The name of an invariant in earlier versions and its current name; both are accepted.
 struct RenamedInvariant {
   std::string_view previous;
   std::string_view current;
@@ -33,7 +33,7 @@
   return names;
 }
 
-/// The invariant that is looked for; nothing: any. Throws LabError if the name is unknown.
+/// The invariant with that name; nothing for kAnyInvariant. Throws LabError if the name is unknown.
 std::optional<Invariant> parseInvariant(std::string_view name) {
   if (name == kAnyInvariant) return std::nullopt;
   std::string_view currentName = name;
@@ -43,7 +43,7 @@
     const auto invariant = static_cast<Invariant>(index);
     if (wordOf(invariant) == name || wordOf(invariant) == currentName) return invariant;
   }
-  throw LabError(fmt::format("no rule '{}': expected {}", name, invariantNames()));
+  throw LabError(fmt::format("unknown invariant '{}': expected {}", name, invariantNames()));
 }
 
 /// `shrink`: finds a small scenario that still violates an invariant.
@@ -53,11 +53,11 @@
     CLI::App* const command =
         program.add_subcommand("shrink", "finds a small scenario that still violates an invariant");
     scenario_.addTo(*command);
-    command->add_option("--seed", seed_, "the seed")->capture_default_str();
+    command->add_option("--seed", seed_, "random seed")->capture_default_str();
     command->add_option("--policy", policy_, kPolicyHelp)->capture_default_str();
     command->add_option("--rule", invariant_, "the invariant: " + invariantNames())->capture_default_str();
-    command->add_option("--most", maxRuns_, "runs at most")->capture_default_str();
-    command->add_option("--out", outputFile_, "the scenario found")->required();
+    command->add_option("--most", maxRuns_, "maximum number of runs")->capture_default_str();
+    command->add_option("--out", outputFile_, "file for the scenario found")->required();
     return command;
   }
 
--- a/src/lab/commands/sweep_command.cpp
+++ b/src/lab/commands/sweep_command.cpp
@@ -10,19 +10,19 @@
 namespace {
 
 /// `sweep`: plays a scenario with every combination of changed fields, policies and seeds, and writes a
-/// table.
+/// result table.
 class SweepCommand final : public Command {
  public:
   CLI::App* addTo(CLI::App& program) override {
     CLI::App* const command =
-        program.add_subcommand("sweep", "plays a scenario with fields changed, over seeds");
+        program.add_subcommand("sweep", "plays a scenario with changed fields, policies and seeds");
     scenario_.addTo(*command);
     command->add_option("--field", fields_, "path=value,value,...; may be given again")
         ->allow_extra_args(false);
-    command->add_option("--seeds", seeds_, "as 1..5 or 1,4,9")->capture_default_str();
+    command->add_option("--seeds", seeds_, "range 1..5 or list 1,4,9")->capture_default_str();
     command->add_option("--policy", policies_, kPolicyHelp)->delimiter(',')->capture_default_str();
-    command->add_option("--jobs", parallelRuns_, "runs at a time")->capture_default_str();
-    command->add_option("--out", table_, "the table")->required();
+    command->add_option("--jobs", parallelRuns_, "number of runs played in parallel")->capture_default_str();
+    command->add_option("--out", table_, "file for the result table")->required();
     return command;
   }
 
@@ -52,7 +52,7 @@
     std::vector<Run> runs;
     for (const FieldValues& values : combinationsOf(fields)) {
       const emulator::Scenario scenario = runner.scenario(values);
-      if (runs.empty())  // the same keys are renamed in every combination
+      if (runs.empty())  // The same keys are renamed in every combination: warn once.
         for (const std::string& warning : scenario.warnings) warnOnStderr(warning);
       for (const std::string& policy : policies_)
         for (const std::uint64_t seed : parseSeeds(seeds_))
--- a/src/lab/comparison.cpp
+++ b/src/lab/comparison.cpp
@@ -13,10 +13,10 @@
 namespace merlinbridge::lab {
 namespace {
 
-/// Outside a 95% interval, at each end.
+/// Probability beyond each end of a 95% confidence interval.
 constexpr double kTailProbability = 0.025;
 
-/// What makes two runs a pair: the seed and the changed fields.
+/// Identifies the run to pair with in the other table: the seed and the changed fields.
 std::string pairKey(const Row& row) {
   std::string key = std::to_string(row.seed);
   for (const auto& [path, value] : row.fields) key += fmt::format("\n{}={}", path, value);
@@ -24,7 +24,8 @@
 }
 
 [[noreturn]] void throwDuplicateRun(std::string_view table, std::uint64_t seed) {
-  throw LabError(fmt::format("the {} table has two runs of seed {} alike: which is the pair?", table, seed));
+  throw LabError(
+      fmt::format("the {} table has more than one run with seed {} and the same fields", table, seed));
 }
 
 /// The values of one figure by pair key.
@@ -56,7 +57,7 @@
 }
 
 std::string Comparison::verdict() const {
-  if (!difference.halfWidth) return "no difference shown: one pair says nothing of chance";
+  if (!difference.halfWidth) return "no difference shown: a confidence interval needs at least 2 pairs";
   if (std::abs(difference.mean) <= *difference.halfWidth)
     return fmt::format("no difference shown: {:+.4g} +- {:.4g} over {} pairs", difference.mean,
                        *difference.halfWidth, difference.count);
@@ -82,7 +83,8 @@
     differences.push_back(after->second - before->second);
   }
   if (differences.empty())
-    throw LabError("no run of one table has a pair in the other with figure '" + title + "'");
+    throw LabError("the tables have no runs with the same seed and fields that both have figure '" + title +
+                   "'");
   return {title, estimateOf(pairedFirst), estimateOf(pairedSecond), estimateOf(differences)};
 }
 
--- a/src/lab/comparison.hpp
+++ b/src/lab/comparison.hpp
@@ -6,31 +6,31 @@
 
 #include "lab/result_table.hpp"
 
-/// Statistics over the runs of result tables.
+/// Statistics of the runs in result tables.
 namespace merlinbridge::lab {
 
-/// A mean and its 95% confidence interval by Student's t distribution.
+/// A mean and its 95% confidence interval from Student's t distribution.
 struct Estimate {
   double mean = 0;
-  std::optional<double> halfWidth;  ///< Of the interval; none for fewer than two values.
-  std::size_t count = 0;            ///< Of values.
+  std::optional<double> halfWidth;  ///< Half the interval's width; none for fewer than two values.
+  std::size_t count = 0;            ///< Number of values.
 };
 Estimate estimateOf(const std::vector<double>&);
 
-/// One figure in two tables, compared pair by pair.
+/// One figure in two tables, compared over pairs of runs.
 struct Comparison {
   std::string figure;
   Estimate first;
   Estimate second;
-  Estimate difference;  ///< The second table's value less the first's, over the pairs.
+  Estimate difference;  ///< The second table's value minus the first's, over the pairs.
 
-  /// One sentence; a difference is claimed only if the confidence interval excludes 0.
+  /// One line of text that states a difference only if the confidence interval excludes 0.
   std::string verdict() const;
 };
 
-/// Pairs the runs that have the same seed and the same changed fields in both tables, and compares one
-/// figure, named by its present title or that of an earlier version. Throws LabError if there is no pair or
-/// if a table has two runs of the same seed and fields.
+/// Pairs the runs that have the same seed and the same changed fields in both tables and compares one figure,
+/// which is named by its current title or that of an earlier version. Throws LabError if there is no pair, or
+/// if a table has two runs with the same seed and fields.
 Comparison compare(const std::vector<Row>& first, const std::vector<Row>& second, const std::string& figure);
 
 }  // namespace merlinbridge::lab
--- a/src/lab/csv.cpp
+++ b/src/lab/csv.cpp
@@ -7,7 +7,7 @@
 namespace merlinbridge::lab {
 namespace {
 
-/// Takes a text character by character and gathers its lines.
+/// Parses a text character by character and collects its lines.
 class CsvParser {
  public:
   void consume(char character, bool nextIsQuote) {
@@ -37,7 +37,7 @@
     if (std::exchange(quoteEscaped_, false) || character != '"') {
       cell_ += character;
     } else if (nextIsQuote) {
-      quoteEscaped_ = true;  // The second quote of the pair stands for itself.
+      quoteEscaped_ = true;  // The next quote is part of the cell's text.
     } else {
       inQuotes_ = false;
     }
@@ -67,7 +67,7 @@
   CsvParser parser;
   for (std::size_t index = 0; index < text.size(); ++index)
     parser.consume(text[index], index + 1 < text.size() && text[index + 1] == '"');
-  if (parser.insideLine()) throw LabError(file + ": the table is cut short");
+  if (parser.insideLine()) throw LabError(file + ": truncated table: the last line is incomplete");
   return std::move(parser).lines();
 }
 
--- a/src/lab/experiment_runner.cpp
+++ b/src/lab/experiment_runner.cpp
@@ -23,7 +23,7 @@
   return parts;
 }
 
-/// `all` is the whole text that the seed stands in, for the error.
+/// `all` is the complete list of seeds, for the error message.
 std::uint64_t parseSeed(const std::string& text, const std::string& all) {
   std::uint64_t seed = 0;
   const char* const textEnd = text.data() + text.size();
@@ -32,7 +32,7 @@
   return seed;
 }
 
-/// Runs that several threads play, each taking the next one that none has taken.
+/// Plays runs on several threads. Each thread takes the next run that has not been started.
 class ParallelRunner {
  public:
   ParallelRunner(const std::vector<Run>& runs, const ProgressSink& progress)
@@ -67,9 +67,9 @@
 
   const std::vector<Run>& runs_;
   const ProgressSink& progress_;
-  std::vector<RunOutcome> outcomes_;  ///< Each thread writes to those of its own runs.
+  std::vector<RunOutcome> outcomes_;  ///< A thread writes only the elements of the runs that it took.
   std::atomic<std::size_t> nextRun_ = 0;
-  std::mutex mutex_;  ///< Held for the members below and for calls of progress_.
+  std::mutex mutex_;  ///< Guards the members below and calls of progress_.
   std::size_t endedRuns_ = 0;
   std::exception_ptr error_;
 };
@@ -108,14 +108,15 @@
   const std::uint64_t first = parseSeed(text.substr(0, separator), text);
   const std::uint64_t last = parseSeed(text.substr(separator + kSeedRangeSeparator.size()), text);
   if (first > last || last - first >= kMaxSeedRange)
-    throw LabError("seeds '" + text + "': expected the lesser first");
+    throw LabError("seeds '" + text + "': expected the smaller seed first and at most " +
+                   std::to_string(kMaxSeedRange) + " seeds");
   for (std::uint64_t seed = first; seed <= last; ++seed) seeds.push_back(seed);
   return seeds;
 }
 
 emulator::Policy parsePolicy(const std::string& name) {
   if (const auto policy = emulator::policyNamed(name)) return *policy;
-  throw LabError("no policy '" + name + "': expected module, all, even or truth");
+  throw LabError("unknown policy '" + name + "': expected module, all, even or truth");
 }
 
 ExperimentRunner::ExperimentRunner(std::string file, std::vector<std::string> changes)
--- a/src/lab/experiment_runner.hpp
+++ b/src/lab/experiment_runner.hpp
@@ -11,46 +11,46 @@
 
 namespace merlinbridge::lab {
 
-/// One value for each field that is changed in a sweep, and the values that the user gave:
-/// "path=value,value". Throws LabError on a text of another form.
+/// A field that a sweep changes, and its values.
 struct SweptField {
   std::string path;
   std::vector<std::string> values;
 };
+/// Parses "path=value,value". Throws LabError if there is no '='.
 SweptField parseSweptField(const std::string& text);
 
-/// Every combination of one value of each field, the last field changing fastest. One empty combination if
-/// there is no field.
+/// All combinations of one value for each field, with the last field varying fastest. One empty combination
+/// if there are no fields.
 std::vector<FieldValues> combinationsOf(const std::vector<SweptField>&);
 
-/// Seeds given as "1..5" or "1,4,9". Throws LabError on any other text.
+/// Parses seeds given as "1..5" or "1,4,9". Throws LabError on any other text or if a range is too long.
 std::vector<std::uint64_t> parseSeeds(const std::string& text);
 
-/// The policy of that name. Throws LabError if there is none.
+/// The policy with that name. Throws LabError if there is none.
 emulator::Policy parsePolicy(const std::string& name);
 
-/// A run's row of the table, and how often it violated an invariant.
+/// A run's row in the result table, and how often the run violated an invariant.
 struct RunOutcome {
   Row row;
   std::uint64_t violations = 0;
 };
 
-/// Called after each run with the number of runs that have ended, on the thread that played the run; calls do
-/// not overlap.
+/// Called after each run with the number of runs that have ended. Called on the thread that played the run,
+/// by one thread at a time.
 using ProgressSink = std::function<void(std::size_t endedRuns)>;
 
-/// Reads one scenario file and plays runs of it in the emulator.
+/// Reads a scenario file and plays runs of it in the emulator.
 class ExperimentRunner {
  public:
-  /// `changes` are "path=value" and replace what the file says in every run. Throws emulator::BadScenario if
+  /// `changes` have the form "path=value" and override the file in every run. Throws emulator::BadScenario if
   /// the file cannot be read.
   ExperimentRunner(std::string file, std::vector<std::string> changes);
 
-  /// The scenario with the runner's changes and with these fields changed. Throws emulator::BadScenario.
+  /// The scenario with the runner's changes and then `fields` applied. Throws emulator::BadScenario.
   emulator::Scenario scenario(const FieldValues& = {}) const;
 
-  /// Plays one run; it depends on nothing but the run.
-  static emulator::Metrics play(const Run&);
+  /// Plays one run. The result depends only on `run`.
+  static emulator::Metrics play(const Run& run);
 
   /// Plays all runs, at most `parallelRuns` at a time, and returns their outcomes in the order of the runs.
   /// If a run throws, no further run is started and the exception is rethrown.
--- a/src/lab/figure_titles.cpp
+++ b/src/lab/figure_titles.cpp
@@ -13,7 +13,7 @@
   std::string_view current;
 };
 
-/// The same list as scripts/renamed_titles.txt; a test compares the two.
+/// Must match scripts/renamed_titles.txt; a test compares the two lists.
 constexpr std::array kRenamedTitles{
     RenamedTitle{"asked", "requests"},
     RenamedTitle{"worth", "utility_served"},
--- a/src/lab/lab_error.hpp
+++ b/src/lab/lab_error.hpp
@@ -6,12 +6,13 @@
 
 namespace merlinbridge::lab {
 
-/// The laboratory cannot do what was asked; the text says why and names the file or option.
+/// A request that the lab cannot carry out. The text gives the reason and, where there is one, names the file
+/// or the value.
 struct LabError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// Receives a warning: one line without its end. Empty: warnings are dropped.
+/// Receives a warning: one line of text without a line end. If empty, warnings are discarded.
 using WarningSink = std::function<void(const std::string& warning)>;
 
 }  // namespace merlinbridge::lab
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -1,5 +1,5 @@
-// The laboratory: plays scenarios in the emulator, writes their figures as tables, compares tables and draws
-// charts. Each subcommand is a class in commands/.
+// merlinbridge_lab: plays scenarios in the emulator, writes their figures as tables, compares tables and
+// draws charts. Each subcommand is a class in commands/.
 #include <CLI/CLI.hpp>
 #include <array>
 #include <iostream>
@@ -17,7 +17,7 @@
 ExitCode executeSelected(const std::array<Subcommand, 5>& subcommands) {
   for (const auto& [command, parser] : subcommands)
     if (parser->parsed()) return command->execute();
-  return ExitCode::failure;  // Not reached: the parser requires a subcommand.
+  return ExitCode::failure;  // Unreachable: the parser requires a subcommand.
 }
 
 ExitCode runProgram(int argc, char** argv) {
@@ -26,11 +26,12 @@
                                          {makeCompareCommand()},
                                          {makeShrinkCommand()},
                                          {makeReportCommand()}}};
-  CLI::App program{"merlinbridge_lab: scenarios played in the emulator, as tables and charts"};
+  CLI::App program{
+      "merlinbridge_lab: plays scenarios in the emulator and presents the results as tables and charts"};
   program.require_subcommand(1);
   program.footer(
-      "Exit codes: 0 done, 1 a run violated an invariant, 2 nothing was done: options, a file or a scenario "
-      "cannot be used.");
+      "Exit codes: 0 success, 1 a run violated an invariant, 2 failure, for example an invalid option, "
+      "file or scenario.");
   program.set_version_flag("--version", std::string(MERLINBRIDGE_VERSION));
   for (auto& [command, parser] : subcommands) parser = command->addTo(program);
   try {
--- a/src/lab/result_table.cpp
+++ b/src/lab/result_table.cpp
@@ -16,9 +16,9 @@
 namespace merlinbridge::lab {
 namespace {
 
-/// Titles of the columns that say what was played.
+/// Titles of the columns that identify the run.
 constexpr std::array<std::string_view, 5> kRunTitles{"scenario", "hash", "version", "policy", "seed"};
-/// Begins the title of a column with values of a changed field.
+/// Prefix of the title of a column with the values of a changed field.
 constexpr std::string_view kFieldPrefix = "field:";
 constexpr std::string_view kEndMark = "# end";
 
@@ -32,10 +32,10 @@
   return value;
 }
 
-/// Titles of the columns that follow kRunTitles.
+/// The columns that follow kRunTitles.
 struct Columns {
   std::set<std::string> fields;
-  std::vector<std::string> figures;  ///< In the order in which the rows name them first.
+  std::vector<std::string> figures;  ///< In the order of their first occurrence in the rows.
 };
 
 Columns columnsOf(const std::vector<Row>& rows) {
@@ -74,13 +74,13 @@
 void checkIsTable(const std::vector<CsvLine>& lines, const std::string& file) {
   const bool complete = lines.size() >= 2 && lines.back().size() == 2 && lines.back()[0] == kEndMark &&
                         lines.back()[1] == std::to_string(lines.size() - 2);
-  if (!complete) throw LabError(file + ": the table is cut short");
+  if (!complete) throw LabError(file + ": truncated table: the last line does not hold the number of rows");
   const CsvLine& titles = lines.front();
   if (titles.size() < kRunTitles.size() || !std::equal(kRunTitles.begin(), kRunTitles.end(), titles.begin()))
-    throw LabError(file + ":1: this is no table of the laboratory's");
+    throw LabError(file + ":1: not a result table of merlinbridge_lab");
 }
 
-/// The table's titles under their present names.
+/// The table's titles, with those of earlier versions replaced by the current ones.
 CsvLine currentTitles(const CsvLine& titles, const std::string& file, const WarningSink& warn) {
   CsvLine current;
   std::string renamed;
@@ -88,8 +88,8 @@
     current.emplace_back(currentTitle(title));
     if (current.back() == title) continue;
     if (std::find(titles.begin(), titles.end(), current.back()) != titles.end())
-      throw LabError(fmt::format("{}:1: '{}' is the earlier title of '{}', and the table has both", file,
-                                 title, current.back()));
+      throw LabError(fmt::format("{}:1: '{}' is the earlier title of '{}'; the table has both", file, title,
+                                 current.back()));
     renamed += fmt::format("{}{} (now {})", renamed.empty() ? "" : ", ", title, current.back());
   }
   if (warn && !renamed.empty()) warn(fmt::format("{}: titles of an earlier version: {}", file, renamed));
@@ -136,9 +136,9 @@
   {
     std::ofstream file(partial, std::ios::binary | std::ios::trunc);
     file << text << std::flush;
-    if (!file) throw LabError(partial + ": cannot be written");
+    if (!file) throw LabError(partial + ": cannot write the file");
   }
-  if (std::rename(partial.c_str(), path.c_str()) != 0) throw LabError(path + ": cannot be put in place");
+  if (std::rename(partial.c_str(), path.c_str()) != 0) throw LabError(path + ": cannot replace the file");
 }
 
 }  // namespace merlinbridge::lab
--- a/src/lab/result_table.hpp
+++ b/src/lab/result_table.hpp
@@ -7,16 +7,16 @@
 
 #include "lab/lab_error.hpp"
 
-/// Result tables: runs as lines of CSV.
+/// Result tables: CSV files with one line per run.
 namespace merlinbridge::lab {
 
 /// Values of changed scenario fields, by the field's path ("fleet.gateways").
 using FieldValues = std::map<std::string, std::string>;
 
-/// One run: what was played, and its figures by title.
+/// One run: what identifies it, and its figures by title.
 struct Row {
   std::string scenario;
-  std::string hash;  ///< Of the scenario as played, 16 hex digits.
+  std::string hash;  ///< Hash of the scenario as played, 16 hex digits.
   std::string version;
   std::string policy;
   std::uint64_t seed = 0;
@@ -24,17 +24,17 @@
   std::map<std::string, double> figures;
 };
 
-/// Rows as CSV, in the order given. The last line holds their number, so that a table that was cut short is
-/// recognized.
+/// Rows as CSV, in the order given. The last line holds the number of rows, so that a truncated table is
+/// detected.
 std::string writeTable(const std::vector<Row>&);
 
-/// Reads a table that this version or an earlier one wrote. Titles of an earlier version are read under their
-/// present names; a table with such titles gives one warning that names both. `file` is named in errors.
-/// Throws LabError if the text is no such table, is cut short, or has a cell that is no number.
+/// Reads a table that this version or an earlier one wrote. Titles of an earlier version are replaced by the
+/// current ones, with one warning per table that lists both. `file` is the name for errors and warnings.
+/// Throws LabError if the text is not a result table or is truncated, or if a number in it is invalid.
 std::vector<Row> readTable(const std::string& text, const std::string& file, const WarningSink& = {});
 
-/// Replaces a file in one step: its text is written beside it and renamed, so that a crash leaves the old
-/// file or none. Throws LabError.
+/// Replaces a file atomically: writes the text to a temporary file in the same folder and renames it. A crash
+/// before the renaming leaves the old file, or none if there was none. Throws LabError.
 void replaceFile(const std::string& path, const std::string& text);
 
 }  // namespace merlinbridge::lab
--- a/src/lab/run_result.cpp
+++ b/src/lab/run_result.cpp
@@ -9,7 +9,7 @@
 namespace merlinbridge::lab {
 namespace {
 
-/// Covers every event of the run in order: two runs that are alike have the same.
+/// Title of the fingerprint, which covers all events of the run in order: identical runs have the same one.
 constexpr std::string_view kFingerprintTitle = "print";
 
 }  // namespace
--- a/src/lab/run_result.hpp
+++ b/src/lab/run_result.hpp
@@ -6,24 +6,24 @@
 #include "emulator/metrics.hpp"
 #include "lab/result_table.hpp"
 
-/// One run in the forms in which the laboratory writes it.
+/// A run and its output formats.
 namespace merlinbridge::lab {
 
-/// What is to be played.
+/// The input of one run.
 struct Run {
   emulator::Scenario scenario;
-  FieldValues fields;  ///< Changes that are already made in the scenario; kept for the table.
+  FieldValues fields;  ///< Changes already applied to the scenario; kept for the table.
   std::uint64_t seed = 1;
   emulator::Policy policy = emulator::Policy::module;
 };
 
-/// The run's row of a result table.
+/// The run's row in a result table.
 Row rowOf(const Run&, const emulator::Metrics&);
 
-/// What happened in each second of the run, as CSV. The last line holds the number of seconds.
+/// The run's numbers for each second, as CSV. The last line holds the number of seconds.
 std::string timelineTable(const emulator::Metrics&);
 
-/// The run's figures, its fingerprint and its first violations of invariants, as lines of text.
+/// The run's figures, its fingerprint and the first violations of invariants, as lines of text.
 std::string summaryOf(const Run&, const emulator::Metrics&);
 
 }  // namespace merlinbridge::lab
--- a/src/lab/scenario_shrinker.cpp
+++ b/src/lab/scenario_shrinker.cpp
@@ -13,17 +13,18 @@
 using emulator::Scenario;
 
 constexpr Duration kMinLength = std::chrono::seconds(1);
-/// A shortened scenario lasts so much longer than the start of its last fault, so that the effect shows.
+/// Minimum time between the start of the last fault and the end of a shortened scenario, in which the fault
+/// can take effect.
 constexpr double kSecondsAfterLastFault = 1;
-/// A fault that begins earlier is not moved further towards the start.
+/// A fault that starts earlier than this is not moved to an even earlier time.
 constexpr double kMinFaultStartSeconds = 0.5;
 
-/// Collects the scenarios that are one step smaller than a given one.
+/// Generates the scenarios that are one reduction step smaller than a given one.
 class SmallerScenarios {
  public:
   explicit SmallerScenarios(const Scenario& scenario) : scenario_(scenario) {}
 
-  /// All of them, those that save the most first.
+  /// All of these scenarios, those that reduce the most first.
   std::vector<Scenario> all() && {
     leaveOutEach(&Scenario::faults, 0);
     halve(&Scenario::gateways, 1);
@@ -80,7 +81,8 @@
 ShrunkScenario shrink(const Scenario& scenario, const ScenarioPredicate& showsBehaviour,
                       std::size_t maxRuns) {
   ShrunkScenario found{scenario, 1};
-  if (!showsBehaviour(scenario)) throw LabError("the scenario does not show it with this seed");
+  if (!showsBehaviour(scenario))
+    throw LabError("the unmodified scenario does not show the behaviour with this seed");
   bool improved = true;
   while (improved && found.runs < maxRuns) {
     improved = false;
--- a/src/lab/svg_chart.cpp
+++ b/src/lab/svg_chart.cpp
@@ -10,7 +10,7 @@
 namespace merlinbridge::lab {
 namespace {
 
-/// The image, in pixels: a plot area with margins, of which the right one holds the legend.
+/// Size of the image in pixels: a plot area with margins. The legend is in the right margin.
 constexpr double kWidth = 840;
 constexpr double kHeight = 440;
 constexpr double kLeftMargin = 80;
@@ -24,7 +24,7 @@
 constexpr double kLegendGap = 14;
 constexpr double kHalfBarWidth = 4;
 
-/// Room above the highest value, as a share of the axis.
+/// Space above the highest value, as a fraction of the axis.
 constexpr double kHeadroom = 0.05;
 
 constexpr std::array<std::string_view, 6> kColours{"#1b6ca8", "#c0392b", "#2e8b57",
@@ -68,8 +68,8 @@
   for (const ChartSeries& series : chart.series)
     for (const ChartPoint& point : series.points) extent.include(point.position);
   const bool logarithmic = chart.horizontalScale == AxisScale::logarithmic;
-  if (extent.low > extent.high) throw LabError("there is nothing to draw");
-  if (logarithmic && extent.low <= 0) throw LabError("a logarithmic axis has no place for 0");
+  if (extent.low > extent.high) throw LabError("the chart has no points");
+  if (logarithmic && extent.low <= 0) throw LabError("a logarithmic axis cannot show values of 0 or below");
   if (extent.low == extent.high) {
     extent.low -= logarithmic ? extent.low / 2 : 1;
     extent.high += 1;
@@ -92,7 +92,7 @@
   return extent;
 }
 
-/// Draws one chart; the elements are appended in the order in which they cover one another.
+/// Draws one chart. Later elements cover earlier ones.
 class SvgChart {
  public:
   explicit SvgChart(const Chart& chart)
--- a/src/simulator_adapter/gateway_instance.cpp
+++ b/src/simulator_adapter/gateway_instance.cpp
@@ -67,7 +67,7 @@
 
 void GatewayInstance::handleAttemptEnd(const config::JsonFields& fields, TimePoint now) {
   const auto request = requestIds_.find(parseRequestIdField(fields));
-  // The end of a request that is over is dropped with its other fields unread: they may be anything.
+  // The request has already ended: ignore the message without reading its other fields, which may be invalid.
   if (request == requestIds_.end()) return;
   const AttemptEnd end = parseAttemptEnd(fields, loadFieldNames_);
   core::UpstreamResponse response;
@@ -99,7 +99,7 @@
   writer_.setTimer(std::max(next, now));
 }
 
-// The simulator hands a host's answer to the client itself.
+// The simulator forwards a host's response to the client itself.
 void GatewayInstance::sendResponse(SlotRef, std::string_view, std::string_view) {}
 
 void GatewayInstance::sendRejection(SlotRef client, Duration retryAfter) {
--- a/src/simulator_adapter/gateway_instance.hpp
+++ b/src/simulator_adapter/gateway_instance.hpp
@@ -10,18 +10,18 @@
 
 namespace merlinbridge::simulator_adapter {
 
-/// One simulated gateway: the core of the daemon, with the simulator's messages in the place of sockets. The
-/// simulator ends attempts at their deadline and hands answers to clients; a request's identifier on the wire
-/// stands for its client.
+/// One simulated gateway: the core of the daemon, with the simulator's messages instead of sockets. The
+/// simulator ends attempts at their deadline and forwards responses to clients. The core's reference to a
+/// client holds the identifier that its request has on the wire.
 class GatewayInstance final : private core::Transport {
  public:
-  /// `reply` gathers what the gateway sends; it must outlive the instance.
+  /// The gateway's messages are appended to `reply`, which must outlive the instance.
   GatewayInstance(std::int64_t number, const GatewayStart&, TimePoint now, ReplyBuffer& reply);
 
-  /// Handles one message, which must be about this gateway, and asks for the next wake-up. Throws
-  /// config::ConfigError on a message that cannot be read or is unknown, and what the core throws.
+  /// Handles one message to this gateway and sets the timer for the next deadline. Throws config::ConfigError
+  /// if the message is invalid or unknown, and passes on the exceptions of the core.
   void handle(const Message&, TimePoint now);
-  /// Tells the simulator that handle() has thrown something other than a ConfigError.
+  /// Tells the simulator that handle() threw an exception other than ConfigError.
   void reportFault(std::string_view text) { writer_.fault(text); }
 
  private:
@@ -38,7 +38,7 @@
                                                     AttemptDeadline) override;
   bool closeAttempt(core::SlotRef client, AttemptNumber, core::SlotRef connection) override;
   void addToCounter(const CounterKey&, double units, Duration keepFor) override;
-  void hostUnavailable(HostId) override {}  // The simulator keeps the connections.
+  void hostUnavailable(HostId) override {}  // The simulator manages the connections.
   void report(EngineEvent) override;
   void endpointTableFull(std::string_view hostName) override;
 
@@ -49,14 +49,14 @@
   void handleTimer(TimePoint now);
   void handleCounterCallEnd(const CounterCallEnd&, TimePoint now);
   void eraseIfEnded(RequestIds::iterator);
-  /// Asks to be woken for the next deadline, unless an earlier wake-up is due anyway.
+  /// Sets the simulator's timer for the next deadline, unless it is already set for that time or earlier.
   void updateTimer(TimePoint now);
 
   MessageWriter writer_;
   std::vector<std::string> loadFieldNames_;
   core::DeadlineQueue deadlines_;
-  TimePoint timerDueAt_ = TimePoint::max();  ///< The earliest wake-up asked for; max(): none.
-  RequestIds requestIds_;                    ///< Of the requests that the core still holds.
+  TimePoint timerDueAt_ = TimePoint::max();  ///< The earliest time that a timer is set for; max(): none.
+  RequestIds requestIds_;                    ///< Of the requests that the core has not ended.
   core::GatewayCore core_;
 };
 
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,5 @@
-// The program that the simulator starts: reads its messages on standard input and replies on standard output.
-// Exit codes: 0 the input ended, 1 the input could not be understood; the reason is on standard error.
+// The program that the simulator starts: reads messages from standard input and replies on standard output.
+// Exit codes: 0 end of input, 1 invalid input; the reason is on standard error.
 #include <exception>
 #include <iostream>
 
--- a/src/simulator_adapter/message_reader.cpp
+++ b/src/simulator_adapter/message_reader.cpp
@@ -14,9 +14,10 @@
 using config::element;
 using config::JsonFields;
 
-/// So much of a line that cannot be read is quoted in the error.
+/// Number of characters of an invalid line that the error quotes.
 constexpr std::size_t kQuotedCharacters = 60;
 
+/// A name on the wire and the value that it denotes.
 template <class Value>
 struct WireName {
   std::string_view name;
@@ -34,11 +35,11 @@
     WireName<MessageKind>{"fired", MessageKind::timerFired},
     WireName<MessageKind>{"counted", MessageKind::counterCallEnded},
     WireName<MessageKind>{"peersKnown", MessageKind::endpointsUpdated},
-    // A response that breaks off after its head counts as answered: `result` says so.
+    // Not needed: a response that ends early after its head counts as answered, and `result` says so.
     WireName<MessageKind>{"headReceived", MessageKind::ignored},
-    // The gateways send no health checks.
+    // The result of a health check; the gateways send none.
     WireName<MessageKind>{"pingResult", MessageKind::ignored},
-    // The gateways exchange no messages with one another.
+    // A message from another gateway; the gateways exchange none.
     WireName<MessageKind>{"mail", MessageKind::ignored},
 };
 
@@ -62,7 +63,7 @@
 
 Outcome parseOutcome(const JsonFields& fields) {
   const auto outcome = valueOf(fields.require<std::string_view>("code"), kOutcomeNames);
-  if (!outcome) fields.fail("code", "is not known");
+  if (!outcome) fields.fail("code", "is not a known outcome");
   return *outcome;
 }
 
@@ -80,7 +81,7 @@
   auto name = fieldNames.begin();
   for (const element stat : stats) {
     double value = 0;
-    if (stat.get(value)) fields.fail("stats", "holds what is not a number");
+    if (stat.get(value)) fields.fail("stats", "contains a value that is not a number");
     if (name == fieldNames.end()) break;
     config::setLoadField(load, *name++, value);
   }
@@ -110,11 +111,12 @@
   line_.reserve(line_.size() + simdjson::SIMDJSON_PADDING);
   simdjson::dom::object message;
   if (parser_.parse(line_).get(message))
-    throw ConfigError("a line is not a JSON object: " + line_.substr(0, kQuotedCharacters));
+    throw ConfigError("input line is not a JSON object: " + line_.substr(0, kQuotedCharacters));
   if (message.size() != 1)
-    throw ConfigError("a message has not exactly one name: " + line_.substr(0, kQuotedCharacters));
+    throw ConfigError("message must be an object with exactly one member: " +
+                      line_.substr(0, kQuotedCharacters));
   const auto [name, body] = *message.begin();
-  if (!body.is_object()) throw ConfigError(std::string(name) + ": has no object of fields");
+  if (!body.is_object()) throw ConfigError(std::string(name) + ": value is not a JSON object");
   return Message{valueOf(name, kMessageNames).value_or(MessageKind::unknown), name, JsonFields(name, body)};
 }
 
--- a/src/simulator_adapter/message_reader.hpp
+++ b/src/simulator_adapter/message_reader.hpp
@@ -9,15 +9,15 @@
 
 namespace merlinbridge::simulator_adapter {
 
-/// Reads the simulator's messages from a stream: one JSON object a line with one member, whose name is the
-/// message's and whose value holds its fields. Blank lines are skipped.
+/// Reads the simulator's messages from a stream. Each line is a JSON object with one member: the message's
+/// name, and an object that holds its fields. Blank lines are skipped.
 class MessageReader {
  public:
   /// The stream must outlive the reader.
   explicit MessageReader(std::istream& in) : in_(in) {}
 
   /// The next message, or nothing at the end of the input. Blocks on the stream. Throws config::ConfigError
-  /// on a line that is no message.
+  /// if a line is not a message.
   std::optional<Message> next();
 
  private:
@@ -26,22 +26,23 @@
   simdjson::dom::parser parser_;
 };
 
-// The functions below each read the fields of one kind of message. All throw config::ConfigError, which names
-// the message and the field, when a field is missing or has an impossible value.
+// The functions below read fields of messages. They throw config::ConfigError, which names the message and
+// the field, if a field is missing or has an invalid value.
 
-/// The batch's time, from batchStarted.
+/// The time of the batch, from batchStarted.
 TimePoint parseBatchTime(const config::JsonFields&);
-/// The number of the gateway that a message is for; all but those about batches have one.
+/// The number of the gateway that receives the message; every message except batchStarted and batchEnded has
+/// one.
 std::int64_t parseGatewayNumber(const config::JsonFields&);
 GatewayStart parseGatewayStart(const config::JsonFields&);
-/// The request that requestArrived, clientDisconnected and attemptEnded are about.
+/// The request that a requestArrived, clientDisconnected or attemptEnded message refers to.
 WireRequestId parseRequestIdField(const config::JsonFields&);
 RequestArrival parseRequestArrival(const config::JsonFields&);
-/// `loadFieldNames`: as in the gateway's GatewayStart. Figures beyond the named ones are ignored.
+/// `loadFieldNames`: as in the gateway's GatewayStart. Load values without a name there are ignored.
 AttemptEnd parseAttemptEnd(const config::JsonFields&, const std::vector<std::string>& loadFieldNames);
-/// Nothing if the counter's name is not one that this adapter gives.
+/// Nothing if the counter's name cannot be one that counterName() returns.
 std::optional<CounterCallEnd> parseCounterCallEnd(const config::JsonFields&);
-/// Nothing if the message only says that discovery was lost.
+/// Nothing if the message only reports that discovery became unavailable.
 std::optional<config::EndpointList> parseEndpointList(const config::JsonFields&);
 
 }  // namespace merlinbridge::simulator_adapter
--- a/src/simulator_adapter/message_writer.cpp
+++ b/src/simulator_adapter/message_writer.cpp
@@ -9,7 +9,7 @@
 namespace merlinbridge::simulator_adapter {
 namespace {
 
-/// All times of the wire are whole microseconds.
+/// All times and durations on the wire are whole microseconds.
 std::int64_t microseconds(Duration duration) {
   return std::chrono::duration_cast<std::chrono::microseconds>(duration).count();
 }
--- a/src/simulator_adapter/message_writer.hpp
+++ b/src/simulator_adapter/message_writer.hpp
@@ -11,30 +11,30 @@
 
 namespace merlinbridge::simulator_adapter {
 
-/// The reply to a batch, gathered until the batch ends.
+/// The reply to a batch, collected until the batch ends.
 using ReplyBuffer = fmt::memory_buffer;
 
-/// Writes one gateway's messages to the simulator: one JSON object a line, appended to the reply. The names
-/// that the messages and their fields have on the wire are known to message_writer.cpp alone.
+/// Writes one gateway's messages to the simulator: one JSON object per line, appended to the reply. Only
+/// message_writer.cpp refers to the names that the messages and their fields have on the wire.
 class MessageWriter {
  public:
-  /// `gatewayNumber` goes into each message. The reply must outlive the writer.
+  /// Each message holds `gatewayNumber`. The reply must outlive the writer.
   MessageWriter(std::int64_t gatewayNumber, ReplyBuffer& reply)
       : gatewayNumber_(gatewayNumber), reply_(reply) {}
 
-  /// Rejects a request; the client may repeat it after `retryAfter`. 0: it is told no time.
+  /// Rejects a request. The client may retry after `retryAfter`; 0: no retry time is given.
   void reject(WireRequestId, Duration retryAfter);
   /// Ends a request as failed.
   void fail(WireRequestId);
-  /// Starts an attempt at a host. The simulator gives it up at `abandonAt`.
+  /// Starts an attempt at a host. The simulator abandons it at `abandonAt`.
   void startAttempt(WireRequestId, std::string_view host, TimePoint abandonAt);
-  /// Cancels an attempt; its end still comes as attemptEnded.
+  /// Cancels an attempt. The simulator still sends attemptEnded for it.
   void cancelAttempt(WireRequestId, AttemptNumber);
-  /// Adds units to a counter of the counter service, which keeps it for that long.
+  /// Adds units to a counter of the counter service. The service deletes the counter after `keepFor`.
   void addToCounter(const CounterKey&, double units, Duration keepFor);
-  /// Asks for timerFired at that time.
+  /// Requests a timerFired message at that time.
   void setTimer(TimePoint);
-  /// A line of the gateway's log.
+  /// Writes a line to the gateway's log.
   void log(std::string_view text);
   /// Reports that handling a message failed.
   void fault(std::string_view text);
@@ -43,7 +43,7 @@
   static void endReply(ReplyBuffer&);
 
  private:
-  /// One line: the gateway's number and the arguments in the places of `format`.
+  /// Appends one line: `format` with the gateway's number and `args` as its arguments.
   template <class... Args>
   void write(std::string_view format, const Args&... args);
 
--- a/src/simulator_adapter/session.cpp
+++ b/src/simulator_adapter/session.cpp
@@ -11,17 +11,17 @@
 
 void Session::handle(const Message& message) {
   if (message.kind == MessageKind::batchStarted) return beginBatch(message.fields);
-  if (!inBatch_) throw ConfigError(std::string(message.name) + ": outside a batch");
+  if (!inBatch_) throw ConfigError(std::string(message.name) + ": received outside a batch");
   if (message.kind == MessageKind::batchEnded) return endBatch();
   handleForGateway(message);
 }
 
 void Session::end() const {
-  if (inBatch_) throw ConfigError("eofBatch: missing, the input ended inside a batch");
+  if (inBatch_) throw ConfigError("eofBatch: missing, input ended inside a batch");
 }
 
 void Session::beginBatch(const config::JsonFields& fields) {
-  if (inBatch_) throw ConfigError("turn: inside a batch");
+  if (inBatch_) throw ConfigError("turn: received inside a batch");
   now_ = parseBatchTime(fields);
   inBatch_ = true;
 }
@@ -48,7 +48,7 @@
   }
   if (gateway == gateways_.end())
     throw ConfigError(std::string(message.name) + ": field 'i' names instance " + std::to_string(number) +
-                      ", which was never started");
+                      ", which is not running");
   try {
     gateway->second.handle(message, now_);
   } catch (const ConfigError&) {
--- a/src/simulator_adapter/session.hpp
+++ b/src/simulator_adapter/session.hpp
@@ -9,19 +9,18 @@
 
 namespace merlinbridge::simulator_adapter {
 
-/// A conversation with the simulator: the gateways of this process by number, and the batch that is being
-/// read. All messages of a batch carry one time; the replies of all gateways leave together when the batch
-/// ends.
+/// A session with the simulator: the gateways of this process by number, and the state of the current batch.
+/// All messages of a batch happen at the same time; the replies of all gateways are written together when the
+/// batch ends.
 class Session {
  public:
   /// Replies are written to `out`, which must outlive the session.
   explicit Session(std::ostream& out) : out_(out) {}
 
-  /// Throws config::ConfigError on a message that cannot be read, is out of place, or is for a gateway that
-  /// was never started. An exception of another type that a gateway throws is reported to the simulator as a
-  /// fault.
+  /// Throws config::ConfigError if the message is invalid, is not allowed at this point, or is for a gateway
+  /// that is not running. Other exceptions that a gateway throws are reported to the simulator as faults.
   void handle(const Message&);
-  /// The input has ended. Throws config::ConfigError if it ended inside a batch.
+  /// To be called at the end of the input. Throws config::ConfigError if the input ended inside a batch.
   void end() const;
 
  private:
--- a/src/simulator_adapter/wire_names.cpp
+++ b/src/simulator_adapter/wire_names.cpp
@@ -11,7 +11,7 @@
 constexpr int kHexadecimal = 16;
 constexpr char kQuotaUsageLetter = 'u';
 constexpr char kInFlightTimeLetter = 'o';
-/// A letter, a digit, the dot and a digit.
+/// The shortest counter name: a letter, a digit, the dot and a digit.
 constexpr std::size_t kMinCounterNameLength = 4;
 
 }  // namespace
--- a/src/simulator_adapter/wire_names.hpp
+++ b/src/simulator_adapter/wire_names.hpp
@@ -7,17 +7,17 @@
 #include "policy_api/ids.hpp"
 #include "simulator_adapter/message.hpp"
 
-/// Identifiers as texts on the simulator's wire, both ways.
+/// Converts identifiers to and from their form on the simulator's wire.
 namespace merlinbridge::simulator_adapter {
 
-/// Reads 16 hex digits; nothing if the text is anything else.
+/// Parses 16 hex digits; nothing if the text has another form.
 std::optional<WireRequestId> parseRequestId(std::string_view text);
 
-/// Names a counter on the simulator's counter service: "u" for quota use or "o" for time in flight, the
-/// customer, a dot, the slot.
+/// The counter's name on the simulator's counter service: "u" for quota usage or "o" for time in flight, then
+/// the customer, a dot and the slot.
 std::string counterName(const CounterKey&);
 
-/// The key of a counter that this adapter named; nothing if the text cannot be such a name.
+/// The key of a counter that was named by counterName(); nothing if the text cannot be such a name.
 std::optional<CounterKey> parseCounterName(std::string_view name);
 
 }  // namespace merlinbridge::simulator_adapter
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -58,18 +58,19 @@
   ::rmdir(folder);
 }
 
-TEST_CASE("confidence intervals are Student's, and no difference is claimed inside them") {
+TEST_CASE("confidence intervals use Student's t, and a difference is claimed only outside of them") {
   const Estimate estimate = estimateOf({1, 2, 3, 4});
   CHECK(estimate.mean == Approx(2.5));
   CHECK(*estimate.halfWidth ==
-        Approx(3.182 * std::sqrt(5.0 / 3 / 4)).epsilon(1e-3));  // t of 3 degrees, 95 in 100
+        Approx(3.182 * std::sqrt(5.0 / 3 / 4)).epsilon(1e-3));  // t for 3 degrees of freedom, 95%
   CHECK_FALSE(estimateOf({1}).halfWidth);
   const std::vector<Row> before{row(1, 0.5), row(2, 0.9), row(3, 0.1), row(4, 0.4)};
   const std::vector<Row> higher{row(4, 0.51), row(1, 0.6), row(2, 1.0), row(3, 0.2), row(9, 5)};
   const Comparison comparison = compare(before, higher, "worth");
   CHECK(comparison.difference.count == 4);
   CHECK(comparison.difference.mean == Approx(0.1025));
-  CHECK(comparison.verdict().starts_with("higher by"));  // Pair by pair, though each table spreads wider.
+  // The differences of the pairs vary less than the values in each table.
+  CHECK(comparison.verdict().starts_with("higher by"));
   const std::vector<Row> noise{row(1, 0.6), row(2, 0.8), row(3, 0.2), row(4, 0.3)};
   CHECK(compare(before, noise, "utility_served").verdict().starts_with("no difference shown"));
   CHECK(compare({row(1, 1)}, {row(1, 2)}, "worth").verdict().starts_with("no difference shown"));
@@ -96,7 +97,7 @@
   CHECK(axisTicks(3, 300, AxisScale::logarithmic) == std::vector<double>{3, 10, 30, 100, 300});
 }
 
-TEST_CASE("shrinking keeps what shows the behaviour and leaves out the rest") {
+TEST_CASE("shrinking keeps what the behaviour needs and removes the rest") {
   emulator::Scenario scenario;
   scenario.gateways = 64;
   scenario.hosts = 40;
@@ -128,7 +129,7 @@
                   LabError);
 }
 
-TEST_CASE("a table with the titles of an earlier version is read under the present ones, with one warning") {
+TEST_CASE("a table with the titles of an earlier version is read under the current ones, with one warning") {
   const std::string file = MERLINBRIDGE_SOURCE_DIR "/docs/experiments/counter.csv";
   std::vector<std::string> warnings;
   const auto rows = readTable(emulator::textOfFile(file), file,
@@ -143,24 +144,24 @@
   for (const char* const names : {"counter.csv: ", "asked (now requests)", "worth (now utility_served)"})
     CHECK_THAT(warnings[0], Catch::Contains(names));
 
-  // Written anew, it has the present titles: no warning.
+  // Written again, the table has the current titles and gives no warning.
   readTable(writeTable(rows), "t.csv",
             [&warnings](const std::string& warning) { warnings.push_back(warning); });
   CHECK(warnings.size() == 1);
-  // Compared and drawn by the earlier title or the present one.
+  // Comparisons and charts accept the earlier title as well as the current one.
   CHECK(compare(rows, rows, "worth").first.mean == compare(rows, rows, "utility_served").first.mean);
   CHECK(renderSvg(chartOf(rows, "fleet.gateways", "worth", AxisScale::linear)) ==
         renderSvg(chartOf(rows, "fleet.gateways", "utility_served", AxisScale::linear)));
 }
 
-TEST_CASE("a table with a figure under its earlier and its present title is refused") {
+TEST_CASE("a table with a figure under both its earlier and its current title is refused") {
   const std::string text =
       "scenario,hash,version,policy,seed,worth,utility_served\na,0,1,module,1,0.5,0.6\n# end,1\n";
   CHECK_THROWS_WITH(readTable(text, "t.csv"),
                     Catch::Contains("'worth' is the earlier title of 'utility_served'"));
 }
 
-TEST_CASE("the list of renamed titles that compare_results.sh uses is the one that tables are read with") {
+TEST_CASE("compare_results.sh and the table reader use the same list of renamed titles") {
   std::ifstream list(MERLINBRIDGE_SOURCE_DIR "/scripts/renamed_titles.txt");
   std::size_t count = 0;
   for (std::string before, now; list >> before >> now; ++count) CHECK(currentTitle(before) == now);
@@ -184,7 +185,7 @@
   CHECK_THROWS_AS(parseSweptField("x"), LabError);
 }
 
-TEST_CASE("cells of CSV may hold commas, quotes and line ends") {
+TEST_CASE("CSV cells may contain commas, quotes and line ends") {
   const CsvLine cells{"plain", "a,b", "say \"x\"", "two\nlines", ""};
   std::string line;
   for (const std::string& cell : cells) line += (line.empty() ? "" : ",") + csvCell(cell);
@@ -192,7 +193,7 @@
   CHECK_THROWS_AS(parseCsv(line, "t.csv"), LabError);
 }
 
-TEST_CASE("runs played at once give the outcomes of runs played one after the other, in their order") {
+TEST_CASE("runs played in parallel give the same outcomes, in the same order, as runs played one by one") {
   const ExperimentRunner runner(MERLINBRIDGE_SOURCE_DIR "/scenarios/plain.toml", {"length=1s"});
   std::vector<Run> runs;
   for (const std::uint64_t seed : {4, 2, 7})
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -41,10 +41,9 @@
 
 }  // namespace
 
-// Recorded with the program of commit 43c0e38: 1,237 batches with rejections, retries, shed load, an
-// unresponsive counter service, a gateway that stops and starts, late messages and ignored ones.
-TEST_CASE(
-    "the adapter answers a recorded conversation with the same bytes as the version that was recorded") {
+// Recorded at commit 43c0e38: 1,237 batches with rejections, retries, load shedding, an unresponsive counter
+// service, a gateway that restarts, late messages and ignored ones.
+TEST_CASE("the adapter replies to a recorded session with the same bytes as the recorded version") {
   const std::string expected = contentOf("simulator_conversation_output.jsonl");
   REQUIRE(expected.size() > 90'000);
   CHECK(reply(contentOf("simulator_conversation_input.jsonl")) == expected);
@@ -116,7 +115,7 @@
   CHECK_FALSE(end.responseForwarded);
 }
 
-TEST_CASE("the message writer appends one line a message and escapes texts") {
+TEST_CASE("the message writer appends one line per message and escapes texts") {
   ReplyBuffer reply;
   MessageWriter writer(4, reply);
   writer.reject({0xff}, std::chrono::milliseconds(2));
@@ -128,7 +127,7 @@
         "\n{\"ready\":{}}\n");
 }
 
-TEST_CASE("a counter's name reads back as its key, and foreign names are recognized") {
+TEST_CASE("a counter's name is parsed back to its key, and other names are refused") {
   for (const auto kind : {CounterKey::Kind::quotaUsage, CounterKey::Kind::inFlightTime}) {
     const CounterKey key{kind, {18446744073709551615u}, {-3}};
     CHECK(parseCounterName(counterName(key)) == key);
