--- a/src/emulator/client_population.cpp
+++ b/src/emulator/client_population.cpp
@@ -87,10 +87,10 @@
   const Duration timeout = scenario.methods[request.method].deadline;
   request.startedAt = run_.now();
   request.deadline = request.startedAt + timeout;
-  request.attemptsLeft = scenario.tries;
+  request.attemptsLeft = scenario.maxClientAttempts;
   const SlotRef ref = requests_.add(request);
-  ++run_.metrics().asked;
-  ++run_.currentSecond().asked;
+  ++run_.metrics().requests;
+  ++run_.currentSecond().requests;
   run_.metrics().utilityOffered += utilityOf(request);
   const bool early = arrivals_.bernoulli(scenario.abandonProbability);
   const TimePoint until =
@@ -109,7 +109,7 @@
   ClientRequest& request = *requests_.find(ref);
   if (request.attemptsLeft-- <= 0 || run_.now() >= request.deadline) return failRequest(ref);
   ++request.attemptsMade;
-  ++run_.metrics().tries;
+  ++run_.metrics().clientAttempts;
   const std::uint32_t gateway = front_.choose(request.customer, choices_.uniform01());
   const ClientAttemptId id{++lastAttemptId_};
   request.currentAttempt = attempts_.add(ClientAttempt{ref, id, gateways_.processOf(gateway), false});
@@ -121,17 +121,17 @@
   if (!attempt) return;
   attempt->gateway = gateways_.processOf(attempt->gateway.gateway);
   if (!gateways_.isRunning(attempt->gateway)) {
-    ++run_.metrics().unreached;
+    ++run_.metrics().gatewayUnreachable;
     run_.events().after(network_.delay(), [this, ref] { endAttempt(ref, Retry::allowed, Duration{0}); });
     return;
   }
   const ClientRequest& request = *requests_.find(attempt->request);
   const std::uint32_t gateway = attempt->gateway.gateway;
-  run_.checker().taken(
+  run_.checker().requestReceived(
       run_.now(), attempt->id,
       {{gateway}, request.method, request.plan, request.customer, request.units, request.deadline});
-  run_.metrics().maxInFlight = std::max(run_.metrics().maxInFlight, run_.checker().held());
-  run_.trace(TraceEvent::requestTaken, attempt->id.value);
+  run_.metrics().maxInFlight = std::max(run_.metrics().maxInFlight, run_.checker().openRequestCount());
+  run_.trace(TraceEvent::requestReceived, attempt->id.value);
   Request forGateway;
   forGateway.customer = {request.customer};
   forGateway.plan = {request.plan};
@@ -154,7 +154,7 @@
   if (retry == Retry::forbidden) return failRequest(requestRef);
   const Scenario& scenario = run_.scenario();
   const int doublings = std::min(kMaxBackoffDoublings, request->attemptsMade - 1);
-  Duration wait = scaled(scenario.wait, (0.5 + choices_.uniform01()) * double(1 << doublings));
+  Duration wait = scaled(scenario.initialBackoff, (0.5 + choices_.uniform01()) * double(1 << doublings));
   if (retryAfter > Duration{0} && choices_.bernoulli(scenario.honorsRetryAfter))
     wait = std::max(wait, retryAfter);
   if (run_.now() + wait >= request->deadline || request->attemptsLeft <= 0) return failRequest(requestRef);
@@ -166,9 +166,9 @@
 // Whether a client may send a request again that may have been served: it must have no second effect.
 ClientPopulation::Retry ClientPopulation::retryAfterFailure(const ClientRequest& request) const {
   const ScenarioMethod& method = run_.scenario().methods[request.method];
-  const bool deduplicated = method.repeat == Idempotency::deduplicated && method.group == DeduplicationScope::all &&
-                            run_.now() < request.startedAt + method.window;
-  return method.repeat == Idempotency::idempotent || deduplicated ? Retry::allowed : Retry::forbidden;
+  const bool deduplicated = method.idempotency == Idempotency::deduplicated && method.deduplicationScope == DeduplicationScope::all &&
+                            run_.now() < request.startedAt + method.deduplicationWindow;
+  return method.idempotency == Idempotency::idempotent || deduplicated ? Retry::allowed : Retry::forbidden;
 }
 
 void ClientPopulation::countFailure() {
@@ -203,7 +203,7 @@
   run_.events().after(network_.delay(), [this, ref, id = attempt->id, gateway] {
     if (!attempts_.find(ref)) return;
     if (gateways_.isRunning(gateway)) {
-      run_.checker().clientLeft(run_.now(), id);
+      run_.checker().clientDisconnected(run_.now(), id);
       gateways_.clientLeft(gateway.gateway, ref);
     }
     attempts_.drop(ref);
@@ -213,7 +213,7 @@
 void ClientPopulation::answerSent(SlotRef clientAttempt, Answer answer, Duration retryAfter) {
   const ClientAttempt* const attempt = attempts_.find(clientAttempt);
   if (!attempt) return;
-  run_.checker().answered(run_.now(), attempt->id, answer);
+  run_.checker().requestAnswered(run_.now(), attempt->id, answer);
   run_.events().after(network_.delay(), [this, clientAttempt, answer, retryAfter] {
     receiveAnswer(clientAttempt, answer, retryAfter);
   });
@@ -241,7 +241,7 @@
 void ClientPopulation::receiveResult(SlotRef ref, const ClientRequest& request) {
   const ClientAttempt& attempt = *attempts_.find(ref);
   const Duration took = run_.now() - request.startedAt;
-  const bool inTime = took <= run_.scenario().methods[request.method].soft;
+  const bool inTime = took <= run_.scenario().methods[request.method].softDeadline;
   Metrics& metrics = run_.metrics();
   ++(inTime ? metrics.inTime : metrics.late);
   ++(inTime ? run_.currentSecond().inTime : run_.currentSecond().late);
--- a/src/emulator/discovery_service.cpp
+++ b/src/emulator/discovery_service.cpp
@@ -115,12 +115,12 @@
 
 void DiscoveryService::announce(std::uint32_t gateway, std::uint32_t host) {
   const bool serving = !hosts_.isDraining(host) && !hosts_.isGone(host);
-  run_.checker().told(run_.now(), {gateway}, {host}, serving);
+  run_.checker().servingStateAnnounced(run_.now(), {gateway}, {host}, serving);
   if (hosts_.startedDuringRun(host)) subscriptions_[gateway].announcedStarts.insert(host);
 }
 
 std::string DiscoveryService::listText(const std::set<std::uint32_t>& hosts) const {
-  const std::string_view gap = run_.scenario().indented ? "\n    " : "";
+  const std::string_view gap = run_.scenario().indentedLists ? "\n    " : "";
   std::string text =
       fmt::format("{{{0}\"generation\": {1},{0}\"reset\": false,{0}\"instances\": [", gap, generation_);
   std::string_view separator;
--- a/src/emulator/faults/counter_faults.hpp
+++ b/src/emulator/faults/counter_faults.hpp
@@ -7,14 +7,14 @@
 /// The counter service has lost all its counts when the fault begins.
 class CounterEmpty final : public FaultEffect {
  public:
-  CounterEmpty() : FaultEffect(Victims::hosts) {}
+  CounterEmpty() : FaultEffect(TargetKind::hosts) {}
   void begin(const FaultTargets&, ActiveFault&, Duration) const override;
 };
 
 /// A share of the gateways reaches a second counter service, which is empty when the fault begins.
 class CounterSplit final : public FaultEffect {
  public:
-  CounterSplit() : FaultEffect(Victims::gateways) {}
+  CounterSplit() : FaultEffect(TargetKind::gateways) {}
   void begin(const FaultTargets&, ActiveFault&, Duration) const override;
 };
 
--- a/src/emulator/faults/fault_effect.cpp
+++ b/src/emulator/faults/fault_effect.cpp
@@ -25,9 +25,9 @@
     case FaultKind::counterSplit:
       return std::make_unique<CounterSplit>();
     case FaultKind::discoveryRefuse:
-      return std::make_unique<FaultEffect>(FaultEffect::Victims::gateways);
+      return std::make_unique<FaultEffect>(FaultEffect::TargetKind::gateways);
     default:
-      return std::make_unique<FaultEffect>(FaultEffect::Victims::hosts);
+      return std::make_unique<FaultEffect>(FaultEffect::TargetKind::hosts);
   }
 }
 
--- a/src/emulator/faults/fault_effect.hpp
+++ b/src/emulator/faults/fault_effect.hpp
@@ -25,20 +25,20 @@
 /// whole effect is that the parts concerned ask ActiveFaults for it.
 class FaultEffect {
  public:
-  enum class Victims { gateways, hosts };
+  enum class TargetKind { gateways, hosts };
 
-  explicit FaultEffect(Victims victims) : victims_(victims) {}
+  explicit FaultEffect(TargetKind targetKind) : targetKind_(targetKind) {}
   virtual ~FaultEffect() = default;
 
   /// What the fault's share is of.
-  Victims victims() const { return victims_; }
+  TargetKind targetKind() const { return targetKind_; }
   /// The fault begins; it is not in effect yet. May change which hosts are affected.
-  virtual void begin(const FaultTargets&, ActiveFault&, Duration /*lasts*/) const {}
+  virtual void begin(const FaultTargets&, ActiveFault&, Duration /*duration*/) const {}
   /// The fault has ended and is not in effect any more.
   virtual void end(const FaultTargets&, const ActiveFault&) const {}
 
  private:
-  Victims victims_;
+  TargetKind targetKind_;
 };
 
 std::unique_ptr<const FaultEffect> makeFaultEffect(FaultKind);
--- a/src/emulator/faults/fault_schedule.cpp
+++ b/src/emulator/faults/fault_schedule.cpp
@@ -33,24 +33,24 @@
     effects_.push_back(makeFaultEffect(fault.kind));
     RandomStream random(seed_, fmt::format("fault {}", number));
     const TimePoint from = kRunStart + durationFromSeconds(random.between(fault.from.min, fault.from.max));
-    const Duration lasts = durationFromSeconds(random.between(fault.lasts.min, fault.lasts.max));
-    targets_.run.events().at(from, [this, number, random, lasts]() mutable { begin(number, random, lasts); });
+    const Duration duration = durationFromSeconds(random.between(fault.duration.min, fault.duration.max));
+    targets_.run.events().at(from, [this, number, random, duration]() mutable { begin(number, random, duration); });
   }
 }
 
-void FaultSchedule::begin(std::size_t number, RandomStream& random, Duration lasts) {
+void FaultSchedule::begin(std::size_t number, RandomStream& random, Duration duration) {
   const Scenario& scenario = targets_.run.scenario();
   const FaultEffect& effect = *effects_[number];
   ActiveFault active;
   active.fault = &scenario.faults[number];
   active.zone = static_cast<std::uint32_t>(random.below(scenario.zones));
-  active.affected = effect.victims() == FaultEffect::Victims::gateways
+  active.affected = effect.targetKind() == FaultEffect::TargetKind::gateways
                         ? chooseGateways(active.fault->share, random)
                         : chooseHosts(active.fault->share, random);
   targets_.run.trace(TraceEvent::faultBegan, number);
-  effect.begin(targets_, active, lasts);
+  effect.begin(targets_, active, duration);
   active_.add(number, std::move(active));
-  targets_.run.events().after(lasts, [this, number] { end(number); });
+  targets_.run.events().after(duration, [this, number] { end(number); });
 }
 
 void FaultSchedule::end(std::size_t number) {
--- a/src/emulator/faults/fault_schedule.hpp
+++ b/src/emulator/faults/fault_schedule.hpp
@@ -22,7 +22,7 @@
   void start();
 
  private:
-  void begin(std::size_t number, RandomStream&, Duration lasts);
+  void begin(std::size_t number, RandomStream&, Duration duration);
   void end(std::size_t number);
   std::vector<char> chooseGateways(double share, RandomStream&) const;
   std::vector<char> chooseHosts(double share, RandomStream&) const;
--- a/src/emulator/faults/gateway_faults.cpp
+++ b/src/emulator/faults/gateway_faults.cpp
@@ -13,12 +13,12 @@
   for (const std::uint32_t gateway : affectedNumbers(active)) targets.gateways.startIfDown(gateway);
 }
 
-void GatewayRestart::begin(const FaultTargets& targets, ActiveFault& active, Duration lasts) const {
+void GatewayRestart::begin(const FaultTargets& targets, ActiveFault& active, Duration duration) const {
   const std::vector<std::uint32_t> gateways = affectedNumbers(active);
   const int steps = active.fault->steps;
   for (std::size_t i = 0; i < gateways.size(); ++i)
     targets.run.events().after(
-        lasts * stepOf(i, gateways.size(), steps) / steps,
+        duration * stepOf(i, gateways.size(), steps) / steps,
         [&fleet = targets.gateways, gateway = gateways[i]] { fleet.beginShutdown(gateway); });
 }
 
--- a/src/emulator/faults/gateway_faults.hpp
+++ b/src/emulator/faults/gateway_faults.hpp
@@ -7,7 +7,7 @@
 /// Kills a share of the gateways at once; they start again when the fault ends.
 class GatewayKill final : public FaultEffect {
  public:
-  GatewayKill() : FaultEffect(Victims::gateways) {}
+  GatewayKill() : FaultEffect(TargetKind::gateways) {}
   void begin(const FaultTargets&, ActiveFault&, Duration) const override;
   void end(const FaultTargets&, const ActiveFault&) const override;
 };
@@ -15,8 +15,8 @@
 /// Shuts a share of the gateways down in steps over the time of the fault; each drains and starts again.
 class GatewayRestart final : public FaultEffect {
  public:
-  GatewayRestart() : FaultEffect(Victims::gateways) {}
-  void begin(const FaultTargets&, ActiveFault&, Duration lasts) const override;
+  GatewayRestart() : FaultEffect(TargetKind::gateways) {}
+  void begin(const FaultTargets&, ActiveFault&, Duration duration) const override;
 };
 
 }  // namespace merlinbridge::emulator
--- a/src/emulator/faults/host_faults.cpp
+++ b/src/emulator/faults/host_faults.cpp
@@ -15,7 +15,7 @@
   targets.hosts.remove(host);
   targets.discovery.publish({host});
   targets.run.events().after(kForgetAfter,
-                             [&run = targets.run, host] { run.checker().hostForgotten({host}); });
+                             [&run = targets.run, host] { run.checker().hostRemoved({host}); });
 }
 
 void replace(const FaultTargets& targets, const std::vector<std::uint32_t>& hosts) {
@@ -46,26 +46,26 @@
   }
 }
 
-void ZoneLoss::begin(const FaultTargets& targets, ActiveFault& active, Duration lasts) const {
+void ZoneLoss::begin(const FaultTargets& targets, ActiveFault& active, Duration duration) const {
   for (std::uint32_t host = 0; host < targets.hosts.size(); ++host) {
     const bool lost = targets.hosts.zoneOf(host) == active.zone && targets.hosts.isUp(host);
     active.affected[host] = lost ? 1 : 0;
   }
-  HostKill::begin(targets, active, lasts);
+  HostKill::begin(targets, active, duration);
 }
 
 void HostHang::end(const FaultTargets& targets, const ActiveFault& active) const {
   for (const std::uint32_t host : affectedNumbers(active)) targets.hosts.resume(host);
 }
 
-void HostReplace::begin(const FaultTargets& targets, ActiveFault& active, Duration lasts) const {
+void HostReplace::begin(const FaultTargets& targets, ActiveFault& active, Duration duration) const {
   const std::vector<std::uint32_t> hosts = affectedNumbers(active);
   const int steps = active.fault->steps;
   for (int step = 0; step < steps; ++step) {
     std::vector<std::uint32_t> replaced;
     for (std::size_t i = 0; i < hosts.size(); ++i)
       if (stepOf(i, hosts.size(), steps) == step) replaced.push_back(hosts[i]);
-    targets.run.events().after(lasts * step / steps, [targets, replaced] { replace(targets, replaced); });
+    targets.run.events().after(duration * step / steps, [targets, replaced] { replace(targets, replaced); });
   }
 }
 
--- a/src/emulator/faults/host_faults.hpp
+++ b/src/emulator/faults/host_faults.hpp
@@ -7,7 +7,7 @@
 /// Kills a share of the hosts at once; they start again, cold, when the fault ends.
 class HostKill : public FaultEffect {
  public:
-  HostKill() : FaultEffect(Victims::hosts) {}
+  HostKill() : FaultEffect(TargetKind::hosts) {}
   void begin(const FaultTargets&, ActiveFault&, Duration) const override;
   void end(const FaultTargets&, const ActiveFault&) const override;
 };
@@ -21,7 +21,7 @@
 /// Hosts take requests and answer none while the fault is in effect. After it they go on with what they hold.
 class HostHang final : public FaultEffect {
  public:
-  HostHang() : FaultEffect(Victims::hosts) {}
+  HostHang() : FaultEffect(TargetKind::hosts) {}
   void end(const FaultTargets&, const ActiveFault&) const override;
 };
 
@@ -29,8 +29,8 @@
 /// and are removed once their last requests must be over.
 class HostReplace final : public FaultEffect {
  public:
-  HostReplace() : FaultEffect(Victims::hosts) {}
-  void begin(const FaultTargets&, ActiveFault&, Duration lasts) const override;
+  HostReplace() : FaultEffect(TargetKind::hosts) {}
+  void begin(const FaultTargets&, ActiveFault&, Duration duration) const override;
 };
 
 }  // namespace merlinbridge::emulator
--- a/src/emulator/gateway_fleet.cpp
+++ b/src/emulator/gateway_fleet.cpp
@@ -21,12 +21,12 @@
                                                               core::DeadlineQueue& deadlines,
                                                               core::Transport& transport) {
   config::GatewayConfig config = config_;
-  config.seed = seeds_.word();
+  config.seed = seeds_.bits48();
   config.knownEndpoints = known;
   RunContext& run = surroundings.run;
   const HostFleet& hosts = surroundings.hosts;
   const Truth truth{[&run](std::uint64_t customer, std::uint32_t plan, double units) {
-                      return run.checker().wouldFit(run.now(), customer, plan, units);
+                      return run.checker().isWithinLimits(run.now(), customer, plan, units);
                     },
                     [&hosts](std::string_view address) { return hosts.loadOf(address); }};
   return factory_ ? factory_(config, run.now(), deadlines, transport, truth)
--- a/src/emulator/gateway_process.cpp
+++ b/src/emulator/gateway_process.cpp
@@ -54,7 +54,7 @@
   idleConnections_.clear();
   gateway_.reset();
   deadlines_ = {};
-  run.events().after(run.scenario().notice, [this] {
+  run.events().after(run.scenario().failureDetectionDelay, [this] {
     if (!isRunning()) surroundings_.front.setListed(number_, false);
   });
 }
@@ -74,7 +74,7 @@
   if (gateway_->unanswered() > 0) return whileRunning(kDrainPoll, [this] { endWhenAnswered(); });
   kill();
   RunContext& run = surroundings_.run;
-  run.events().after(run.scenario().restart, [this, incarnation = incarnation_] {
+  run.events().after(run.scenario().restartDelay, [this, incarnation = incarnation_] {
     if (incarnation_ == incarnation && !isRunning()) start();
   });
 }
@@ -159,7 +159,7 @@
   const ConnectionState connection = takeConnection(host);
   const SlotRef ref = attempts_.add(UpstreamAttempt{requestId, attemptNumber, client, *clientAttemptId, host,
                                                     hosts.incarnationOf(host), connection});
-  run.checker().sent(run.now(), *clientAttemptId, attemptNumber.value, {host}, hosts.zoneOf(host),
+  run.checker().attemptStarted(run.now(), *clientAttemptId, attemptNumber.value, {host}, hosts.zoneOf(host),
                      hosts.cellOf(host));
   ++run.metrics().attempts;
   ++run.currentSecond().attempts;
@@ -167,8 +167,8 @@
   run.trace(TraceEvent::attemptStarted, host);
   Duration delay = surroundings_.network.delay();
   if (connection == ConnectionState::connecting) {
-    ++run.metrics().connects;
-    ++run.currentSecond().connects;
+    ++run.metrics().newConnections;
+    ++run.currentSecond().newConnections;
     delay += 2 * surroundings_.network.delay();
   }
   whileRunning(delay, [this, ref] { reachHost(ref); });
@@ -179,7 +179,7 @@
 GatewayProcess::ConnectionState GatewayProcess::takeConnection(std::uint32_t host) {
   const TimePoint now = surroundings_.run.now();
   std::deque<TimePoint>& idle = idleConnections_[host];
-  while (!idle.empty() && idle.front() + surroundings_.run.scenario().idle / 2 <= now) {
+  while (!idle.empty() && idle.front() + surroundings_.run.scenario().idleTimeout / 2 <= now) {
     idle.pop_front();
     surroundings_.hosts.connectionsClosed(host, 1);
   }
@@ -230,12 +230,12 @@
 // The first attempt of a request that reaches a host draws the request's units from the customer's quota.
 void GatewayProcess::countUnits(const UpstreamAttempt& attempt) {
   RunContext& run = surroundings_.run;
-  const auto inside = run.checker().reached(run.now(), attempt.clientAttemptId, attempt.attemptNumber.value);
+  const auto inside = run.checker().requestDelivered(run.now(), attempt.clientAttemptId, attempt.attemptNumber.value);
   if (!inside) return;
   const ClientRequest* const request = surroundings_.clients.requestOf(attempt.clientAttempt);
   const double units = request ? request->units : 0;
   run.currentSecond().unitsSent += units;
-  if (!*inside) run.currentSecond().unitsBeyond += units;
+  if (!*inside) run.currentSecond().unitsOverQuota += units;
   surroundings_.clients.setInsideQuota(attempt.clientAttempt, *inside);
 }
 
@@ -250,7 +250,7 @@
   if (!attempt) return;
   const HostFleet& hosts = surroundings_.hosts;
   core::UpstreamResponse response{};
-  if (surroundings_.run.scenario().reports && outcome == Outcome::ok)
+  if (surroundings_.run.scenario().reportsLoad && outcome == Outcome::ok)
     response.load = hosts.loadReport(attempt->host);
   const std::uint64_t hostIncarnation = hosts.incarnationOf(attempt->host);
   whileRunning(delay, [this, ref, outcome, response, hostIncarnation] {
@@ -266,7 +266,7 @@
   attempts_.drop(ref);
   RunContext& run = surroundings_.run;
   const bool neverRan = outcome == Outcome::rejected || outcome == Outcome::noConnection;
-  run.checker().over(run.now(), attempt.clientAttemptId, attempt.attemptNumber.value, neverRan);
+  run.checker().attemptEnded(run.now(), attempt.clientAttemptId, attempt.attemptNumber.value, neverRan);
   run.trace(TraceEvent::attemptEnded, static_cast<std::uint64_t>(outcome));
   const bool answered = outcome == Outcome::ok || outcome == Outcome::error || outcome == Outcome::rejected;
   if (surroundings_.hosts.isUp(attempt.host, hostIncarnation)) {
@@ -285,7 +285,7 @@
   const UpstreamAttempt attempt = *found;
   attempts_.drop(ref);
   RunContext& run = surroundings_.run;
-  run.checker().over(run.now(), attempt.clientAttemptId, attempt.attemptNumber.value, false);
+  run.checker().attemptEnded(run.now(), attempt.clientAttemptId, attempt.attemptNumber.value, false);
   closeAtHost(attempt);
   return true;
 }
--- a/src/emulator/host_fleet.cpp
+++ b/src/emulator/host_fleet.cpp
@@ -125,7 +125,7 @@
 
 bool HostFleet::openConnection(std::uint32_t host) {
   EmulatedHost& at = hosts_[host];
-  if (at.state != State::up || at.connections >= run_.scenario().connections) return false;
+  if (at.state != State::up || at.connections >= run_.scenario().maxConnectionsPerHost) return false;
   ++at.connections;
   return true;
 }
@@ -159,7 +159,7 @@
 bool HostFleet::isOverloadedBy(const AttemptArrival& arrival, Duration work) {
   const EmulatedHost& at = hosts_[arrival.host];
   return at.startedDuringRun &&
-         run_.checker().hostAsked(run_.now(), {arrival.host}, at.startedAt, work, arrival.startAnnounced);
+         run_.checker().hostReceivedRequest(run_.now(), {arrival.host}, at.startedAt, work, arrival.startAnnounced);
 }
 
 void HostFleet::cancel(SlotRef ref) {
@@ -185,7 +185,7 @@
   EmulatedHost& at = hosts_[job.host];
   job.running = true;
   ++at.running;
-  run_.checker().ran(run_.now(), job.clientAttemptId, job.attemptNumber.value, {job.host}, at.zone, at.cell);
+  run_.checker().executionStarted(run_.now(), job.clientAttemptId, job.attemptNumber.value, {job.host}, at.zone, at.cell);
   if (isHanging(job.host)) return;
   const double slow = faults_.scaledFor(FaultKind::hostSlow, job.host, 1 / rampFactor(at));
   run_.events().after(scaled(job.work, slow), [this, ref] { finish(ref); });
@@ -203,7 +203,7 @@
   const bool failed = faults_.any(FaultKind::hostErr, [&](const ActiveFault& fault) {
     return fault.affects(job.host) && work_.bernoulli(fault.fault->factor);
   });
-  if (!failed) run_.checker().served(now, job.clientAttemptId, job.attemptNumber.value);
+  if (!failed) run_.checker().responseSent(now, job.clientAttemptId, job.attemptNumber.value);
   observer_.attemptEnded(job.attempt, failed ? Outcome::error : Outcome::ok);
   startQueued(job.host);
 }
--- a/src/emulator/metrics.hpp
+++ b/src/emulator/metrics.hpp
@@ -12,9 +12,9 @@
 
 namespace merlinbridge::emulator {
 
-/// Latencies from 10 us to 1000 s in a histogram, each known to one part in a hundred; longer ones count as
+/// LatencyHistogram from 10 us to 1000 s in a histogram, each known to one part in a hundred; longer ones count as
 /// the longest.
-class Latencies {
+class LatencyHistogram {
  public:
   void add(Duration latency) {
     ++count_;
@@ -23,9 +23,9 @@
   }
   std::uint64_t size() const { return count_; }
   /// The quantile in seconds: that share, from 0 to 1, of all latencies is not above it. 0 if there are none.
-  double within(double share) const;
+  double quantile(double share) const;
   /// The longest latency in seconds.
-  double most() const { return max_; }
+  double max() const { return max_; }
 
  private:
   static constexpr double kLeast = 1e-5;
@@ -41,22 +41,22 @@
 /// The figures of one run. All of them are emulated figures.
 struct Metrics {
   // Client requests; each ends as one of the four that follow `asked`.
-  std::uint64_t asked = 0;
+  std::uint64_t requests = 0;
   std::uint64_t inTime = 0;     ///< Answered by the soft deadline.
   std::uint64_t late = 0;       ///< Answered after it.
   std::uint64_t failed = 0;     ///< Without a result when the client gave up.
   std::uint64_t abandoned = 0;  ///< The client left of its own accord before the deadline.
 
   // Client attempts and how they ended without a result.
-  std::uint64_t tries = 0;
+  std::uint64_t clientAttempts = 0;
   std::uint64_t rejected = 0;
   std::uint64_t failedAnswers = 0;
-  std::uint64_t unreached = 0;  ///< The gateway was down.
+  std::uint64_t gatewayUnreachable = 0;  ///< The gateway was down.
 
   // What the gateways did.
   std::uint64_t attempts = 0;  ///< To hosts.
   std::uint64_t retries = 0;   ///< Of them, those after the first of their request.
-  std::uint64_t connects = 0;  ///< Of the attempts, those on a new connection.
+  std::uint64_t newConnections = 0;  ///< Of the attempts, those on a new connection.
   std::uint64_t counterCalls = 0;
   std::uint64_t endpointUpdates = 0;  ///< Hosts listed in all updates from discovery.
   std::uint64_t hostsOverloaded = 0;  ///< Hosts that failed under too many requests while warming up.
@@ -64,32 +64,32 @@
   double utilityOffered = 0;     ///< Utility times price times units, of all client requests.
   double utilityServed = 0;      ///< The same of those answered inside their quota; half of it if late.
   double unitsSent = 0;          ///< Units that reached hosts.
-  double unitsBeyond = 0;        ///< Of them, those over the customer's quota.
+  double unitsOverQuota = 0;        ///< Of them, those over the customer's quota.
   double worstWindow = 0;        ///< See InvariantChecker::worstWindow.
   double peakSlowStartLoad = 0;  ///< See InvariantChecker::peakSlowStartLoad.
-  std::array<std::uint64_t, kInvariants> violations{};  ///< By Invariant.
-  Latencies latency;                                    ///< Of client requests with a result.
+  std::array<std::uint64_t, kInvariantCount> violations{};  ///< By Invariant.
+  LatencyHistogram latency;                                    ///< Of client requests with a result.
   std::size_t maxInFlight = 0;
   std::uint64_t events = 0;
   std::uint64_t fingerprint = 0;  ///< Fingerprint of all events in order: equal runs have equal ones.
 
   /// The figures of one second of the run.
   struct Second {
-    std::uint32_t asked = 0;
+    std::uint32_t requests = 0;
     std::uint32_t inTime = 0;
     std::uint32_t late = 0;
     std::uint32_t failed = 0;
     std::uint32_t rejected = 0;
     std::uint32_t attempts = 0;
     std::uint32_t counterCalls = 0;
-    std::uint32_t connects = 0;
+    std::uint32_t newConnections = 0;
     double unitsSent = 0;
-    double unitsBeyond = 0;
+    double unitsOverQuota = 0;
   };
   std::vector<Second> seconds;   ///< From the begin of the run.
-  std::vector<Violation> first;  ///< The first few violations of each rule.
+  std::vector<Violation> firstViolations;  ///< The first few violations of each rule.
   /// Violations of all rules.
-  std::uint64_t broken() const {
+  std::uint64_t violationCount() const {
     std::uint64_t sum = 0;
     for (const std::uint64_t count : violations) sum += count;
     return sum;
--- a/src/emulator/network.cpp
+++ b/src/emulator/network.cpp
@@ -25,7 +25,7 @@
   });
 }
 
-bool Network::losesCounterAnswer() {
+bool Network::losesCounterResponse() {
   const double passes = faults_.survival(FaultKind::counterLose, 1);
   return passes < 1 && !random_.bernoulli(passes);
 }
--- a/src/emulator/network.hpp
+++ b/src/emulator/network.hpp
@@ -21,7 +21,7 @@
   /// Whether two zones cannot reach each other.
   bool isPartitioned(std::uint32_t zoneA, std::uint32_t zoneB) const;
   /// Draws whether an answer of the counter service is lost.
-  bool losesCounterAnswer();
+  bool losesCounterResponse();
 
  private:
   const Scenario& scenario_;
--- a/src/emulator/play.cpp
+++ b/src/emulator/play.cpp
@@ -44,13 +44,13 @@
     checker.finish(context_.now());
     Metrics metrics = std::move(context_.metrics());
     metrics.unitsSent = checker.unitsSent();
-    metrics.unitsBeyond = checker.unitsBeyond();
+    metrics.unitsOverQuota = checker.unitsOverQuota();
     metrics.worstWindow = checker.worstWindow();
     metrics.peakSlowStartLoad = checker.peakSlowStartLoad();
-    for (std::size_t rule = 0; rule < kInvariants; ++rule)
+    for (std::size_t rule = 0; rule < kInvariantCount; ++rule)
       metrics.violations[rule] = checker.count(static_cast<Invariant>(rule));
-    metrics.first = checker.first();
-    for (Violation& violation : metrics.first) violation.at = TimePoint(violation.at - kRunStart);
+    metrics.firstViolations = checker.firstViolations();
+    for (Violation& violation : metrics.firstViolations) violation.at = TimePoint(violation.at - kRunStart);
     return metrics;
   }
 
--- a/src/emulator/random_stream.hpp
+++ b/src/emulator/random_stream.hpp
@@ -43,7 +43,7 @@
   double exponential(double mean) { return -mean * std::log(1 - uniform01()); }
   Duration duration(Duration mean) { return scaled(mean, exponential(1)); }
   /// 48 random bits.
-  std::uint64_t word() { return static_cast<std::uint64_t>(engine_()) << 24 | engine_(); }
+  std::uint64_t bits48() { return static_cast<std::uint64_t>(engine_()) << 24 | engine_(); }
 
  private:
   static constexpr double kSpan = 16777216;  ///< Values of the engine's 24 bits.
--- a/src/emulator/run_context.hpp
+++ b/src/emulator/run_context.hpp
@@ -15,7 +15,7 @@
 /// What happened, as the fingerprint of a run records it. The number of the gateway, host, fault, answer or
 /// outcome concerned is added to the value.
 enum class TraceEvent : std::uint64_t {
-  requestTaken = 0,        ///< Plus the id of the client attempt.
+  requestReceived = 0,        ///< Plus the id of the client attempt.
   requestFailed = 3,       ///< A client has given up for good.
   answerReceived = 10,     ///< Plus the Answer.
   attemptEnded = 100,      ///< Plus the Outcome.
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -11,12 +11,12 @@
 namespace merlinbridge::emulator {
 
 std::string_view wordOf(FaultKind kind) {
-  return wordIn(kFaultKinds, kind);
+  return nameIn(kFaultKindNames, kind);
 }
 
 std::string textOfFile(const std::string& path) {
   std::ifstream file(path);
-  if (!file) throw BadScenario(path + ": cannot be read");
+  if (!file) throw ScenarioError(path + ": cannot be read");
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
@@ -32,7 +32,7 @@
   config.maxDescriptors = kSockets;
   PolicySettings& settings = config.settings;
   for (const ScenarioMethod& method : methods) {
-    settings.methods.push_back({method.repeat, method.group, method.window, method.soft, method.utility});
+    settings.methods.push_back({method.idempotency, method.deduplicationScope, method.deduplicationWindow, method.softDeadline, method.utility});
     config.methodNames.push_back(method.name);
   }
   for (const ScenarioPlan& plan : plans) {
@@ -42,7 +42,7 @@
   for (std::uint32_t zone = 0; zone < zones; ++zone) config.zoneNames.push_back(fmt::format("z{}", zone));
   config.machineNames = {"m"};
   settings.gateways = gateways;
-  settings.hasCounter = counter;
+  settings.hasCounter = hasCounter;
   settings.counterTimeout = counterTimeout;
   settings.maxUnits = std::max(1.0, 4 * units);
   settings.allowCancel = allowCancel;
@@ -55,7 +55,7 @@
   settings.overloadMultiple = overloadMultiple;
   settings.slowStartTime = slowStartTime;
   settings.overloadWindow = overloadWindow;
-  config.idleTimeout = idle;
+  config.idleTimeout = idleTimeout;
   config.answerSlack = answerSlack;
   config.longestDeadline = longestDeadline();
   config.drainGrace = drainGrace;
--- a/src/emulator/scenario.hpp
+++ b/src/emulator/scenario.hpp
@@ -12,7 +12,7 @@
 namespace merlinbridge::emulator {
 
 /// A scenario that cannot be read; the text names file, line, column and what was expected.
-using BadScenario = config::TomlError;
+using ScenarioError = config::TomlError;
 using config::Range;
 
 /// What goes wrong. Share, factor and steps are those of Fault.
@@ -45,7 +45,7 @@
 struct Fault {
   FaultKind kind{};
   Range from;         ///< Seconds from the begin of the run.
-  Range lasts;        ///< Seconds.
+  Range duration;        ///< Seconds.
   double share = 1;   ///< Of the gateways or hosts, 0 to 1.
   double factor = 1;  ///< By kind: a factor, or a share from 0 to 1.
   int steps = 1;
@@ -56,10 +56,10 @@
 /// A method that clients call.
 struct ScenarioMethod {
   std::string name;
-  Idempotency repeat{};
-  DeduplicationScope group{};        ///< The hosts that discard repeats of a deduplicated request,
-  Duration window{};    ///< and for how long.
-  Duration soft{};      ///< Soft deadline: an answer after it is worth less.
+  Idempotency idempotency{};
+  DeduplicationScope deduplicationScope{};        ///< The hosts that discard repeats of a deduplicated request,
+  Duration deduplicationWindow{};    ///< and for how long.
+  Duration softDeadline{};      ///< Soft deadline: an answer after it is worth less.
   Duration deadline{};  ///< How long a client waits.
   Duration work{};      ///< Mean time of a core for one request.
   double share = 1;     ///< Weight among the methods.
@@ -82,21 +82,21 @@
   // Gateways
   std::uint32_t gateways = 1;
   std::uint32_t zones = 1;
-  Duration restart{};  ///< From the end of a drained process to its next start.
-  Duration notice{};   ///< Until the front load balancer leaves out a gateway that died.
+  Duration restartDelay{};  ///< From the end of a drained process to its next start.
+  Duration failureDetectionDelay{};   ///< Until the front load balancer leaves out a gateway that died.
 
   // Hosts
   std::uint32_t hosts = 0;
   int cores = 1;
   int queueCapacity = 0;        ///< Requests that queue at a host behind those in service.
-  int connections = 0;          ///< Most open connections to one host.
+  int maxConnectionsPerHost = 0;          ///< Most open connections to one host.
   Duration slowStartTime{};     ///< Time of the slow start.
   Duration overloadWindow{};    ///< Window over which the overload of a host in slow start is measured.
-  Duration idle{};              ///< A host closes a connection that was idle for so long.
+  Duration idleTimeout{};              ///< A host closes a connection that was idle for so long.
   double startCapacity = 1;     ///< Share of its capacity that a host starts with.
   double overloadMultiple = 1;  ///< Times its capacity in that window, and a host in slow start fails.
   bool stopsCancelled = false;  ///< A request whose connection was closed frees its core.
-  bool reports = false;         ///< Answers carry the host's load.
+  bool reportsLoad = false;         ///< Answers carry the host's load.
 
   // Network
   Duration delay{};
@@ -112,22 +112,22 @@
   double units = 1;               ///< Mean of a request.
   std::uint32_t customers = 1;
   std::uint32_t spread = 1;  ///< Gateways that a customer's requests come through.
-  int tries = 1;             ///< Client attempts for one request, at most.
-  Duration wait{};           ///< Mean of the first backoff of a client.
+  int maxClientAttempts = 1;             ///< Client attempts for one request, at most.
+  Duration initialBackoff{};           ///< Mean of the first backoff of a client.
 
   std::vector<ScenarioMethod> methods;
   std::vector<ScenarioPlan> plans;
 
   // Counter service
-  bool counter = false;
-  int counterParts = 1;
-  int counterRoom = 1;        ///< Calls that queue at one part.
-  Duration counterService{};  ///< Time of one call.
+  bool hasCounter = false;
+  int counterPartitions = 1;
+  int counterQueueCapacity = 1;        ///< Calls that queue at one part.
+  Duration counterServiceTime{};  ///< Time of one call.
   Duration counterTimeout{};
 
   // Discovery
   Duration notificationDelay{};
-  bool indented = false;  ///< Lists are written over many lines.
+  bool indentedLists = false;  ///< Lists are written over many lines.
 
   // What the invariants allow
   Duration drainGrace{};
@@ -148,12 +148,12 @@
 };
 
 /// Reads a scenario whole. `file` is named in errors; each of `changes` is "path=value" and overrides the
-/// text, under the old or the new name of a key. Throws BadScenario.
+/// text, under the old or the new name of a key. Throws ScenarioError.
 Scenario readScenario(const std::string& text, const std::string& file,
                       const std::vector<std::string>& changes = {});
 /// Text that reads as the same scenario.
 std::string writeScenario(const Scenario&);
-/// The whole of a file. Throws BadScenario.
+/// The whole of a file. Throws ScenarioError.
 std::string textOfFile(const std::string& path);
 
 }  // namespace merlinbridge::emulator
--- a/src/emulator/scenario_keys.cpp
+++ b/src/emulator/scenario_keys.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 [[noreturn]] void failChange(const std::string& change, std::string_view why) {
-  throw BadScenario(fmt::format("change '{}': {}", change, why));
+  throw ScenarioError(fmt::format("change '{}': {}", change, why));
 }
 
 void warn(const RenamedKey& key, std::vector<std::string>& warnings) {
@@ -89,7 +89,7 @@
   return kKeys;
 }
 
-[[noreturn]] void failWithBothNames(const RenamedKey& key, const std::string& file,
+[[noreturn]] void failOnBothNames(const RenamedKey& key, const std::string& file,
                                     const toml::source_position& place) {
   throw config::TomlError({config::TomlFault::conflictingOldKey, file, place.line, place.column,
                            fmt::format("{}.{}", key.table, key.oldName),
@@ -101,7 +101,7 @@
     toml::table* const table = root[key.table].as_table();
     toml::node* const node = table ? table->get(key.oldName) : nullptr;
     if (!node) continue;
-    if (table->contains(key.newName)) failWithBothNames(key, file, node->source().begin);
+    if (table->contains(key.newName)) failOnBothNames(key, file, node->source().begin);
     warn(key, warnings);
     table->insert(key.newName, std::move(*node));
     table->erase(key.oldName);
--- a/src/emulator/scenario_keys.hpp
+++ b/src/emulator/scenario_keys.hpp
@@ -17,12 +17,12 @@
 const std::vector<RenamedKey>& renamedKeys();
 
 /// Gives every key of the text its new name and adds a warning for each that has its old one. Throws
-/// BadScenario if a key stands there under both names. `file` is named in errors.
+/// ScenarioError if a key stands there under both names. `file` is named in errors.
 void renameKeys(toml::table& root, const std::string& file, std::vector<std::string>& warnings);
 
 /// Applies a change, "path=value", to the text. The last word of the path is a key, under its old or its new
 /// name; a number counts the entries of an array from 0. A value that is no TOML is taken as a text. Throws
-/// BadScenario if the path leads nowhere.
+/// ScenarioError if the path leads nowhere.
 void applyChange(toml::table& root, const std::string& change, std::vector<std::string>& warnings);
 
 }  // namespace merlinbridge::emulator
--- a/src/emulator/scenario_reader.cpp
+++ b/src/emulator/scenario_reader.cpp
@@ -15,8 +15,8 @@
 void readFleet(TomlTable fleet, Scenario& scenario) {
   scenario.gateways = fleet.integer<std::uint32_t>("gateways", {}, 1, 4096);
   scenario.zones = fleet.integer<std::uint32_t>("zones", 1, 1, 1024);
-  scenario.restart = fleet.duration("restart", milliseconds(300));
-  scenario.notice = fleet.duration("notice", milliseconds(1000));
+  scenario.restartDelay = fleet.duration("restart", milliseconds(300));
+  scenario.failureDetectionDelay = fleet.duration("notice", milliseconds(1000));
   fleet.rejectUnknownKeys();
 }
 
@@ -24,14 +24,14 @@
   scenario.hosts = hosts.integer<std::uint32_t>("count", {}, 0, 16'384);
   scenario.cores = hosts.integer<int>("cores", 4, 1, 4096);
   scenario.queueCapacity = hosts.integer<int>("queue_capacity", 64, 0, 1'000'000);
-  scenario.connections = hosts.integer<int>("connections", 1000, 1, 1'000'000);
-  scenario.idle = hosts.duration("idle", milliseconds(10'000));
+  scenario.maxConnectionsPerHost = hosts.integer<int>("connections", 1000, 1, 1'000'000);
+  scenario.idleTimeout = hosts.duration("idle", milliseconds(10'000));
   scenario.slowStartTime = hosts.duration("slow_start_time", milliseconds(8000));
   scenario.startCapacity = hosts.number("start_capacity", 0.25, 0.001, 1);
   scenario.overloadWindow = hosts.duration("overload_window", milliseconds(1000));
   scenario.overloadMultiple = hosts.number("overload_multiple", 2, 0.1, 1000);
   scenario.stopsCancelled = hosts.flag("stops_cancelled", true);
-  scenario.reports = hosts.flag("reports", true);
+  scenario.reportsLoad = hosts.flag("reports", true);
   hosts.rejectUnknownKeys();
 }
 
@@ -49,8 +49,8 @@
   scenario.skew = clients.number("skew", 0.8, 0, 4);
   scenario.units = clients.number("units", 1, 0, 1000);
   scenario.spread = clients.integer<std::uint32_t>("spread", 3, 1, 4096);
-  scenario.tries = clients.integer<int>("max_attempts", 3, 1, 100);
-  scenario.wait = clients.duration("wait", milliseconds(100));
+  scenario.maxClientAttempts = clients.integer<int>("max_attempts", 3, 1, 100);
+  scenario.initialBackoff = clients.duration("wait", milliseconds(100));
   scenario.honorsRetryAfter = clients.number("honors_retry_after", 0.8, 0, 1);
   scenario.abandonProbability = clients.number("abandon_probability", 0, 0, 1);
   clients.rejectUnknownKeys();
@@ -59,15 +59,15 @@
 ScenarioMethod readMethod(TomlTable& table) {
   ScenarioMethod method{};
   method.name = table.string("name");
-  method.repeat = table.oneOf<Idempotency>("repeat", Idempotency::idempotent, kRepeats);
-  method.group = table.oneOf<DeduplicationScope>("group", DeduplicationScope::all, kGroups);
-  method.window = table.duration("window", milliseconds(4000));
-  method.soft = table.duration("soft", milliseconds(500));
+  method.idempotency = table.oneOf<Idempotency>("repeat", Idempotency::idempotent, kIdempotencyNames);
+  method.deduplicationScope = table.oneOf<DeduplicationScope>("group", DeduplicationScope::all, kDeduplicationScopeNames);
+  method.deduplicationWindow = table.duration("window", milliseconds(4000));
+  method.softDeadline = table.duration("soft", milliseconds(500));
   method.deadline = table.duration("deadline", milliseconds(2000));
   method.work = table.duration("work", milliseconds(8));
   method.share = table.number("share", 1, 0, 1e6);
   method.utility = table.number("utility", 1, 0, 1e6);
-  if (method.deadline < method.soft) table.fail("deadline", "a time no shorter than the soft deadline");
+  if (method.deadline < method.softDeadline) table.fail("deadline", "a time no shorter than the soft deadline");
   table.rejectUnknownKeys();
   return method;
 }
@@ -90,9 +90,9 @@
 // All kinds of fault have the same keys; those that a kind does not use have no effect.
 Fault readFault(TomlTable& table, const Scenario& scenario) {
   Fault fault{};
-  fault.kind = table.oneOf<FaultKind>("kind", {}, kFaultKinds);
+  fault.kind = table.oneOf<FaultKind>("kind", {}, kFaultKindNames);
   fault.from = table.range("from", {});
-  fault.lasts = table.range("lasts", Range{});
+  fault.duration = table.range("lasts", Range{});
   fault.share = table.number("share", 1, 0, 1);
   fault.factor = table.number("factor", 1, 0, 1000);
   fault.steps = table.integer<int>("steps", 1, 1, 10'000);
@@ -103,17 +103,17 @@
 }
 
 void readCounter(TomlTable counter, Scenario& scenario) {
-  scenario.counter = counter.flag("present", true);
-  scenario.counterParts = counter.integer<int>("parts", 1, 1, 1024);
-  scenario.counterRoom = counter.integer<int>("queue_capacity", 500, 1, 1'000'000);
-  scenario.counterService = counter.duration("service", microseconds(200));
+  scenario.hasCounter = counter.flag("present", true);
+  scenario.counterPartitions = counter.integer<int>("parts", 1, 1, 1024);
+  scenario.counterQueueCapacity = counter.integer<int>("queue_capacity", 500, 1, 1'000'000);
+  scenario.counterServiceTime = counter.duration("service", microseconds(200));
   scenario.counterTimeout = counter.duration("timeout", milliseconds(100));
   counter.rejectUnknownKeys();
 }
 
 void readDiscovery(TomlTable discovery, Scenario& scenario) {
   scenario.notificationDelay = discovery.duration("notification_delay", milliseconds(100));
-  scenario.indented = discovery.flag("indented", false);
+  scenario.indentedLists = discovery.flag("indented", false);
   discovery.rejectUnknownKeys();
 }
 
@@ -150,7 +150,7 @@
   readNetwork(table.section("network"), scenario);
   readClients(table.section("clients"), scenario);
   for (TomlTable& method : table.sections("method")) scenario.methods.push_back(readMethod(method));
-  if (scenario.methods.empty()) throw BadScenario(file + ":1:1: expected at least one [[method]]");
+  if (scenario.methods.empty()) throw ScenarioError(file + ":1:1: expected at least one [[method]]");
   for (TomlTable& plan : table.sections("plan")) scenario.plans.push_back(readPlan(plan));
   if (scenario.plans.empty()) scenario.plans.push_back({"free", {0, 0, 0, 0, 0, 0, 1}, 1});
   readCounter(table.section("counter"), scenario);
--- a/src/emulator/scenario_words.hpp
+++ b/src/emulator/scenario_words.hpp
@@ -9,7 +9,7 @@
 /// The names that scenarios use for the values of enums, for reading and writing.
 namespace merlinbridge::emulator {
 
-inline constexpr std::array kFaultKinds = std::to_array<std::pair<std::string_view, FaultKind>>({
+inline constexpr std::array kFaultKindNames = std::to_array<std::pair<std::string_view, FaultKind>>({
     {"gateway_kill", FaultKind::gatewayKill},
     {"gateway_restart", FaultKind::gatewayRestart},
     {"host_kill", FaultKind::hostKill},
@@ -33,16 +33,16 @@
     {"net_slow", FaultKind::netSlow},
     {"load_burst", FaultKind::loadBurst},
 });
-inline constexpr std::array kRepeats =
+inline constexpr std::array kIdempotencyNames =
     std::to_array<std::pair<std::string_view, Idempotency>>({{"idempotent", Idempotency::idempotent},
                                                         {"deduplicated", Idempotency::deduplicated},
                                                         {"non-idempotent", Idempotency::nonIdempotent}});
-inline constexpr std::array kGroups = std::to_array<std::pair<std::string_view, DeduplicationScope>>(
+inline constexpr std::array kDeduplicationScopeNames = std::to_array<std::pair<std::string_view, DeduplicationScope>>(
     {{"all", DeduplicationScope::all}, {"zone", DeduplicationScope::zone}, {"cell", DeduplicationScope::cell}});
 
 /// The name of a value in one of these tables; empty if it has none.
 template <class Value, class Words>
-std::string_view wordIn(const Words& words, Value value) {
+std::string_view nameIn(const Words& words, Value value) {
   for (const auto& [word, each] : words)
     if (each == value) return word;
   return {};
--- a/src/emulator/scenario_writer.cpp
+++ b/src/emulator/scenario_writer.cpp
@@ -56,8 +56,8 @@
   out.table("[fleet]");
   out.value("gateways", scenario.gateways);
   out.value("zones", scenario.zones);
-  out.duration("restart", scenario.restart);
-  out.duration("notice", scenario.notice);
+  out.duration("restart", scenario.restartDelay);
+  out.duration("notice", scenario.failureDetectionDelay);
 }
 
 void writeHosts(TomlWriter& out, const Scenario& scenario) {
@@ -65,14 +65,14 @@
   out.value("count", scenario.hosts);
   out.value("cores", scenario.cores);
   out.value("queue_capacity", scenario.queueCapacity);
-  out.value("connections", scenario.connections);
-  out.duration("idle", scenario.idle);
+  out.value("connections", scenario.maxConnectionsPerHost);
+  out.duration("idle", scenario.idleTimeout);
   out.duration("slow_start_time", scenario.slowStartTime);
   out.value("start_capacity", scenario.startCapacity);
   out.duration("overload_window", scenario.overloadWindow);
   out.value("overload_multiple", scenario.overloadMultiple);
   out.value("stops_cancelled", scenario.stopsCancelled);
-  out.value("reports", scenario.reports);
+  out.value("reports", scenario.reportsLoad);
 }
 
 void writeNetwork(TomlWriter& out, const Scenario& scenario) {
@@ -90,8 +90,8 @@
   out.value("skew", scenario.skew);
   out.value("units", scenario.units);
   out.value("spread", scenario.spread);
-  out.value("max_attempts", scenario.tries);
-  out.duration("wait", scenario.wait);
+  out.value("max_attempts", scenario.maxClientAttempts);
+  out.duration("wait", scenario.initialBackoff);
   out.value("honors_retry_after", scenario.honorsRetryAfter);
   out.value("abandon_probability", scenario.abandonProbability);
 }
@@ -99,10 +99,10 @@
 void writeMethod(TomlWriter& out, const ScenarioMethod& method) {
   out.table("[[method]]");
   out.text("name", method.name);
-  out.text("repeat", wordIn(kRepeats, method.repeat));
-  out.text("group", wordIn(kGroups, method.group));
-  out.duration("window", method.window);
-  out.duration("soft", method.soft);
+  out.text("repeat", nameIn(kIdempotencyNames, method.idempotency));
+  out.text("group", nameIn(kDeduplicationScopeNames, method.deduplicationScope));
+  out.duration("window", method.deduplicationWindow);
+  out.duration("soft", method.softDeadline);
   out.duration("deadline", method.deadline);
   out.duration("work", method.work);
   out.value("share", method.share);
@@ -124,17 +124,17 @@
 
 void writeCounter(TomlWriter& out, const Scenario& scenario) {
   out.table("[counter]");
-  out.value("present", scenario.counter);
-  out.value("parts", scenario.counterParts);
-  out.value("queue_capacity", scenario.counterRoom);
-  out.duration("service", scenario.counterService);
+  out.value("present", scenario.hasCounter);
+  out.value("parts", scenario.counterPartitions);
+  out.value("queue_capacity", scenario.counterQueueCapacity);
+  out.duration("service", scenario.counterServiceTime);
   out.duration("timeout", scenario.counterTimeout);
 }
 
 void writeDiscovery(TomlWriter& out, const Scenario& scenario) {
   out.table("[discovery]");
   out.duration("notification_delay", scenario.notificationDelay);
-  out.value("indented", scenario.indented);
+  out.value("indented", scenario.indentedLists);
 }
 
 void writeRules(TomlWriter& out, const Scenario& scenario) {
@@ -151,7 +151,7 @@
   out.table("[[fault]]");
   out.text("kind", wordOf(fault.kind));
   out.range("from", fault.from);
-  out.range("lasts", fault.lasts);
+  out.range("lasts", fault.duration);
   out.value("share", fault.share);
   out.value("factor", fault.factor);
   out.value("steps", fault.steps);
--- a/src/lab/commands/command.hpp
+++ b/src/lab/commands/command.hpp
@@ -27,7 +27,7 @@
   virtual CLI::App* addTo(CLI::App& program) = 0;
 
   /// Does what the parsed options say: results go to standard output, progress and warnings to standard
-  /// error. Throws LabError, emulator::BadScenario or another std::exception if nothing could be done.
+  /// error. Throws LabError, emulator::ScenarioError or another std::exception if nothing could be done.
   virtual ExitCode execute() = 0;
 };
 
--- a/src/lab/commands/run_command.cpp
+++ b/src/lab/commands/run_command.cpp
@@ -26,7 +26,7 @@
     const emulator::Metrics metrics = ExperimentRunner::play(run);
     std::cout << summaryOf(run, metrics);
     if (!folder_.empty()) writeFiles(run, metrics);
-    return metrics.broken() > 0 ? ExitCode::invariantViolated : ExitCode::done;
+    return metrics.violationCount() > 0 ? ExitCode::invariantViolated : ExitCode::done;
   }
 
  private:
--- a/src/lab/commands/shrink_command.cpp
+++ b/src/lab/commands/shrink_command.cpp
@@ -26,8 +26,8 @@
 
 std::string invariantNames() {
   std::string names(kAnyInvariant);
-  for (std::size_t index = 0; index < emulator::kInvariants; ++index) {
-    names += index + 1 == emulator::kInvariants ? " or " : ", ";
+  for (std::size_t index = 0; index < emulator::kInvariantCount; ++index) {
+    names += index + 1 == emulator::kInvariantCount ? " or " : ", ";
     names += wordOf(static_cast<Invariant>(index));
   }
   return names;
@@ -39,7 +39,7 @@
   std::string_view renamed = name;
   for (const auto& [before, now] : kRenamedInvariants)
     if (before == name) renamed = now;
-  for (std::size_t index = 0; index < emulator::kInvariants; ++index) {
+  for (std::size_t index = 0; index < emulator::kInvariantCount; ++index) {
     const auto invariant = static_cast<Invariant>(index);
     if (wordOf(invariant) == name || wordOf(invariant) == renamed) return invariant;
   }
@@ -69,7 +69,7 @@
     const std::optional<Invariant> invariant = parseInvariant(invariant_);
     const auto violates = [this, policy, invariant](const Scenario& candidate) {
       const emulator::Metrics metrics = ExperimentRunner::play({candidate, {}, seed_, policy});
-      return invariant ? metrics.violations[static_cast<std::size_t>(*invariant)] > 0 : metrics.broken() > 0;
+      return invariant ? metrics.violations[static_cast<std::size_t>(*invariant)] > 0 : metrics.violationCount() > 0;
     };
     const auto [least, runs] = shrink(scenario, violates, maxRuns_);
     replaceFile(out_, emulator::writeScenario(least));
--- a/src/lab/experiment_runner.cpp
+++ b/src/lab/experiment_runner.cpp
@@ -57,7 +57,7 @@
   void playOne(std::size_t index) {
     try {
       const emulator::Metrics metrics = ExperimentRunner::play(runs_[index]);
-      outcomes_[index] = {rowOf(runs_[index], metrics), metrics.broken()};
+      outcomes_[index] = {rowOf(runs_[index], metrics), metrics.violationCount()};
     } catch (...) {
       const std::lock_guard lock(mutex_);
       if (!error_) error_ = std::current_exception();
--- a/src/lab/experiment_runner.hpp
+++ b/src/lab/experiment_runner.hpp
@@ -42,11 +42,11 @@
 /// Reads one scenario file and plays runs of it in the emulator.
 class ExperimentRunner {
  public:
-  /// `changes` are "path=value" and replace what the file says in every run. Throws emulator::BadScenario if
+  /// `changes` are "path=value" and replace what the file says in every run. Throws emulator::ScenarioError if
   /// the file cannot be read.
   ExperimentRunner(std::string file, std::vector<std::string> changes);
 
-  /// The scenario with the runner's changes and with these fields changed. Throws emulator::BadScenario.
+  /// The scenario with the runner's changes and with these fields changed. Throws emulator::ScenarioError.
   emulator::Scenario scenario(const FieldValues& = {}) const;
 
   /// Plays one run; it depends on nothing but the run.
--- a/src/lab/run_result.cpp
+++ b/src/lab/run_result.cpp
@@ -32,9 +32,9 @@
       "beyond\n";
   for (std::size_t index = 0; index < metrics.seconds.size(); ++index) {
     const auto& second = metrics.seconds[index];
-    table += fmt::format("{},{},{},{},{},{},{},{},{},{:.6g},{:.6g}\n", index, second.asked, second.inTime,
-                         second.late, second.failed, second.rejected, second.attempts, second.connects,
-                         second.counterCalls, second.unitsSent, second.unitsBeyond);
+    table += fmt::format("{},{},{},{},{},{},{},{},{},{:.6g},{:.6g}\n", index, second.requests, second.inTime,
+                         second.late, second.failed, second.rejected, second.attempts, second.newConnections,
+                         second.counterCalls, second.unitsSent, second.unitsOverQuota);
   }
   return table + fmt::format("# end,{}\n", metrics.seconds.size());
 }
@@ -46,7 +46,7 @@
     text += fmt::format("  {:<22} {:.6g}\n", title, value);
   text += fmt::format("  {:<22} {}\n  {:<22} {:016x}\n", "events", metrics.events, kFingerprintTitle,
                       metrics.fingerprint);
-  for (const emulator::Violation& violation : metrics.first)
+  for (const emulator::Violation& violation : metrics.firstViolations)
     text += fmt::format("INVARIANT VIOLATED at {:.4f} s: {}, request {}: {}\n",
                         seconds(violation.at.time_since_epoch()), wordOf(violation.rule),
                         violation.attemptId.value, violation.what);
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -58,7 +58,7 @@
 std::string complaint(const std::string& text, const std::vector<std::string>& changes = {}) {
   try {
     readScenario(text, "s.toml", changes);
-  } catch (const BadScenario& e) {
+  } catch (const ScenarioError& e) {
     return e.what();
   }
   return "";
@@ -203,7 +203,7 @@
   ActiveFaults faults;
   Network network(scenario, 1, faults);
   CHECK_FALSE(network.isPartitioned(0, 1));
-  CHECK_FALSE(network.losesCounterAnswer());
+  CHECK_FALSE(network.losesCounterResponse());
   for (int i = 0; i < 100; ++i) {
     const Duration delay = network.delay();
     CHECK(delay >= 2ms);
@@ -233,7 +233,7 @@
 TEST_CASE("a scenario is read whole, and what is written reads as the same") {
   const Scenario scenario = readScenario(kPlain + fault("host_slow", "1s", "2s", "factor = 5"), "s.toml");
   CHECK(scenario.gateways == 3);
-  CHECK(scenario.methods.at(1).group == DeduplicationScope::cell);
+  CHECK(scenario.methods.at(1).deduplicationScope == DeduplicationScope::cell);
   CHECK(scenario.faults.at(0).factor == 5);
   const std::string written = writeScenario(scenario);
   CHECK(writeScenario(readScenario(written, "again.toml")) == written);
@@ -333,11 +333,11 @@
   CHECK(first.fingerprint == again.fingerprint);
   CHECK(first.events == again.events);
   CHECK(first.fingerprint != otherSeed.fingerprint);
-  CHECK(first.asked == even.asked);
+  CHECK(first.requests == even.requests);
   CHECK(first.utilityOffered == even.utilityOffered);
-  CHECK(first.asked == first.inTime + first.late + first.failed + first.abandoned);
-  CHECK(first.broken() == 0);
-  CHECK(first.inTime > first.asked / 2);
+  CHECK(first.requests == first.inTime + first.late + first.failed + first.abandoned);
+  CHECK(first.violationCount() == 0);
+  CHECK(first.inTime > first.requests / 2);
 }
 
 TEST_CASE("every breach of a rule is reported, with time, request and rule") {
@@ -365,12 +365,12 @@
                  const Truth&) { return std::make_unique<Breaker>(one.rule, config, deadlines, transport); });
     CHECK(metrics.violations[static_cast<std::size_t>(one.rule)] > 0);
     bool named = false;
-    for (const Violation& violation : metrics.first)
+    for (const Violation& violation : metrics.firstViolations)
       named = named || (violation.rule == one.rule && violation.at > TimePoint{} &&
                         (violation.attemptId.value > 0 || one.rule == Invariant::slowStart) &&
                         !violation.what.empty());
     CHECK(named);
-    CHECK(play(scenario, 1, Policy::module).broken() == 0);  // who keeps the rules is not blamed
+    CHECK(play(scenario, 1, Policy::module).violationCount() == 0);  // who keeps the rules is not blamed
   }
 }
 
@@ -382,7 +382,7 @@
                    {"fleet.gateways=" + gateways, "clients.spread=" + gateways, "length=8s",
                     "clients.rate=500", "clients.customers=60", "hosts.count=12", "hosts.cores=8",
                     "plan.0.rate=4", "plan.0.burst=12", "plan.0.ceiling_rate=0"});
-  const auto beyond = [](const Metrics& metrics) { return metrics.unitsBeyond / metrics.unitsSent; };
+  const auto beyond = [](const Metrics& metrics) { return metrics.unitsOverQuota / metrics.unitsSent; };
   const Metrics module = play(scenario, 3, Policy::module);
   const Metrics all = play(scenario, 3, Policy::all);
   const Metrics truth = play(scenario, 3, Policy::truth);
@@ -390,15 +390,15 @@
   CHECK(beyond(truth) < 0.02);
   CHECK(beyond(module) < most * beyond(all));
   CHECK(module.utilityServed > 0.9 * truth.utilityServed);
-  CHECK(module.broken() == 0);
+  CHECK(module.violationCount() == 0);
 }
 
 TEST_CASE("an answer's time counts from when the gateway had the whole of the request") {
   const Scenario scenario = readScenario(kPlain, "s.toml");  // the slack is 50 ms
   InvariantChecker checker(scenario);
   const auto answeredAfter = [&](std::uint64_t id, TimePoint taken, TimePoint answered) {
-    checker.taken(taken, {id}, {{0}, 0, 0, 1, 1, TimePoint(2s)});
-    checker.answered(answered, {id}, Answer::rejected);
+    checker.requestReceived(taken, {id}, {{0}, 0, 0, 1, 1, TimePoint(2s)});
+    checker.requestAnswered(answered, {id}, Answer::rejected);
     return checker.count(Invariant::lost);
   };
   CHECK(answeredAfter(1, TimePoint(1s), TimePoint(2s) + 50ms) == 0);
@@ -421,16 +421,16 @@
         fault(kind, "1s", "3s", "share = 0.5\nfactor = " + std::string(part ? "0.2" : "3") + "\nsteps = 2");
     INFO(kind);
     const Metrics metrics = play(readScenario(kPlain + one, "s.toml"), 3, Policy::module);
-    for (const Violation& violation : metrics.first)
+    for (const Violation& violation : metrics.firstViolations)
       UNSCOPED_INFO(seconds(violation.at.time_since_epoch())
                     << " " << wordOf(violation.rule) << " " << violation.what);
-    CHECK(metrics.broken() == 0);
-    CHECK(metrics.asked == metrics.inTime + metrics.late + metrics.failed + metrics.abandoned);
+    CHECK(metrics.violationCount() == 0);
+    CHECK(metrics.requests == metrics.inTime + metrics.late + metrics.failed + metrics.abandoned);
     if (kind != "load_burst") together += one;
   }
   const Metrics metrics = play(readScenario(kPlain + together, "s.toml"), 4, Policy::module);
-  for (const Violation& violation : metrics.first) WARN(wordOf(violation.rule) << " " << violation.what);
-  CHECK(metrics.broken() == 0);
+  for (const Violation& violation : metrics.firstViolations) WARN(wordOf(violation.rule) << " " << violation.what);
+  CHECK(metrics.violationCount() == 0);
 }
 
 TEST_CASE("scenarios at the edge are played to their end") {
@@ -438,20 +438,20 @@
     return play(readScenario(kPlain + more, "s.toml", changes), 1, Policy::module);
   };
   CHECK(played({"hosts.count=0"}).inTime == 0);
-  CHECK(played({"hosts.count=0"}).broken() == 0);
-  CHECK(played({"fleet.gateways=1", "clients.spread=1"}).broken() == 0);
+  CHECK(played({"hosts.count=0"}).violationCount() == 0);
+  CHECK(played({"fleet.gateways=1", "clients.spread=1"}).violationCount() == 0);
   const Metrics alone = played({"counter.present=false"});
   CHECK(alone.counterCalls == 0);
-  CHECK(alone.broken() == 0);
-  CHECK(played({"clients.rate=0"}).asked == 0);
-  CHECK(played({}, fault("host_kill", "2s", "0s", "share = 1")).broken() == 0);  // over as it begins
-  CHECK(played({}, fault("gateway_kill", "2s", "0s", "share = 1")).broken() == 0);
+  CHECK(alone.violationCount() == 0);
+  CHECK(played({"clients.rate=0"}).requests == 0);
+  CHECK(played({}, fault("host_kill", "2s", "0s", "share = 1")).violationCount() == 0);  // over as it begins
+  CHECK(played({}, fault("gateway_kill", "2s", "0s", "share = 1")).violationCount() == 0);
   CHECK(played({"clients.abandon_probability=0.5"}).abandoned > 0);
 }
 
 TEST_CASE("what is remembered is bounded by what is in flight") {
   const Scenario scenario = readScenario(kPlain, "s.toml", {"length=30s", "clients.rate=300"});
   const Metrics metrics = play(scenario, 1, Policy::module);
-  CHECK(metrics.asked > 8'000);
+  CHECK(metrics.requests > 8'000);
   CHECK(metrics.maxInFlight < 200);
 }
--- a/tests/test_services/loopback_run.cpp
+++ b/tests/test_services/loopback_run.cpp
@@ -29,7 +29,7 @@
 using Hosts = std::vector<std::unique_ptr<ServiceHost>>;
 
 Hosts makeHosts(asio::io_context& io, const Scenario& scenario, emulator::RandomStream& workStream) {
-  const auto reports = scenario.reports ? ServiceHost::LoadReports::inHeader : ServiceHost::LoadReports::none;
+  const auto reports = scenario.reportsLoad ? ServiceHost::LoadReports::inHeader : ServiceHost::LoadReports::none;
   const auto workOf = [&scenario, &workStream](std::string_view name) {
     for (const auto& method : scenario.methods)
       if (method.name == name) return scaled(method.work, 0.5 + workStream.exponential(0.5));
@@ -65,7 +65,7 @@
 
 std::string configurationOf(const Scenario& scenario, std::uint64_t seed, std::uint32_t gateway,
                             std::uint16_t port, const Surroundings& surroundings) {
-  const std::string counter = scenario.counter ? fmt::format(R"("counter":"{}",)", surroundings.counter) : "";
+  const std::string counter = scenario.hasCounter ? fmt::format(R"("counter":"{}",)", surroundings.counter) : "";
   return fmt::format(
       R"({{"name":"n{}","listen":"127.0.0.1:{}","discovery":"{}","seed":"{:x}","limits":{{"sockets":1024}},{}"known":{},"settings":{}}})",
       gateway, port, surroundings.discovery, seed * 1000 + gateway, counter, surroundings.endpoints,
@@ -78,7 +78,7 @@
   asio::io_context io;
   emulator::RandomStream workStream(seed, "works");
   const Hosts hosts = makeHosts(io, scenario, workStream);
-  CounterService counter(io, scenario.counterService);
+  CounterService counter(io, scenario.counterServiceTime);
   DiscoveryService discovery(io);
   const Surroundings surroundings{discovery.address(), counter.address(),
                                   endpointList(hosts, scenario.zones)};
@@ -97,7 +97,7 @@
   Metrics metrics = clients.metrics();
   for (const auto& host : hosts) {
     metrics.attempts += host->requests();
-    metrics.connects += host->connections();
+    metrics.newConnections += host->connections();
     metrics.unitsSent += host->units();
   }
   metrics.counterCalls = counter.calls();
--- a/tests/test_services/platform_settings.cpp
+++ b/tests/test_services/platform_settings.cpp
@@ -40,8 +40,8 @@
   for (const auto& method : scenario.methods)
     classes += fmt::format(
         R"({}{{"name":"{}","effect":"{}","group":"{}","window":{},"promise":{},"hardLimit":{},"importance":{}}})",
-        classes.empty() ? "" : ",", method.name, effectOf(method.repeat), groupName(method.group),
-        microseconds(method.window), microseconds(method.soft), microseconds(method.deadline),
+        classes.empty() ? "" : ",", method.name, effectOf(method.idempotency), groupName(method.deduplicationScope),
+        microseconds(method.deduplicationWindow), microseconds(method.softDeadline), microseconds(method.deadline),
         method.utility);
   return classes;
 }
@@ -64,9 +64,9 @@
       R"({{"siblings":{},"me":{},"requestClasses":[{}],"tariffs":[{}],"familyInfo":{{"hasCounter":{},"countLimit":{},"largest":{}}},)"
       R"("limits":{{"connectTimeout":{},"connIdle":{},"cancel":{},"secondCopies":{},"tryLimit":{},"retryAfter":true,"maxRetryAfter":{}}},)"
       R"("rules":{{"startCapacity":{},"tipMultiple":{},"cold":{},"fall":{},"answerSlack":{},"drainGrace":{}}}}})",
-      scenario.gateways, gatewayNumber, requestClasses(scenario), tariffs(scenario), scenario.counter,
+      scenario.gateways, gatewayNumber, requestClasses(scenario), tariffs(scenario), scenario.hasCounter,
       microseconds(scenario.counterTimeout), maxUnits, microseconds(scenario.connectTimeout),
-      microseconds(scenario.idle), scenario.allowCancel, scenario.allowHedging, scenario.maxAttempts,
+      microseconds(scenario.idleTimeout), scenario.allowCancel, scenario.allowHedging, scenario.maxAttempts,
       microseconds(scenario.maxRetryAfter), scenario.startCapacity, scenario.overloadMultiple,
       microseconds(scenario.slowStartTime), microseconds(scenario.overloadWindow),
       microseconds(scenario.answerSlack), microseconds(scenario.drainGrace));
--- a/tests/test_services/validation_clients.cpp
+++ b/tests/test_services/validation_clients.cpp
@@ -87,8 +87,8 @@
   arrivals_.bernoulli(scenario_.abandonProbability);
   request->arrivedAt = WallClock::now();
   request->deadline = request->arrivedAt + scenario_.methods[request->method].deadline;
-  request->attemptsLeft = scenario_.tries;
-  ++metrics_.asked;
+  request->attemptsLeft = scenario_.maxClientAttempts;
+  ++metrics_.requests;
   ++unansweredRequests_;
   startAttempt(request);
 }
@@ -96,7 +96,7 @@
 void ValidationClients::startAttempt(const RequestPtr& request) {
   if (request->attemptsLeft-- <= 0 || WallClock::now() >= request->deadline) return fail(*request);
   ++request->attemptsMade;
-  ++metrics_.tries;
+  ++metrics_.clientAttempts;
   const std::uint32_t spread = std::min(scenario_.spread, scenario_.gateways);
   const auto first =
       static_cast<std::uint32_t>((request->customer * kGatewayHashFactor >> 33) % scenario_.gateways);
@@ -125,7 +125,7 @@
 std::string ValidationClients::attemptText(const ClientRequest& request, std::uint32_t firstGateway,
                                            std::uint32_t spread) {
   const auto& method = scenario_.methods[request.method];
-  const bool needsKey = method.repeat != Idempotency::idempotent;
+  const bool needsKey = method.idempotency != Idempotency::idempotent;
   const auto timeLeft =
       std::chrono::duration_cast<std::chrono::milliseconds>(request.deadline - WallClock::now());
   ++attemptCount_;
@@ -199,21 +199,21 @@
 void ValidationClients::handleConnectionLost(const RequestPtr& request, const ConnectionPtr& connection) {
   if (std::exchange(connection->attemptEnded, true)) return;
   connection->timeout.cancel();
-  ++metrics_.unreached;
+  ++metrics_.gatewayUnreachable;
   retryOrFail(request, mayRetryAfterFailure(*request), 0);
 }
 
 ValidationClients::MayRetry ValidationClients::mayRetryAfterFailure(const ClientRequest& request) const {
   const auto& method = scenario_.methods[request.method];
-  const bool safe = method.repeat == Idempotency::idempotent ||
-                    (method.repeat == Idempotency::deduplicated && method.group == DeduplicationScope::all);
+  const bool safe = method.idempotency == Idempotency::idempotent ||
+                    (method.idempotency == Idempotency::deduplicated && method.deduplicationScope == DeduplicationScope::all);
   return safe ? MayRetry::yes : MayRetry::no;
 }
 
 void ValidationClients::retryOrFail(const RequestPtr& request, MayRetry mayRetry, double retryAfterSeconds) {
   if (mayRetry == MayRetry::no) return fail(*request);
   const double backoff = double(1 << std::min(kMaxDoublings, request->attemptsMade - 1));
-  Duration wait = scaled(scenario_.wait, (0.5 + choices_.uniform01()) * backoff);
+  Duration wait = scaled(scenario_.initialBackoff, (0.5 + choices_.uniform01()) * backoff);
   if (retryAfterSeconds > 0 && choices_.bernoulli(scenario_.honorsRetryAfter))
     wait = std::max(wait, durationFromSeconds(retryAfterSeconds));
   if (WallClock::now() + wait >= request->deadline || request->attemptsLeft <= 0) return fail(*request);
@@ -225,7 +225,7 @@
   if (std::exchange(request.ended, true)) return;
   --unansweredRequests_;
   const Duration took = WallClock::now() - request.arrivedAt;
-  if (took <= scenario_.methods[request.method].soft)
+  if (took <= scenario_.methods[request.method].softDeadline)
     ++metrics_.inTime;
   else
     ++metrics_.late;
