--- a/src/emulator/event_queue.hpp
+++ b/src/emulator/event_queue.hpp
@@ -10,23 +10,23 @@
 
 namespace merlinbridge::emulator {
 
-/// The events of a run by virtual time, and its clock. Of two events at the same instant, the one that was
-/// added first runs first.
+/// The pending events of a run, ordered by virtual time, and its clock. Events at the same instant run in the
+/// order in which they were added.
 class EventQueue {
  public:
   using Event = std::function<void()>;
 
-  explicit EventQueue(TimePoint begin) : now_(begin) {}
+  explicit EventQueue(TimePoint start) : now_(start) {}
 
   TimePoint now() const { return now_; }
-  /// Adds an event; a time in the past counts as now.
+  /// Schedules an event; a time in the past counts as now.
   void at(TimePoint time, Event event) {
     heap_.push_back({std::max(time, now_), ++lastNumber_, std::move(event)});
     std::push_heap(heap_.begin(), heap_.end(), isLater);
   }
   void after(Duration delay, Event event) { at(now_ + delay, std::move(event)); }
-  /// Runs the next event, and returns true. If there is none up to that time, the clock is set to it, and
-  /// false is returned.
+  /// Runs the next event up to `until` and returns true. If there is none, sets the clock to `until` and
+  /// returns false.
   bool step(TimePoint until) {
     if (heap_.empty() || heap_.front().time > until) {
       now_ = std::max(now_, until);
@@ -44,7 +44,7 @@
  private:
   struct Entry {
     TimePoint time;
-    std::uint64_t number = 0;  ///< In the order in which events were added.
+    std::uint64_t number = 0;  ///< Order in which events were added.
     Event event;
   };
   static bool isLater(const Entry& a, const Entry& b) {
--- a/src/emulator/faults/active_faults.hpp
+++ b/src/emulator/faults/active_faults.hpp
@@ -14,14 +14,14 @@
 /// A fault of the scenario while it is in effect.
 struct ActiveFault {
   const Fault* fault = nullptr;  ///< Owned by the scenario.
-  std::vector<char> affected;    ///< One flag for each gateway or host that was there when the fault began.
+  std::vector<char> affected;    ///< One flag per gateway or host that existed when the fault began.
   std::uint32_t zone = 0;        ///< The zone concerned, for faults of a zone.
 
   bool affects(std::uint32_t number) const { return number < affected.size() && affected[number] != 0; }
 };
 
-/// The faults that are in effect now. The parts of the run that a fault concerns ask here for its effect.
-/// Faults are kept by their number in the scenario, so that the order of the answers does not depend on when
+/// The faults that are in effect now. The parts of the run that a fault concerns query its effect here.
+/// Faults are ordered by their number in the scenario, so that results do not depend on the order in which
 /// they began.
 class ActiveFaults {
  public:
@@ -33,11 +33,11 @@
     return ended;
   }
 
-  /// Whether a fault of that kind is in effect for which the predicate holds.
+  /// Whether a fault of that kind is in effect that satisfies the predicate.
   template <class Predicate>
-  bool any(FaultKind kind, Predicate holds) const {
+  bool any(FaultKind kind, Predicate predicate) const {
     return std::any_of(active_.begin(), active_.end(), [&](const auto& entry) {
-      return entry.second.fault->kind == kind && holds(entry.second);
+      return entry.second.fault->kind == kind && predicate(entry.second);
     });
   }
   bool any(FaultKind kind) const {
@@ -54,13 +54,14 @@
       if (active.fault->kind == kind) product *= active.fault->factor;
     return product;
   }
-  /// `value` times the factors of the faults of that kind that concern the gateway or host.
-  double scaledFor(FaultKind kind, std::uint32_t concerned, double value) const {
+  /// `value` times the factors of the faults of that kind that affect the gateway or host.
+  double scaledFor(FaultKind kind, std::uint32_t affected, double value) const {
     for (const auto& [number, active] : active_)
-      if (active.fault->kind == kind && active.affects(concerned)) value *= active.fault->factor;
+      if (active.fault->kind == kind && active.affects(affected)) value *= active.fault->factor;
     return value;
   }
-  /// `probability`, from 0 to 1, of passing all faults of that kind, whose factors are probabilities of loss.
+  /// `probability` that a message passes, times the probability that it passes all faults of that kind, whose
+  /// factors are probabilities of loss.
   double survival(FaultKind kind, double probability) const {
     for (const auto& [number, active] : active_)
       if (active.fault->kind == kind) probability *= 1 - std::min(1.0, active.fault->factor);
--- a/src/emulator/faults/counter_faults.hpp
+++ b/src/emulator/faults/counter_faults.hpp
@@ -4,7 +4,7 @@
 
 namespace merlinbridge::emulator {
 
-/// The counter service has lost all its counts when the fault begins.
+/// The counter service loses all its counts when the fault begins.
 class CounterEmpty final : public FaultEffect {
  public:
   CounterEmpty() : FaultEffect(TargetKind::hosts) {}
--- a/src/emulator/faults/fault_effect.hpp
+++ b/src/emulator/faults/fault_effect.hpp
@@ -21,8 +21,8 @@
   DiscoveryService& discovery;
 };
 
-/// What a kind of fault does when it begins and ends. This base class does nothing: it is for the kinds whose
-/// whole effect is that the parts concerned ask ActiveFaults for it.
+/// The actions of a kind of fault when it begins and ends. This base class does nothing: it serves the kinds
+/// whose whole effect comes from the affected parts querying ActiveFaults.
 class FaultEffect {
  public:
   enum class TargetKind { gateways, hosts };
@@ -30,11 +30,11 @@
   explicit FaultEffect(TargetKind targetKind) : targetKind_(targetKind) {}
   virtual ~FaultEffect() = default;
 
-  /// What the fault's share is of.
+  /// Whether the fault's share is of the gateways or of the hosts.
   TargetKind targetKind() const { return targetKind_; }
-  /// The fault begins; it is not in effect yet. May change which hosts are affected.
+  /// Called when the fault begins, before it is in effect. May change which hosts are affected.
   virtual void begin(const FaultTargets&, ActiveFault&, Duration /*duration*/) const {}
-  /// The fault has ended and is not in effect any more.
+  /// Called when the fault has ended and is no longer in effect.
   virtual void end(const FaultTargets&, const ActiveFault&) const {}
 
  private:
--- a/src/emulator/faults/fault_schedule.cpp
+++ b/src/emulator/faults/fault_schedule.cpp
@@ -13,7 +13,7 @@
 namespace merlinbridge::emulator {
 namespace {
 
-/// Flags for that share of `count` items, drawn at random.
+/// Flags that are set for a random choice of that share of `count` items.
 std::vector<char> chooseShare(std::size_t count, double share, RandomStream& random) {
   std::vector<std::uint32_t> order(count);
   std::iota(order.begin(), order.end(), 0u);
@@ -34,7 +34,8 @@
     RandomStream random(seed_, fmt::format("fault {}", number));
     const TimePoint from = kRunStart + durationFromSeconds(random.between(fault.from.min, fault.from.max));
     const Duration duration = durationFromSeconds(random.between(fault.duration.min, fault.duration.max));
-    targets_.run.events().at(from, [this, number, random, duration]() mutable { begin(number, random, duration); });
+    targets_.run.events().at(from,
+                             [this, number, random, duration]() mutable { begin(number, random, duration); });
   }
 }
 
@@ -63,7 +64,7 @@
   return chooseShare(targets_.gateways.size(), share, random);
 }
 
-// Hosts that are down or drain are left out: the fault would not be seen.
+// Hosts that are down or draining are not chosen: the fault would have no effect on them.
 std::vector<char> FaultSchedule::chooseHosts(double share, RandomStream& random) const {
   const HostFleet& hosts = targets_.hosts;
   std::vector<std::uint32_t> serving;
--- a/src/emulator/faults/fault_schedule.hpp
+++ b/src/emulator/faults/fault_schedule.hpp
@@ -10,15 +10,15 @@
 
 namespace merlinbridge::emulator {
 
-/// Begins and ends the scenario's faults. Each fault has a random stream of its own for its times and for
-/// what it affects, so that every policy meets the same faults.
+/// Begins and ends the scenario's faults. Each fault has its own random stream for its times and for what it
+/// affects, so that every policy runs against the same faults.
 class FaultSchedule {
  public:
   /// Targets and active faults must outlive the schedule.
   FaultSchedule(const FaultTargets& targets, std::uint64_t seed, ActiveFaults& active)
       : targets_(targets), seed_(seed), active_(active) {}
 
-  /// Draws the times of all faults and schedules them. Called once.
+  /// Chooses the random times of all faults and schedules them. Called once.
   void start();
 
  private:
--- a/src/emulator/faults/gateway_faults.hpp
+++ b/src/emulator/faults/gateway_faults.hpp
@@ -4,7 +4,7 @@
 
 namespace merlinbridge::emulator {
 
-/// Kills a share of the gateways at once; they start again when the fault ends.
+/// Kills a share of the gateways at once; they restart when the fault ends.
 class GatewayKill final : public FaultEffect {
  public:
   GatewayKill() : FaultEffect(TargetKind::gateways) {}
@@ -12,7 +12,7 @@
   void end(const FaultTargets&, const ActiveFault&) const override;
 };
 
-/// Shuts a share of the gateways down in steps over the time of the fault; each drains and starts again.
+/// Shuts down a share of the gateways in steps over the duration of the fault; each drains and restarts.
 class GatewayRestart final : public FaultEffect {
  public:
   GatewayRestart() : FaultEffect(TargetKind::gateways) {}
--- a/src/emulator/faults/host_faults.cpp
+++ b/src/emulator/faults/host_faults.cpp
@@ -8,14 +8,13 @@
 namespace merlinbridge::emulator {
 namespace {
 
-/// How long after its removal the invariant checker forgets a host: no gateway speaks of it any more.
+/// Delay after which the invariant checker drops a removed host; by then no gateway refers to it any more.
 constexpr Duration kForgetAfter = std::chrono::seconds(30);
 
 void removeDrained(const FaultTargets& targets, std::uint32_t host) {
   targets.hosts.remove(host);
   targets.discovery.publish({host});
-  targets.run.events().after(kForgetAfter,
-                             [&run = targets.run, host] { run.checker().hostRemoved({host}); });
+  targets.run.events().after(kForgetAfter, [&run = targets.run, host] { run.checker().hostRemoved({host}); });
 }
 
 void replace(const FaultTargets& targets, const std::vector<std::uint32_t>& hosts) {
--- a/src/emulator/faults/host_faults.hpp
+++ b/src/emulator/faults/host_faults.hpp
@@ -4,7 +4,7 @@
 
 namespace merlinbridge::emulator {
 
-/// Kills a share of the hosts at once; they start again, cold, when the fault ends.
+/// Kills a share of the hosts at once; they restart, in slow start, when the fault ends.
 class HostKill : public FaultEffect {
  public:
   HostKill() : FaultEffect(TargetKind::hosts) {}
@@ -12,21 +12,22 @@
   void end(const FaultTargets&, const ActiveFault&) const override;
 };
 
-/// Kills all hosts of one zone, whatever the fault's share; they start again as after HostKill.
+/// Kills all hosts of one zone, regardless of the fault's share; they restart as after HostKill.
 class ZoneLoss final : public HostKill {
  public:
   void begin(const FaultTargets&, ActiveFault&, Duration) const override;
 };
 
-/// Hosts take requests and answer none while the fault is in effect. After it they go on with what they hold.
+/// Hosts accept requests but do not respond while the fault is in effect, and then resume the requests they
+/// hold.
 class HostHang final : public FaultEffect {
  public:
   HostHang() : FaultEffect(TargetKind::hosts) {}
   void end(const FaultTargets&, const ActiveFault&) const override;
 };
 
-/// Replaces a share of the hosts by new, cold ones, in steps over the time of the fault; the old ones drain
-/// and are removed once their last requests must be over.
+/// Replaces a share of the hosts by new ones, which begin in slow start, in steps over the duration of the
+/// fault. The old hosts drain and are removed once the deadlines of their last requests have passed.
 class HostReplace final : public FaultEffect {
  public:
   HostReplace() : FaultEffect(TargetKind::hosts) {}
--- a/src/emulator/invariant_checker.hpp
+++ b/src/emulator/invariant_checker.hpp
@@ -12,18 +12,18 @@
 
 namespace merlinbridge::emulator {
 
-/// One attempt of a client; each has an id of its own.
+/// Identifies one attempt of a client; each attempt of a client request has its own id.
 using ClientAttemptId = Id<struct ClientAttemptKind>;
 using HostNumber = Id<struct HostNumberKind, std::uint32_t>;
 using GatewayNumber = Id<struct GatewayNumberKind, std::uint32_t>;
 
-/// The rules that every gateway has to keep.
+/// The rules that every gateway must keep.
 enum class Invariant {
-  lost,       ///< Every request has one whole answer in time, and only after a host has made it.
-  duplicate,  ///< No effect comes twice.
-  drain,      ///< No request goes to a host after the grace time of its drain.
-  slowStart,  ///< Gateways that know of a host's start do not overload it while it warms up.
-  ceiling     ///< No customer gets beyond its hard ceiling and its slack.
+  lost,       ///< Each request gets one complete answer in time; a success only if a host responded.
+  duplicate,  ///< No request takes effect twice.
+  drain,      ///< No request is sent to a draining host after the grace period.
+  slowStart,  ///< Gateways that know of a host's start do not overload it in slow start.
+  ceiling     ///< No customer exceeds its hard ceiling plus slack.
 };
 inline constexpr std::size_t kInvariantCount = 5;
 /// The name of a rule in tables and on the command line.
@@ -32,22 +32,22 @@
 /// How a gateway answers a client attempt.
 enum class Answer { ok, rejected, failed };
 
-/// One breach of a rule.
+/// One violation of an invariant.
 struct Violation {
   TimePoint at;
   Invariant rule;
-  ClientAttemptId attemptId;  ///< 0 if the breach is not of a single request.
+  ClientAttemptId attemptId;  ///< 0 if the violation concerns no single request.
   std::string what;
 };
 
-/// Judges whether the five rules are kept, from what really happened: it is notified by the emulated hosts,
-/// clients and network, never by a gateway's decisions. What it remembers is bounded by what is in flight.
+/// Checks the five invariants against what really happened: the emulated hosts, clients and network report to
+/// it, never a gateway's own decisions. Its memory is bounded by the requests in flight.
 /// The scenario must outlive it.
 class InvariantChecker {
  public:
   explicit InvariantChecker(const Scenario&);
 
-  /// A request as a gateway gets it.
+  /// A request as a gateway receives it.
   struct ReceivedRequest {
     GatewayNumber gateway;
     std::uint32_t method = 0;
@@ -56,55 +56,59 @@
     double units = 0;
     TimePoint deadline;
   };
-  /// A gateway has the whole of a request.
+  /// A gateway has received a complete request.
   void requestReceived(TimePoint, ClientAttemptId, const ReceivedRequest&);
-  /// The client's connection has ended before the answer.
+  /// The client's connection has closed before the answer.
   void clientDisconnected(TimePoint, ClientAttemptId);
   /// The gateway has written a final answer.
   void requestAnswered(TimePoint, ClientAttemptId, Answer);
-  /// The gateway's process has ended: its requests are forgotten, none of them counts as lost.
+  /// The gateway's process has died: its open requests are dropped, and none of them counts as lost.
   void gatewayDied(TimePoint, GatewayNumber);
 
   /// The gateway has started an attempt.
   void attemptStarted(TimePoint, ClientAttemptId, std::uint32_t attemptNumber, HostNumber, std::uint32_t zone,
-            std::int64_t cell);
-  /// The whole request is at a host. Returns whether its units were inside the customer's quota; empty if
-  /// this is not the first attempt of the request to get there.
+                      std::int64_t cell);
+  /// A host has received the complete request. Returns whether its units were within the customer's quota;
+  /// empty if an earlier attempt of the same request has reached a host.
   std::optional<bool> requestDelivered(TimePoint, ClientAttemptId, std::uint32_t attemptNumber);
-  /// The host has begun to work on it.
-  void executionStarted(TimePoint, ClientAttemptId, std::uint32_t attemptNumber, HostNumber, std::uint32_t zone,
-           std::int64_t cell);
-  void responseSent(TimePoint, ClientAttemptId, std::uint32_t attemptNumber);  ///< The host has written its answer.
-  /// The attempt is over for the gateway. `provenNotRun`: by the protocol's table it has never run.
+  /// The host has started to execute the request.
+  void executionStarted(TimePoint, ClientAttemptId, std::uint32_t attemptNumber, HostNumber,
+                        std::uint32_t zone, std::int64_t cell);
+  /// The host has written its response.
+  void responseSent(TimePoint, ClientAttemptId, std::uint32_t attemptNumber);
+  /// The attempt has ended for the gateway. `provenNotRun`: by the protocol, its outcome proves that the
+  /// request has not run at the host.
   void attemptEnded(TimePoint, ClientAttemptId, std::uint32_t attemptNumber, bool provenNotRun);
 
-  /// A request has come to a host that started at that time. Returns whether the host fails under it, which
-  /// can be only during its slow start. `told`: discovery had told the gateway of the start.
-  bool hostReceivedRequest(TimePoint, HostNumber, TimePoint started, Duration work, bool told);
+  /// A host that started at `started` has received a request. Returns whether the host fails from overload,
+  /// which happens only during its slow start. `startAnnounced`: discovery had told the gateway of the start.
+  bool hostReceivedRequest(TimePoint, HostNumber, TimePoint started, Duration work, bool startAnnounced);
   /// Discovery has told a gateway whether a host serves.
   void servingStateAnnounced(TimePoint, GatewayNumber, HostNumber, bool serving);
-  void hostRemoved(HostNumber);  ///< The host has long been gone.
+  void hostRemoved(HostNumber);  ///< The host was removed and no gateway uses it any more.
 
-  /// The run is over: what is still without an answer after its time counts as lost.
+  /// The run has ended: requests still unanswered after their deadline and slack count as lost.
   void finish(TimePoint);
 
-  const std::vector<Violation>& firstViolations() const { return firstViolations_; }  ///< The first few of each rule.
+  /// The first few of each invariant.
+  const std::vector<Violation>& firstViolations() const { return firstViolations_; }
   std::uint64_t count(Invariant rule) const { return counts_[static_cast<std::size_t>(rule)]; }
+  /// Violations of all invariants.
   std::uint64_t violationCount() const;
   /// Requests in flight.
   std::size_t openRequestCount() const { return open_.size(); }
 
-  /// The most units that a customer with a ceiling got in any ten seconds, over what rate and burst of the
-  /// ceiling give in that time.
+  /// Highest ratio, over all customers with a hard ceiling, of the units sent in any ten seconds to the units
+  /// that the ceiling's rate and burst allow in that time.
   double worstWindow() const { return worstWindow_; }
-  /// The most that a host in slow start was sent, over its budget.
+  /// Highest ratio of the load sent to a host in slow start to its slowStartBudget.
   double peakSlowStartLoad() const { return peakSlowStartLoad_; }
   double unitsSent() const { return unitsSent_; }
   double unitsOverQuota() const { return unitsOverQuota_; }
   std::uint64_t duplicateExecutions() const { return duplicateExecutions_; }
-  /// Whether these units would be inside the customer's quota and ceiling now.
+  /// Whether a request of that many units would now be within the customer's quota and hard ceiling.
   bool isWithinLimits(TimePoint, std::uint64_t customer, std::uint32_t plan, double units) const;
-  /// Requests of mean work that a host in slow start may be sent in Scenario::tip.
+  /// Requests of mean work that a host in slow start may be sent within Scenario::overloadWindow.
   double slowStartBudget(TimePoint now, TimePoint started) const;
 
  private:
@@ -126,23 +130,23 @@
     bool quotaCharged = false;
   };
   struct CustomerState {
-    double level = 0;
-    double ceiling = 0;
-    TimePoint at;
+    double quotaLevel = 0;    ///< Units left.
+    double ceilingLevel = 0;  ///< Units left; below zero, slack is in use.
+    TimePoint updatedAt;
     std::deque<std::pair<TimePoint, double>>
-        window;  ///< units sent in the last ten seconds, where there is a ceiling
+        window;  ///< Units sent in the last ten seconds, by time; only with a ceiling.
     double unitsInWindow = 0;
     TimePoint lastRequestAt;
   };
   struct SlowStartWindow {
     struct Arrival {
       TimePoint at;
-      double requests = 0;  ///< of mean work
-      bool told = false;    ///< the gateway had been told of the start
+      double requests = 0;          ///< Of mean work.
+      bool startAnnounced = false;  ///< Discovery had told the gateway of the host's start.
     };
     std::deque<Arrival> arrivals;
-    double sum = 0;
-    double announcedLoad = 0;
+    double load = 0;           ///< Requests of mean work in the window.
+    double announcedLoad = 0;  ///< Of them, those from gateways that knew of the start.
   };
 
   OpenRequest* find(ClientAttemptId);
@@ -154,14 +158,14 @@
   void forgetIdleCustomers(TimePoint);
 
   const Scenario& scenario_;
-  double capacity_ = 1;  ///< Requests of mean work a second that a host serves after its slow start.
+  double capacity_ = 1;  ///< Requests of mean work per second that a host serves after its slow start.
   double meanWork_ = 1;  ///< Seconds.
   std::unordered_map<std::uint64_t, OpenRequest> open_;
   std::unordered_map<std::uint64_t, CustomerState> customers_;
   std::size_t nextSweepSize_ = 1024;
   std::map<std::uint32_t, SlowStartWindow> slowStarting_;
   std::map<std::pair<std::uint32_t, std::uint32_t>, TimePoint>
-      notServing_;  ///< gateway and machine: told when
+      notServing_;  ///< By gateway and host: when discovery told the gateway that the host does not serve.
   std::vector<Violation> firstViolations_;
   std::uint64_t counts_[kInvariantCount] = {};
   double worstWindow_ = 0;
--- a/src/emulator/network.cpp
+++ b/src/emulator/network.cpp
@@ -3,7 +3,7 @@
 namespace merlinbridge::emulator {
 namespace {
 
-/// What the first retransmission adds to the delay of a message; each further one adds twice as much.
+/// Delay that the first retransmission adds to a message; each further one adds twice as much as the last.
 constexpr Duration kRetransmitDelay = std::chrono::milliseconds(200);
 constexpr int kMaxRetransmissions = 6;
 
--- a/src/emulator/network.hpp
+++ b/src/emulator/network.hpp
@@ -8,19 +8,19 @@
 
 namespace merlinbridge::emulator {
 
-/// The network between all parts: how long a message takes, and which zones reach each other. Messages are
-/// never lost for good; TCP sends a lost one again, which delays it.
+/// The network between all parts of a run: how long a message takes, and which zones can reach each other.
+/// No message is lost for good: as TCP retransmits a lost one, the loss only delays it.
 class Network {
  public:
   /// Scenario and faults must outlive the network.
   Network(const Scenario& scenario, std::uint64_t seed, const ActiveFaults& faults)
       : scenario_(scenario), faults_(faults), random_(seed, "network") {}
 
-  /// Draws the time that one message takes.
+  /// A random delay for one message.
   Duration delay();
   /// Whether two zones cannot reach each other.
   bool isPartitioned(std::uint32_t zoneA, std::uint32_t zoneB) const;
-  /// Draws whether an answer of the counter service is lost.
+  /// Whether a response of the counter service is lost, at random.
   bool losesCounterResponse();
 
  private:
--- a/src/emulator/play.cpp
+++ b/src/emulator/play.cpp
@@ -8,10 +8,10 @@
 namespace merlinbridge::emulator {
 namespace {
 
-/// How long a run goes on after the last request's deadline, for what is still on its way.
+/// A run goes on for this long after the last request's deadline, so that messages in flight arrive.
 constexpr Duration kRunOut = std::chrono::seconds(2);
 
-/// Puts the parts of a run together and plays it.
+/// Builds the parts of a run and runs it.
 class Run {
  public:
   Run(const Scenario& scenario, std::uint64_t seed, Policy policy, const GatewayFactory& factory)
@@ -38,7 +38,7 @@
   }
 
  private:
-  // Adds what the invariant checker found. Times of violations count from the begin of the run.
+  // Adds the invariant checker's results. The times of violations count from the start of the run.
   Metrics finish() {
     InvariantChecker& checker = context_.checker();
     checker.finish(context_.now());
--- a/src/emulator/process_ref.hpp
+++ b/src/emulator/process_ref.hpp
@@ -6,14 +6,14 @@
 
 namespace merlinbridge::emulator {
 
-/// Names one incarnation of a gateway process. What arrives late for an earlier incarnation is ignored.
+/// Identifies one incarnation of a gateway process. Messages that arrive for an earlier one are ignored.
 struct ProcessRef {
   std::uint32_t gateway = 0;
   std::uint64_t incarnation = 0;
   bool operator==(const ProcessRef&) const = default;
 };
 
-/// Names one attempt, or one call to the counter service, of a gateway process.
+/// Identifies one attempt, or one call to the counter service, of a gateway process.
 struct ProcessSlot {
   ProcessRef process;
   core::SlotRef slot;
--- a/src/emulator/random_stream.hpp
+++ b/src/emulator/random_stream.hpp
@@ -10,9 +10,9 @@
 
 namespace merlinbridge::emulator {
 
-/// Random numbers for one part of a run. Each part draws from its own stream, so that a change of one part
-/// leaves the draws of the others as they are: two policies meet the same clients and the same faults. The
-/// numbers depend on seed and name of the part alone, on every platform.
+/// Random numbers for one part of a run. Each part has its own stream, so that a change in one part does not
+/// change the numbers of the others: every policy runs against the same clients and faults. The numbers
+/// depend only on the seed and the name of the part, and are the same on every platform.
 class RandomStream {
  public:
   RandomStream(std::uint64_t seed, std::string_view part) {
@@ -31,8 +31,8 @@
     const double low = double(engine_());
     return (high + low / kSpan) / kSpan;
   }
-  /// Uniform in [least, most).
-  double between(double least, double most) { return least + (most - least) * uniform01(); }
+  /// Uniform in [min, max).
+  double between(double min, double max) { return min + (max - min) * uniform01(); }
   /// True with the given probability.
   bool bernoulli(double probability) { return uniform01() < probability; }
   /// Uniform from 0 to count - 1; count must not be 0.
@@ -41,12 +41,13 @@
   }
   /// Exponentially distributed with the given mean.
   double exponential(double mean) { return -mean * std::log(1 - uniform01()); }
+  /// Exponentially distributed with the given mean.
   Duration duration(Duration mean) { return scaled(mean, exponential(1)); }
   /// 48 random bits.
   std::uint64_t bits48() { return static_cast<std::uint64_t>(engine_()) << 24 | engine_(); }
 
  private:
-  static constexpr double kSpan = 16777216;  ///< Values of the engine's 24 bits.
+  static constexpr double kSpan = 16777216;  ///< Number of values of the engine, which gives 24 bits.
   std::ranlux24_base engine_;
 };
 
--- a/src/emulator/run_context.hpp
+++ b/src/emulator/run_context.hpp
@@ -12,11 +12,11 @@
 /// Virtual time at which every run begins. Far from zero, so that a host may have started long before it.
 inline constexpr TimePoint kRunStart{std::chrono::seconds(1'700'000'000)};
 
-/// What happened, as the fingerprint of a run records it. The number of the gateway, host, fault, answer or
-/// outcome concerned is added to the value.
+/// Kinds of events in the fingerprint of a run. The number of the gateway, host, fault, answer or outcome
+/// concerned is added to the value.
 enum class TraceEvent : std::uint64_t {
-  requestReceived = 0,        ///< Plus the id of the client attempt.
-  requestFailed = 3,       ///< A client has given up for good.
+  requestReceived = 0,     ///< Plus the id of the client attempt.
+  requestFailed = 3,       ///< A client has given up on its request.
   answerReceived = 10,     ///< Plus the Answer.
   attemptEnded = 100,      ///< Plus the Outcome.
   gatewayDied = 1000,      ///< Plus the gateway's number.
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -32,7 +32,8 @@
   config.maxDescriptors = kSockets;
   PolicySettings& settings = config.settings;
   for (const ScenarioMethod& method : methods) {
-    settings.methods.push_back({method.idempotency, method.deduplicationScope, method.deduplicationWindow, method.softDeadline, method.utility});
+    settings.methods.push_back({method.idempotency, method.deduplicationScope, method.deduplicationWindow,
+                                method.softDeadline, method.utility});
     config.methodNames.push_back(method.name);
   }
   for (const ScenarioPlan& plan : plans) {
--- a/src/emulator/scenario_keys.cpp
+++ b/src/emulator/scenario_keys.cpp
@@ -26,7 +26,7 @@
   try {
     return toml::parse("v = " + value);
   } catch (const toml::parse_error&) {
-    // Not TOML: a text without its quotes.
+    // Not a TOML value: taken as a string without quotes.
   }
   try {
     return toml::parse("v = \"" + value + "\"");
@@ -39,11 +39,12 @@
   std::size_t index = 0;
   const char* const last = word.data() + word.size();
   const auto [end, error] = std::from_chars(word.data(), last, index);
-  if (error != std::errc{} || end != last) failChange(change, "expected a number");
+  if (error != std::errc{} || end != last)
+    failChange(change, fmt::format("expected an array index, found '{}'", word));
   return index;
 }
 
-// The node with that name or index. A table that is missing is added.
+// The child with that name or index. A missing table is added.
 toml::node& childOf(toml::node& parent, const std::string& change, const std::string& word) {
   toml::node* child = nullptr;
   if (toml::table* const table = parent.as_table()) {
@@ -90,7 +91,7 @@
 }
 
 [[noreturn]] void failOnBothNames(const RenamedKey& key, const std::string& file,
-                                    const toml::source_position& place) {
+                                  const toml::source_position& place) {
   throw config::TomlError({config::TomlFault::conflictingOldKey, file, place.line, place.column,
                            fmt::format("{}.{}", key.table, key.oldName),
                            fmt::format("{}.{}", key.table, key.newName), ""});
@@ -119,7 +120,7 @@
   toml::node* at = &root;
   for (std::size_t i = 0; i + 1 < words.size(); ++i) at = &childOf(*at, change, words[i]);
   toml::table* const table = at->as_table();
-  if (!table) failChange(change, "no table to change");
+  if (!table) failChange(change, "the path does not lead to a table");
   table->insert_or_assign(words.back(), *value.get("v"));
 }
 
--- a/src/emulator/scenario_reader.cpp
+++ b/src/emulator/scenario_reader.cpp
@@ -60,14 +60,16 @@
   ScenarioMethod method{};
   method.name = table.string("name");
   method.idempotency = table.oneOf<Idempotency>("repeat", Idempotency::idempotent, kIdempotencyNames);
-  method.deduplicationScope = table.oneOf<DeduplicationScope>("group", DeduplicationScope::all, kDeduplicationScopeNames);
+  method.deduplicationScope =
+      table.oneOf<DeduplicationScope>("group", DeduplicationScope::all, kDeduplicationScopeNames);
   method.deduplicationWindow = table.duration("window", milliseconds(4000));
   method.softDeadline = table.duration("soft", milliseconds(500));
   method.deadline = table.duration("deadline", milliseconds(2000));
   method.work = table.duration("work", milliseconds(8));
   method.share = table.number("share", 1, 0, 1e6);
   method.utility = table.number("utility", 1, 0, 1e6);
-  if (method.deadline < method.softDeadline) table.fail("deadline", "a time no shorter than the soft deadline");
+  if (method.deadline < method.softDeadline)
+    table.fail("deadline", "a time no shorter than the soft deadline");
   table.rejectUnknownKeys();
   return method;
 }
@@ -87,7 +89,7 @@
   return plan;
 }
 
-// All kinds of fault have the same keys; those that a kind does not use have no effect.
+// All kinds of faults have the same keys; keys that a kind does not use have no effect.
 Fault readFault(TomlTable& table, const Scenario& scenario) {
   Fault fault{};
   fault.kind = table.oneOf<FaultKind>("kind", {}, kFaultKindNames);
@@ -158,8 +160,8 @@
   readRules(table.section("rules"), scenario);
   for (TomlTable& fault : table.sections("fault")) scenario.faults.push_back(readFault(fault, scenario));
   table.rejectUnknownKeys();
-  // The hash is of what is played: the order of the keys, their old names, and a change that changes nothing
-  // keep it.
+  // The hash covers the values that the run uses: neither the order of keys, nor old names, nor a change to
+  // the same value alters it.
   scenario.hash = hashOf(writeScenario(scenario));
   return scenario;
 }
--- a/src/emulator/scenario_words.hpp
+++ b/src/emulator/scenario_words.hpp
@@ -6,7 +6,7 @@
 
 #include "emulator/scenario.hpp"
 
-/// The names that scenarios use for the values of enums, for reading and writing.
+/// Names of enum values in scenario files, for reading and writing.
 namespace merlinbridge::emulator {
 
 inline constexpr std::array kFaultKindNames = std::to_array<std::pair<std::string_view, FaultKind>>({
@@ -35,16 +35,18 @@
 });
 inline constexpr std::array kIdempotencyNames =
     std::to_array<std::pair<std::string_view, Idempotency>>({{"idempotent", Idempotency::idempotent},
-                                                        {"deduplicated", Idempotency::deduplicated},
-                                                        {"non-idempotent", Idempotency::nonIdempotent}});
-inline constexpr std::array kDeduplicationScopeNames = std::to_array<std::pair<std::string_view, DeduplicationScope>>(
-    {{"all", DeduplicationScope::all}, {"zone", DeduplicationScope::zone}, {"cell", DeduplicationScope::cell}});
+                                                             {"deduplicated", Idempotency::deduplicated},
+                                                             {"non-idempotent", Idempotency::nonIdempotent}});
+inline constexpr std::array kDeduplicationScopeNames =
+    std::to_array<std::pair<std::string_view, DeduplicationScope>>({{"all", DeduplicationScope::all},
+                                                                    {"zone", DeduplicationScope::zone},
+                                                                    {"cell", DeduplicationScope::cell}});
 
-/// The name of a value in one of these tables; empty if it has none.
-template <class Value, class Words>
-std::string_view nameIn(const Words& words, Value value) {
-  for (const auto& [word, each] : words)
-    if (each == value) return word;
+/// The name of a value in one of these tables; empty if the table does not contain it.
+template <class Value, class Names>
+std::string_view nameIn(const Names& names, Value value) {
+  for (const auto& [name, each] : names)
+    if (each == value) return name;
   return {};
 }
 
--- a/src/emulator/scenario_writer.cpp
+++ b/src/emulator/scenario_writer.cpp
@@ -8,7 +8,7 @@
 namespace merlinbridge::emulator {
 namespace {
 
-/// Writes TOML, one key a line.
+/// Writes TOML, one key per line.
 class TomlWriter {
  public:
   /// Begins a table, as "[fleet]" or "[[fault]]".
@@ -18,7 +18,7 @@
     fmt::format_to(std::back_inserter(text_), "{} = {}\n", key, value);
   }
   void text(std::string_view key, std::string_view value) { this->value(key, quoted(value)); }
-  /// In the largest of s, ms and ns that gives a whole number.
+  /// Written in the largest unit of s, ms and ns that gives a whole number.
   void duration(std::string_view key, Duration duration) {
     constexpr std::int64_t kSecond = 1'000'000'000;
     constexpr std::int64_t kMillisecond = 1'000'000;
@@ -27,7 +27,7 @@
     if (nanoseconds % kMillisecond == 0) return text(key, fmt::format("{}ms", nanoseconds / kMillisecond));
     text(key, fmt::format("{}ns", nanoseconds));
   }
-  /// One time, or the least and the most.
+  /// Written as one time, or as minimum and maximum.
   void range(std::string_view key, Range range) {
     if (range.min == range.max) return text(key, fmt::format("{}s", range.min));
     value(key, fmt::format("[\"{}s\", \"{}s\"]", range.min, range.max));
--- a/tests/test_services/emulator_validation.cpp
+++ b/tests/test_services/emulator_validation.cpp
@@ -19,7 +19,7 @@
 using emulator::Metrics;
 using emulator::Scenario;
 
-/// How far a figure on sockets may differ from the emulated one. LatencyHistogram on sockets are longer by the
+/// How far a figure on sockets may differ from the emulated one. Latencies on sockets are longer by the
 /// kernel's own delays.
 constexpr double kShareTolerance = 0.05;  ///< Shares of requests or attempts, absolute.
 constexpr double kRatioTolerance = 0.1;   ///< Ratios and units, as a share of the emulated figure.
