--- a/tests/test_services/emulator_validation.cpp
+++ b/tests/test_services/emulator_validation.cpp
@@ -71,14 +71,14 @@
     printFigure(name, emulated, real, kRatioTolerance * emulated);
   }
   void printShares() {
-    printShare("in_time", &Metrics::inTime, &Metrics::asked);
-    printShare("late", &Metrics::late, &Metrics::asked);
-    printShare("failed", &Metrics::failed, &Metrics::asked);
-    printShare("rejected", &Metrics::rejected, &Metrics::tries);
+    printShare("in_time", &Metrics::inTime, &Metrics::requests);
+    printShare("late", &Metrics::late, &Metrics::requests);
+    printShare("failed", &Metrics::failed, &Metrics::requests);
+    printShare("rejected", &Metrics::rejected, &Metrics::clientAttempts);
   }
   void printRatios() {
-    printRatio("client_attempts", &Metrics::tries, &Metrics::asked);
-    printRatio("attempts", &Metrics::attempts, &Metrics::tries);
+    printRatio("client_attempts", &Metrics::clientAttempts, &Metrics::requests);
+    printRatio("attempts", &Metrics::attempts, &Metrics::clientAttempts);
     printFigure("units_sent", emulated_.unitsSent, real_.unitsSent, kRatioTolerance * emulated_.unitsSent);
   }
   void printLatencies() {
