--- a/src/emulator/faults/fault_schedule.cpp
+++ b/src/emulator/faults/fault_schedule.cpp
@@ -13,7 +13,7 @@
 namespace merlinbridge::emulator {
 namespace {
 
-/// Flags for that share of `count` items, drawn at random.
+/// Flags that are set for a random choice of that share of `count` items.
 std::vector<char> chooseShare(std::size_t count, double share, RandomStream& random) {
   std::vector<std::uint32_t> order(count);
   std::iota(order.begin(), order.end(), 0u);
@@ -33,24 +33,25 @@
     effects_.push_back(makeFaultEffect(fault.kind));
     RandomStream random(seed_, fmt::format("fault {}", number));
     const TimePoint from = kRunStart + durationFromSeconds(random.between(fault.from.min, fault.from.max));
-    const Duration lasts = durationFromSeconds(random.between(fault.lasts.min, fault.lasts.max));
-    targets_.run.events().at(from, [this, number, random, lasts]() mutable { begin(number, random, lasts); });
+    const Duration duration = durationFromSeconds(random.between(fault.duration.min, fault.duration.max));
+    targets_.run.events().at(from,
+                             [this, number, random, duration]() mutable { begin(number, random, duration); });
   }
 }
 
-void FaultSchedule::begin(std::size_t number, RandomStream& random, Duration lasts) {
+void FaultSchedule::begin(std::size_t number, RandomStream& random, Duration duration) {
   const Scenario& scenario = targets_.run.scenario();
   const FaultEffect& effect = *effects_[number];
   ActiveFault active;
   active.fault = &scenario.faults[number];
   active.zone = static_cast<std::uint32_t>(random.below(scenario.zones));
-  active.affected = effect.victims() == FaultEffect::Victims::gateways
+  active.affected = effect.targetKind() == FaultEffect::TargetKind::gateways
                         ? chooseGateways(active.fault->share, random)
                         : chooseHosts(active.fault->share, random);
   targets_.run.trace(TraceEvent::faultBegan, number);
-  effect.begin(targets_, active, lasts);
+  effect.begin(targets_, active, duration);
   active_.add(number, std::move(active));
-  targets_.run.events().after(lasts, [this, number] { end(number); });
+  targets_.run.events().after(duration, [this, number] { end(number); });
 }
 
 void FaultSchedule::end(std::size_t number) {
@@ -63,7 +64,7 @@
   return chooseShare(targets_.gateways.size(), share, random);
 }
 
-// Hosts that are down or drain are left out: the fault would not be seen.
+// Hosts that are down or draining are not chosen: the fault would have no effect on them.
 std::vector<char> FaultSchedule::chooseHosts(double share, RandomStream& random) const {
   const HostFleet& hosts = targets_.hosts;
   std::vector<std::uint32_t> serving;
--- a/src/emulator/network.cpp
+++ b/src/emulator/network.cpp
@@ -3,7 +3,7 @@
 namespace merlinbridge::emulator {
 namespace {
 
-/// What the first retransmission adds to the delay of a message; each further one adds twice as much.
+/// Delay that the first retransmission adds to a message; each further one adds twice as much as the last.
 constexpr Duration kRetransmitDelay = std::chrono::milliseconds(200);
 constexpr int kMaxRetransmissions = 6;
 
@@ -25,7 +25,7 @@
   });
 }
 
-bool Network::losesCounterAnswer() {
+bool Network::losesCounterResponse() {
   const double passes = faults_.survival(FaultKind::counterLose, 1);
   return passes < 1 && !random_.bernoulli(passes);
 }
--- a/src/lab/commands/command.hpp
+++ b/src/lab/commands/command.hpp
@@ -27,7 +27,7 @@
   virtual CLI::App* addTo(CLI::App& program) = 0;
 
   /// Executes the command with the parsed options. Writes results to standard output, progress and warnings
-  /// to standard error. Throws LabError, emulator::BadScenario or another std::exception if it fails.
+  /// to standard error. Throws LabError, emulator::ScenarioError or another std::exception if it fails.
   virtual ExitCode execute() = 0;
 };
 
