--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -51,10 +51,8 @@
 
 std::string fault(const std::string& kind, const std::string& from, const std::string& lasts,
                   const std::string& extraText = "") {
-  return "[[fault]]\nkind = \"" + kind + "\"\nfrom = \"" + from + "\"\nlasts = \"" + lasts +
-         "\"
-         " + extraText +
-         "\n";
+  return "[[fault]]\nkind = \"" + kind + "\"\nfrom = \"" + from + "\"\nlasts = \"" + lasts + "\"\n" +
+         extraText + "\n";
 }
 
 std::string errorMessage(const std::string& text, const std::vector<std::string>& changes = {}) {
