--- a/src/emulator/client_population.cpp
+++ b/src/emulator/client_population.cpp
@@ -8,12 +8,12 @@
 
 using core::SlotRef;
 
-/// How soon an arrival rate of 0 is looked at again: a fault may have changed it.
+/// While the arrival rate is 0, it is checked again after this interval, because a fault may change it.
 constexpr Duration kZeroRatePollInterval = std::chrono::milliseconds(100);
-constexpr double kMaxArrivalGapSeconds = 1e4;  ///< Seconds.
-/// Units of one request are at most so many times their mean.
+constexpr double kMaxArrivalGapSeconds = 1e4;
+/// A request's units are capped at this multiple of their mean.
 constexpr double kMaxUnitsToMeanRatio = 4;
-constexpr double kLateUtilityFactor = 0.5;  ///< Of an answer after the soft deadline.
+constexpr double kLateUtilityFactor = 0.5;  ///< Applied to a result received after the soft deadline.
 constexpr int kMaxBackoffDoublings = 10;
 
 }  // namespace
@@ -143,7 +143,7 @@
   gateways_.requestArrived(gateway, ref, forGateway);
 }
 
-// The attempt is over without a result.
+// Ends an attempt that got no result, and retries or fails the request.
 void ClientPopulation::endAttempt(SlotRef ref, Retry retry, Duration retryAfter) {
   const ClientAttempt* const attempt = attempts_.find(ref);
   if (!attempt) return;
@@ -164,7 +164,8 @@
   });
 }
 
-// Whether a client may send a request again that may have been served: it must have no second effect.
+// Whether a client may retry a request that a host may already have executed: executing it twice must have no
+// second effect.
 ClientPopulation::Retry ClientPopulation::retryAfterFailure(const ClientRequest& request) const {
   const ScenarioMethod& method = run_.scenario().methods[request.method];
   const bool deduplicated = method.repeat == Idempotency::deduplicated &&
@@ -200,7 +201,7 @@
 void ClientPopulation::closeConnection(SlotRef ref) {
   const ClientAttempt* const attempt = attempts_.find(ref);
   if (!attempt) return;
-  // The gateway that the connection leads to now: a later incarnation does not know it.
+  // Captured now, because a later incarnation of the gateway's process does not know this connection.
   const ProcessRef gateway = attempt->gateway;
   run_.events().after(network_.delay(), [this, ref, id = attempt->id, gateway] {
     if (!attempts_.find(ref)) return;
--- a/src/emulator/client_population.hpp
+++ b/src/emulator/client_population.hpp
@@ -14,13 +14,13 @@
 
 namespace merlinbridge::emulator {
 
-/// What clients reach of the gateways.
+/// The interface of the gateways that clients use.
 class RequestReceiver {
  public:
   virtual ~RequestReceiver() = default;
-  /// The incarnation of the gateway's process that is running, or ran last.
+  /// The current incarnation of the gateway's process, or the last one if the process is down.
   virtual ProcessRef processOf(std::uint32_t gateway) const = 0;
-  /// Whether that incarnation of the process is running.
+  /// Returns whether that incarnation of the process is running.
   virtual bool isRunning(const ProcessRef&) const = 0;
   /// A request has arrived. The gateway must be running.
   virtual void requestArrived(std::uint32_t gateway, core::SlotRef clientAttempt, const Request&) = 0;
@@ -28,18 +28,18 @@
   virtual void clientDisconnected(std::uint32_t gateway, core::SlotRef clientAttempt) = 0;
 };
 
-/// Draws an index with a probability in proportion to its weight.
+/// Maps uniform random numbers to indexes, each with a probability proportional to its weight.
 class WeightedChoice {
  public:
   void add(double weight) { sums_.push_back((sums_.empty() ? 0 : sums_.back()) + weight); }
-  /// By a uniform draw from [0, 1).
+  /// `draw`: a uniform random number from [0, 1).
   std::size_t indexFor(double draw) const;
 
  private:
-  std::vector<double> sums_;  ///< Of the weights up to each index.
+  std::vector<double> sums_;  ///< Running sums of the weights, by index.
 };
 
-/// What a client wants done, over all its attempts.
+/// A client's request, with the state of all its attempts.
 struct ClientRequest {
   std::uint64_t customer = 0;
   std::uint32_t plan = 0;
@@ -52,7 +52,7 @@
   core::SlotRef currentAttempt{};
 };
 
-/// The clients: when they send requests, which, and what they do about an answer, or about none.
+/// The clients: decides when they send which requests, and how they react to answers and to missing answers.
 class ClientPopulation {
  public:
   /// All arguments must outlive the population.
@@ -62,15 +62,15 @@
   /// Schedules the first request; each one schedules the next.
   void start() { scheduleArrival(); }
 
-  /// The id of an attempt that its gateway still serves; empty if the client has gone.
+  /// The id of an attempt that its gateway still serves; empty if the client has disconnected.
   std::optional<ClientAttemptId> idOf(core::SlotRef clientAttempt);
-  /// The request of an attempt; null if either is over. Valid until the next event.
+  /// The request of an attempt; nullptr if the attempt or the request has ended. Valid until the next event.
   const ClientRequest* requestOf(core::SlotRef clientAttempt);
-  /// Whether the request's units were inside the customer's quota when a host got it.
+  /// Records whether the request's units were inside the customer's quota when a host received it.
   void setInsideQuota(core::SlotRef clientAttempt, bool inside);
-  /// A gateway has written a final answer, which reaches the client a little later.
+  /// A gateway has sent a final answer, which reaches the client after a network delay.
   void answerSent(core::SlotRef clientAttempt, Answer, Duration retryAfter);
-  /// A gateway's process has ended: the connections to it are reset.
+  /// A gateway's process has ended; resets the connections to it.
   void gatewayDied(const ProcessRef&);
 
  private:
@@ -92,7 +92,7 @@
   Retry retryAfterFailure(const ClientRequest&) const;
   void failRequest(core::SlotRef request);
   void countFailure();
-  /// The client stops waiting: of its own accord, or because the deadline has passed.
+  /// The client stops waiting: by its own decision if `beforeDeadline`, else because the deadline has passed.
   void abandonRequest(core::SlotRef request, bool beforeDeadline);
   void closeConnection(core::SlotRef attempt);
   void receiveAnswer(core::SlotRef attempt, Answer, Duration retryAfter);
@@ -103,8 +103,8 @@
   const ActiveFaults& faults_;
   const FrontLoadBalancer& loadBalancer_;
   RequestReceiver& gateways_;
-  RandomStream arrivals_;  ///< When clients send requests, and which: the same for every policy.
-  RandomStream choices_;   ///< What clients do in reply to what happens.
+  RandomStream arrivals_;  ///< When clients send which requests. The same for every policy.
+  RandomStream choices_;   ///< How clients react to events.
   WeightedChoice customers_;
   WeightedChoice methods_;
   WeightedChoice plans_;
--- a/src/emulator/counter_service.hpp
+++ b/src/emulator/counter_service.hpp
@@ -11,17 +11,17 @@
 
 namespace merlinbridge::emulator {
 
-/// What the counter service asks of the gateways.
+/// Receives the results of counter calls.
 class CounterCaller {
  public:
   virtual ~CounterCaller() = default;
-  /// The answer to a call has arrived at the gateway. `total`: of the count after the call, if the outcome is
+  /// The response to a call has arrived at the gateway. `total`: the count after the call, if the outcome is
   /// ok.
   virtual void counterCallEnded(const ProcessSlot& call, CounterCallOutcome, double total) = 0;
 };
 
-/// The counter service: counts by key that expire, kept in parts that each serve one call after another. A
-/// call that finds its part's queue full is refused.
+/// The counter service: keeps expiring counts by key. The counts are split by customer into partitions, each
+/// of which processes one call at a time. A call is refused if the queue of its partition is full.
 class CounterService {
  public:
   struct Call {
@@ -36,9 +36,9 @@
 
   /// A call has arrived from a gateway.
   void callArrived(const Call&);
-  /// Forgets all counts.
+  /// Deletes all counts.
   void clear();
-  /// Forgets the counts of the second service, which a part of the gateways reaches in
+  /// Deletes the counts of the second replica, which some of the gateways reach during
   /// FaultKind::counterSplit.
   void clearSplitReplica() { splitReplica().counts.clear(); }
 
@@ -49,7 +49,7 @@
   };
   struct Replica {
     std::map<CounterKey, Count> counts;
-    std::vector<TimePoint> busyUntil;  ///< By part.
+    std::vector<TimePoint> busyUntil;  ///< By partition.
     std::size_t sweepAt = kMinSweepSize;
   };
   static constexpr std::size_t kMinSweepSize = 4096;
--- a/src/emulator/discovery_service.cpp
+++ b/src/emulator/discovery_service.cpp
@@ -10,13 +10,12 @@
 namespace merlinbridge::emulator {
 namespace {
 
-/// The protocol's interval of heartbeats on a watch.
+/// The interval between heartbeats on a watch, as the protocol defines it.
 constexpr Duration kHeartbeatInterval = std::chrono::seconds(2);
-/// A gateway that discovery refuses polls again after at most so many heartbeats.
-constexpr int kMaxPollIntervalInHeartbeats = 2;
+/// A gateway whose connections discovery refuses backs off for at most this many heartbeats.
+constexpr int kMaxBackoffInHeartbeats = 2;
 constexpr int kMaxBackoffDoublings = 8;
-constexpr double kTruncationProbability =
-    0.5;  ///< Of all lists, while FaultKind::discoveryMangle is in effect.
+constexpr double kTruncationProbability = 0.5;  ///< Per list, while FaultKind::discoveryMangle is in effect.
 
 }  // namespace
 
@@ -77,8 +76,7 @@
   if (faults_.affects(FaultKind::discoveryRefuse, gateway)) {
     const Duration backoff = connectTimeout * (1 << std::min(kMaxBackoffDoublings, subscription.refusals));
     ++subscription.refusals;
-    return retryUpdate(gateway,
-                       std::min<Duration>(kMaxPollIntervalInHeartbeats * kHeartbeatInterval, backoff));
+    return retryUpdate(gateway, std::min<Duration>(kMaxBackoffInHeartbeats * kHeartbeatInterval, backoff));
   }
   subscription.refusals = 0;
   const std::set<std::uint32_t> changed = changedSince(subscription.generation);
@@ -101,7 +99,7 @@
 std::optional<config::EndpointList> DiscoveryService::transmit(std::string text) {
   if (faults_.any(FaultKind::discoveryMangle) && random_.bernoulli(kTruncationProbability))
     text.resize(1 + random_.below(text.size() - 1));
-  // The text arrives in two parts, cut at a drawn place.
+  // The text arrives in two parts, split at a random position.
   config::JsonStreamSplitter splitter;
   const std::string firstPart = text.substr(0, random_.below(text.size() + 1));
   auto result = splitter.scan(firstPart);
@@ -128,13 +126,13 @@
   std::string_view separator;
   for (const std::uint32_t host : hosts) {
     const config::Endpoint endpoint = hosts_.endpointOf(host);
-    const std::string_view lifecycle = endpoint.serving ? "in_service" : "terminating";
+    const std::string_view listedLifecycle = endpoint.serving ? "in_service" : "terminating";
     fmt::format_to(
         std::back_inserter(text),
         "{}{}{{\"instanceId\":\"{}\",\"hostPort\":\"{}\",\"zone\":\"{}\",\"machineType\":\"m\",\"cell\":{},"
         "\"lifecycle\":\"{}\",\"weight\":1,\"startedAtMs\":{}}}",
         separator, separatorSpace, endpoint.name, endpoint.address, endpoint.zone, endpoint.cell,
-        endpoint.gone ? "terminated" : lifecycle,
+        endpoint.gone ? "terminated" : listedLifecycle,
         std::chrono::duration_cast<std::chrono::milliseconds>(endpoint.started).count());
     separator = ",";
   }
--- a/src/emulator/discovery_service.hpp
+++ b/src/emulator/discovery_service.hpp
@@ -13,15 +13,15 @@
 
 namespace merlinbridge::emulator {
 
-/// What discovery tells the gateways.
+/// Receives the endpoint updates that discovery sends to the gateways.
 class EndpointSubscriber {
  public:
   virtual ~EndpointSubscriber() = default;
   virtual void endpointsUpdated(std::uint32_t gateway, const config::EndpointList&) = 0;
 };
 
-/// The discovery service: keeps the generation of the list of hosts and notifies each gateway of what has
-/// changed since the generation that the gateway knows. Lists travel as text, through the daemon's own
+/// The discovery service: keeps the generation of the host list and sends each gateway the changes since the
+/// generation that the gateway last received. Lists are sent as text and parsed with the daemon's own
 /// splitter and reader.
 class DiscoveryService {
  public:
@@ -29,13 +29,13 @@
   DiscoveryService(RunContext&, std::uint64_t seed, const ActiveFaults&, const HostFleet&,
                    EndpointSubscriber&);
 
-  /// A gateway has started. Returns the complete list, and notifies the gateway of changes from then on.
+  /// A gateway has started. Returns the complete list and sends the gateway all later changes.
   config::EndpointList subscribe(std::uint32_t gateway);
-  /// The gateway has ended.
+  /// The gateway's process has ended.
   void unsubscribe(std::uint32_t gateway);
-  /// These hosts have changed.
+  /// Sends the changed state of these hosts to all gateways.
   void publish(const std::vector<std::uint32_t>& hosts);
-  /// Whether the gateway, as it runs now, was told when that host started.
+  /// Whether the current incarnation of the gateway has received the host's start time.
   bool hasAnnouncedStart(std::uint32_t gateway, std::uint32_t host) const {
     return subscriptions_[gateway].announcedStarts.contains(host);
   }
@@ -44,7 +44,7 @@
   enum class State { none, upToDate, notifying };
   struct Subscription {
     State state = State::none;
-    std::uint64_t session = 0;  ///< Changes with each subscription: ends what was scheduled for the last one.
+    std::uint64_t session = 0;  ///< Changes with each subscription, to invalidate events of the last one.
     std::uint64_t generation = 0;
     int refusals = 0;
     std::set<std::uint32_t> announcedStarts;
@@ -58,7 +58,7 @@
   void sendUpdate(std::uint32_t gateway, std::uint64_t session);
   void retryUpdate(std::uint32_t gateway, Duration wait);
   std::set<std::uint32_t> changedSince(std::uint64_t generation) const;
-  /// The list as the gateway reads it; empty if it was mangled on the way.
+  /// The list as the gateway parses it; empty if the list was truncated in transit.
   std::optional<config::EndpointList> transmit(std::string text);
   std::string listText(const std::set<std::uint32_t>& hosts) const;
   void announce(std::uint32_t gateway, std::uint32_t host);
--- a/src/emulator/emulated_gateway.cpp
+++ b/src/emulator/emulated_gateway.cpp
@@ -52,7 +52,7 @@
  private:
   core::GatewayCore core_;
   std::unordered_map<std::uint64_t, RequestId>
-      requests_;  ///< By client. Looked up only, never iterated in its order.
+      requests_;  ///< By client. Iterated only to erase entries, so that its order has no effect on the run.
   std::size_t sweepAt_ = 64;
 };
 
@@ -122,7 +122,8 @@
 
   const PolicySettings settings_;
   const Duration answerSlack_;
-  /// Addresses. The index of a host is its id only until the next update: attempts are made at once.
+  /// The index of an address is its host's id only until the next update. That suffices, because attempts
+  /// start as soon as a host is chosen.
   std::vector<std::string> servingAddresses_;
 
  private:
@@ -158,13 +159,13 @@
   std::unordered_map<std::uint64_t, std::uint64_t> requestIdsByClient_;
 };
 
-/// Keeps to an even part of every quota and ceiling, without a counter service.
+/// Enforces an equal share of every quota and ceiling, without a counter service.
 class EvenQuotaGateway final : public AdmitAllGateway {
  public:
   using AdmitAllGateway::AdmitAllGateway;
 
  private:
-  /// This gateway's part of a customer's quota and ceiling, in units.
+  /// The units left in this gateway's share of a customer's quota and ceiling.
   struct QuotaShare {
     double level = 0;
     double ceiling = 0;
@@ -173,7 +174,7 @@
   bool isAdmitted(TimePoint now, const Request& request) override {
     const Plan& plan = settings_.plans[request.plan.value];
     const double share = 1.0 / std::max(1u, request.gateways);
-    // The ceiling begins empty: how much an earlier incarnation has sent is not known.
+    // The ceiling's bucket starts empty, because the units that an earlier incarnation sent are not known.
     QuotaShare& quota =
         shares_.try_emplace(request.customer.value, QuotaShare{plan.burst * share, 0, now}).first->second;
     const double refillSeconds = seconds(now - quota.updatedAt) * share;
@@ -190,7 +191,7 @@
   std::map<std::uint64_t, QuotaShare> shares_;
 };
 
-/// Sees the true state of every quota and host.
+/// Decides by the true state of every quota and host.
 class OmniscientGateway final : public AdmitAllGateway {
  public:
   OmniscientGateway(const config::GatewayConfig& config, TimePoint now, core::DeadlineQueue& deadlines,
--- a/src/emulator/gateway_fleet.hpp
+++ b/src/emulator/gateway_fleet.hpp
@@ -7,14 +7,14 @@
 
 namespace merlinbridge::emulator {
 
-/// All gateway processes, by number. Hands each event to the process that it is for, if the incarnation that
-/// it was meant for still runs.
+/// All gateway processes, by number. Forwards each event to its process; the end of an attempt or of a
+/// counter call is dropped if the incarnation that started it has ended.
 class GatewayFleet final : public RequestReceiver,
                            public HostObserver,
                            public CounterCaller,
                            public EndpointSubscriber {
  public:
-  /// `factory`, if it is given, makes the gateways in place of the policy's own. It must outlive the fleet.
+  /// A non-empty `factory` creates the gateways in place of the policy's own. It must outlive the fleet.
   GatewayFleet(std::uint64_t seed, Policy policy, const GatewayFactory& factory)
       : policy_(policy), factory_(factory), seeds_(seed, "lives") {}
 
@@ -37,7 +37,7 @@
   void endpointsUpdated(std::uint32_t gateway, const config::EndpointList&) override;
 
  private:
-  /// The gateway that runs in a process from now on, with a seed of its own.
+  /// Creates the gateway for one incarnation of a process, with a seed of its own.
   std::unique_ptr<EmulatedGateway> makeGatewayFor(const GatewayEnvironment&,
                                                   const config::EndpointList& known, core::DeadlineQueue&,
                                                   core::Transport&);
--- a/src/emulator/gateway_process.cpp
+++ b/src/emulator/gateway_process.cpp
@@ -8,13 +8,13 @@
 
 using core::SlotRef;
 
-/// The protocol's: for so long after SIGTERM a gateway still gets new requests.
+/// By the protocol, a gateway still receives new requests for this long after SIGTERM.
 constexpr Duration kAcceptAfterSigterm = std::chrono::milliseconds(700);
-/// The protocol's: a process that drains is killed that long after it got its last request.
+/// By the protocol, a draining process is killed this long after it received its last request.
 constexpr Duration kMaxDrainTime = std::chrono::seconds(3);
-/// How long before it would be killed a process has answered everything.
+/// A draining process answers all requests this long before it would be killed.
 constexpr Duration kDrainMargin = std::chrono::milliseconds(150);
-/// How often a process that drains looks whether it has answered everything.
+/// How often a draining process checks whether all requests are answered.
 constexpr Duration kDrainPollInterval = kDrainMargin / 10;
 
 }  // namespace
@@ -93,7 +93,7 @@
   });
 }
 
-// ---- events for the gateway inside ----
+// ---- events for the gateway in the process ----
 
 void GatewayProcess::requestArrived(SlotRef clientAttempt, const Request& request) {
   gateway_->requestArrived(environment_.run.now(), clientAttempt, request);
@@ -175,7 +175,7 @@
   return ref;
 }
 
-// An idle connection that the host has not closed yet, or a new one.
+// Reuses an idle connection that the host has not closed yet, or else opens a new one.
 GatewayProcess::ConnectionState GatewayProcess::takeConnection(std::uint32_t host) {
   const TimePoint now = environment_.run.now();
   std::deque<TimePoint>& idle = idleConnections_[host];
@@ -195,11 +195,11 @@
 
 void GatewayProcess::reachHost(SlotRef ref) {
   UpstreamAttempt* const attempt = attempts_.find(ref);
-  if (!attempt) return;  // closed on the way: the host sees no whole request
+  if (!attempt) return;  // closed in transit: the host never receives the complete request
   HostFleet& hosts = environment_.hosts;
   const bool connecting = attempt->connection == ConnectionState::connecting;
   if (isUnreachable(attempt->host)) {
-    // No answer comes back; only a new connection has a timeout of its own.
+    // No response arrives. Only a new connection has a timeout of its own.
     if (connecting)
       whileRunning(environment_.run.scenario().connectTimeout,
                    [this, ref] { deliverOutcome(ref, Outcome::noConnection, Duration{0}); });
@@ -213,7 +213,8 @@
   }
   const ClientRequest* const request = environment_.clients.requestOf(attempt->clientAttempt);
   const std::size_t methods = environment_.run.scenario().methods.size();
-  // The method of a request whose client has gone is not known any more; any will do for the host's work.
+  // The method is no longer known if the client has disconnected. It determines only the host's work, so any
+  // method will do.
   const auto method =
       request ? request->method : static_cast<std::uint32_t>(attempt->clientAttemptId.value % methods);
   countUnits(*attempt);
@@ -227,7 +228,7 @@
   attempt->job = std::get<SlotRef>(submitted);
 }
 
-// The first attempt of a request that reaches a host draws the request's units from the customer's quota.
+// The first attempt of a request that reaches a host charges the request's units to the customer's quota.
 void GatewayProcess::countUnits(const UpstreamAttempt& attempt) {
   RunContext& run = environment_.run;
   const auto inside = run.checker().reached(run.now(), attempt.clientAttemptId, attempt.attemptNumber.value);
@@ -291,7 +292,7 @@
   return true;
 }
 
-// The host learns a little later that the connection is closed.
+// The host sees the closed connection after a network delay.
 void GatewayProcess::closeAtHost(const UpstreamAttempt& attempt) {
   if (attempt.connection == ConnectionState::open) environment_.hosts.connectionsClosed(attempt.host, 1);
   if (!attempt.job) return;
--- a/src/emulator/gateway_process.hpp
+++ b/src/emulator/gateway_process.hpp
@@ -17,7 +17,7 @@
 
 namespace merlinbridge::emulator {
 
-/// What a gateway process runs among. All of it outlives the process.
+/// The parts of the run that a gateway process interacts with. All must outlive the process.
 struct GatewayEnvironment {
   RunContext& run;
   Network& network;
@@ -28,42 +28,43 @@
   DiscoveryService& discovery;
 };
 
-/// Makes the gateway that runs in a process, at each start of it.
+/// Creates the gateway that runs in a process; called at each start of the process.
 using MakeGateway = std::function<std::unique_ptr<EmulatedGateway>(const config::EndpointList& known,
                                                                    core::DeadlineQueue&, core::Transport&)>;
 
-/// One gateway process: the gateway inside, and around it what the sockets would be. Events that were
-/// scheduled for an earlier incarnation of the process have no effect.
+/// One gateway process: a gateway, and the emulation of the sockets that it uses. Events that were scheduled
+/// for an earlier incarnation of the process have no effect.
 class GatewayProcess final : private core::Transport {
  public:
   GatewayProcess(const GatewayEnvironment&, std::uint32_t number, std::uint32_t zone, MakeGateway);
 
-  /// The incarnation that runs, or ran last.
+  /// The current incarnation, or the last one if the process is down.
   ProcessRef ref() const { return {number_, incarnation_}; }
   bool isRunning() const { return state_ != State::down; }
   bool isRunning(std::uint64_t incarnation) const { return isRunning() && incarnation_ == incarnation; }
 
   /// Starts the process, which must be down.
   void start();
-  /// Ends the process at once. Clients and hosts see their connections reset.
+  /// Ends the process at once and resets its connections to clients and hosts.
   void kill();
-  /// SIGTERM: the process goes on until its requests are answered, ends, and starts again. No effect unless
-  /// it runs and does not drain yet.
+  /// Emulates SIGTERM: the process ends once its requests are answered, and restarts later. No effect if the
+  /// process is down or already draining.
   void beginShutdown();
 
   void requestArrived(core::SlotRef clientAttempt, const Request&);
   void clientDisconnected(core::SlotRef clientAttempt);
-  /// A host has answered an attempt, or its connection has ended; the gateway learns of it a little later.
+  /// A host has answered an attempt, or its connection has ended; the gateway sees this after a
+  /// network delay.
   void attemptEnded(core::SlotRef attempt, Outcome);
   void counterCallEnded(core::SlotRef call, CounterCallOutcome, double total);
   void endpointsUpdated(const config::EndpointList&);
-  /// The idle connections to that host have ended.
+  /// The host's process has ended, and with it all idle connections to it.
   void hostDied(std::uint32_t host) { idleConnections_.erase(host); }
 
  private:
   enum class State { down, ready, draining };
   enum class ConnectionState { connecting, open };
-  /// An attempt that the gateway has out.
+  /// An attempt in flight.
   struct UpstreamAttempt {
     RequestId requestId;
     AttemptNumber attemptNumber;
@@ -72,14 +73,14 @@
     std::uint32_t host = 0;
     std::uint64_t hostIncarnation = 0;
     ConnectionState connection = ConnectionState::connecting;
-    std::optional<core::SlotRef> job{};  ///< At the host, once it has arrived there.
+    std::optional<core::SlotRef> job{};  ///< The job at the host, once the request has arrived there.
   };
   struct CounterCall {
     CounterKey key;
     TimePoint startedAt;
   };
 
-  // core::Transport, for the gateway inside.
+  // core::Transport, used by the gateway in the process.
   void sendResponse(core::SlotRef client, std::string_view body, std::string_view type) override;
   void sendRejection(core::SlotRef client, Duration retryAfter) override;
   void sendFailure(core::SlotRef client) override;
@@ -98,7 +99,7 @@
       if (isRunning(incarnation)) event();
     });
   }
-  /// Schedules the next run of the gateway's deadlines.
+  /// Schedules an event for the next of the gateway's deadlines.
   void armTimer();
   void endWhenAnswered();
   ConnectionState takeConnection(std::uint32_t host);
--- a/src/emulator/host_fleet.cpp
+++ b/src/emulator/host_fleet.cpp
@@ -14,7 +14,7 @@
 using core::SlotRef;
 
 constexpr std::uint32_t kCells = 8;
-/// A host that did not start during the run finished its slow start that long before it.
+/// A host that was already running at the start of the run had completed its slow start this long before.
 constexpr Duration kUptimeAfterSlowStart = std::chrono::hours(1);
 
 }  // namespace
@@ -215,7 +215,7 @@
   startQueued(job.host);
 }
 
-// A core of the host has become free.
+// A core of the host has become free: starts the next queued jobs.
 void HostFleet::startQueued(std::uint32_t host) {
   EmulatedHost& hostState = hosts_[host];
   --hostState.running;
--- a/src/emulator/host_fleet.hpp
+++ b/src/emulator/host_fleet.hpp
@@ -16,31 +16,31 @@
 
 class ActiveFaults;
 
-/// What the hosts tell the gateways.
+/// Receives the events of the hosts that concern gateways.
 class HostObserver {
  public:
   virtual ~HostObserver() = default;
-  /// A host has answered an attempt, or its connection has ended. The attempt may be over already.
+  /// A host has answered an attempt, or its connection has ended. The attempt may have been closed already.
   virtual void attemptEnded(const ProcessSlot& attempt, Outcome) = 0;
   /// The host's process has ended, and with it all connections to it.
   virtual void hostDied(std::uint32_t host) = 0;
 };
 
-/// The hosts. Each serves as many requests at a time as it has cores, keeps a bounded queue behind them, and
-/// is slower while it warms up. A host is named by its number, from 0 in the order of their appearance; the
-/// number is its address, too.
+/// The hosts. Each executes at most as many requests at a time as it has cores, queues a bounded number of
+/// further requests, and is slower during its slow start. A host is identified by its number, counted from 0
+/// in the order in which hosts are added; the number is also its address.
 class HostFleet {
  public:
   /// When a host started.
   enum class Start { longBeforeRun, now };
-  /// A request that has arrived at a host.
+  /// An attempt whose request has arrived at a host.
   struct AttemptArrival {
     std::uint32_t host = 0;
     ProcessSlot attempt;
     ClientAttemptId clientAttemptId;
     AttemptNumber attemptNumber;
     std::uint32_t method = 0;
-    bool startAnnounced = false;  ///< Whether discovery has told the gateway of the host's start.
+    bool startAnnounced = false;  ///< Whether the gateway has received the host's start time from discovery.
   };
 
   /// Context, faults and observer must outlive the fleet.
@@ -58,45 +58,45 @@
   /// Whether the host has been removed for good.
   bool isRemoved(std::uint32_t host) const { return hosts_[host].state == State::removed; }
   bool isDraining(std::uint32_t host) const { return hosts_[host].draining; }
-  /// Whether the host says nothing any more, to old connections and new ones.
+  /// Whether the host sends nothing, neither on existing connections nor on new ones.
   bool isUnresponsive(std::uint32_t host) const;
-  /// Whether the host started during the run: discovery then gives the time of its start.
+  /// Whether the host started during the run. Only then does discovery list its start time.
   bool startedDuringRun(std::uint32_t host) const { return hosts_[host].startedDuringRun; }
   /// The host as discovery lists it.
   config::Endpoint endpointOf(std::uint32_t host) const;
   /// The host with that address.
   static std::uint32_t numberOf(std::string_view address);
-  /// Work in flight over the host's present speed; below 0 if it is of no use now.
+  /// Requests in flight divided by the host's current speed; below 0 if the host cannot serve now.
   double loadOf(std::string_view address) const;
-  /// What the host reports of its load in an answer.
+  /// The load report that the host adds to a response.
   LoadReport loadReport(std::uint32_t host) const;
 
   /// Adds a host and returns its number.
   std::uint32_t add(std::uint32_t zone, Start);
   void beginDrain(std::uint32_t host) { hosts_[host].draining = true; }
-  /// Ends the host's process, if it runs: attempts in flight end as lost.
+  /// Ends the host's process, if it is up; attempts in flight end with Outcome::lost.
   void kill(std::uint32_t host);
   /// Ends the host's process and removes it for good.
   void remove(std::uint32_t host);
-  /// Starts the host's process again, cold. No effect on a host that is gone.
+  /// Restarts the host's process, which begins a new slow start. No effect on a removed host.
   void start(std::uint32_t host);
-  /// A host that hung goes on with what it was at, unless another fault still holds it up.
+  /// A host that hung resumes its running jobs, unless another fault still makes it hang.
   void resume(std::uint32_t host);
 
-  /// Takes a new connection. False: refused.
+  /// Accepts a new connection. Returns false if the host refuses it.
   bool openConnection(std::uint32_t host);
-  /// Connections were closed by the other side. No effect on a host that is not up.
+  /// The gateway has closed that many connections. No effect on a host that is not up.
   void connectionsClosed(std::uint32_t host, std::size_t count);
-  /// Takes a request: either the job that it is now, or the outcome that it had at once.
+  /// Submits a request to a host. Returns its job, or the outcome if the attempt ended at once.
   std::variant<core::SlotRef, Outcome> submit(const AttemptArrival&);
-  /// The gateway has closed the connection of that job. No effect if the job is over.
+  /// The gateway has closed the connection of that job. No effect if the job has ended.
   void cancel(core::SlotRef job);
 
  private:
   enum class State {
     up,
-    down,    ///< Its process has ended; it may start again.
-    removed  ///< It never comes back.
+    down,    ///< The host's process has ended and may be restarted.
+    removed  ///< The host has been removed for good.
   };
   struct EmulatedHost {
     std::uint32_t zone = 0;
@@ -110,7 +110,7 @@
     int running = 0;
     int connections = 0;
     std::deque<core::SlotRef> queue{};
-    double recentResponses = 0;  ///< Decays by a factor e a second.
+    double recentResponses = 0;  ///< Exponentially decaying count; time constant 1 s.
     TimePoint lastResponseAt{};
   };
   struct Job {
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -64,7 +64,7 @@
   return "";
 }
 
-// A gateway that breaks one rule on purpose and is otherwise plain.
+// Violates one invariant on purpose; otherwise sends each request to the hosts in turn.
 class FaultyGateway final : public EmulatedGateway {
  public:
   FaultyGateway(Invariant rule, const config::GatewayConfig& config, core::DeadlineQueue& deadlines,
@@ -77,8 +77,8 @@
     if (hosts_.empty()) return transport_.sendRejection(client, Duration{0});
     if (rule_ == Invariant::lost && ++requestCount_ % 10 == 0) return;  // never answered
     const RequestId requestId{++lastRequestId_};
-    // The ceiling rule is broken by letting all in, the drain and cold rules by staying with what was first
-    // told, or with what was told last.
+    // The ceiling is violated by admitting all requests, drain by using the first known host forever, slow
+    // start by using the most recently announced host.
     const std::size_t host = rule_ == Invariant::drain       ? 0
                              : rule_ == Invariant::slowStart ? hosts_.size() - 1
                                                              : lastRequestId_ % hosts_.size();
@@ -105,10 +105,10 @@
       requests_.erase(at);
       transport_.sendResponse(client, response.body, response.contentType);
       if (rule_ == Invariant::lost && lastRequestId_ % 7 == 0)
-        transport_.sendFailure(client);  // and once more
+        transport_.sendFailure(client);  // a second answer
       return;
     }
-    if (rule_ == Invariant::duplicate && pending.attemptNumber == 0) {  // whatever the method
+    if (rule_ == Invariant::duplicate && pending.attemptNumber == 0) {  // retries even non-idempotent methods
       const auto sent = transport_.startAttempt(requestId, {++pending.attemptNumber}, pending.client, {0},
                                                 {TimePoint::max(), TimePoint::max()});
       if (const SlotRef* const attempt = std::get_if<SlotRef>(&sent)) pending.attempt = *attempt;
@@ -148,7 +148,7 @@
 
 }  // namespace
 
-TEST_CASE("of two things at one instant the older happens first, and nothing happens before now") {
+TEST_CASE("event queue: events of one instant run in the order they were added, and none runs in the past") {
   EventQueue events(TimePoint(5s));
   std::string order;
   events.at(TimePoint(6s), [&] { order += 'a'; });
@@ -163,7 +163,7 @@
   CHECK(events.now() == TimePoint(7s));
 }
 
-TEST_CASE("parts of a run draw from streams of their own") {
+TEST_CASE("random streams with different names or seeds are independent") {
   RandomStream stream(1, "one");
   RandomStream sameStream(1, "one");
   RandomStream otherName(1, "two");
@@ -177,7 +177,7 @@
   CHECK(sum / 10'000 == Approx(3).epsilon(0.05));
 }
 
-TEST_CASE("active faults: factors multiply, and each ends by its number") {
+TEST_CASE("active faults: factors multiply, and each fault is removed by its number") {
   Fault slow{FaultKind::hostSlow, {0, 0}, {1, 1}, 1, 3, 1};
   Fault slower{FaultKind::hostSlow, {0, 0}, {1, 1}, 1, 2, 1};
   Fault loss{FaultKind::netLoss, {0, 0}, {1, 1}, 1, 0.25, 1};
@@ -190,7 +190,7 @@
   CHECK(faults.factor(FaultKind::hostSlow) == 6);
   CHECK(faults.scaledFor(FaultKind::hostSlow, 0, 10) == 60);
   CHECK(faults.scaledFor(FaultKind::hostSlow, 1, 10) == 20);
-  CHECK(faults.scaledFor(FaultKind::hostSlow, 2, 10) == 10);  // a host that came after the faults began
+  CHECK(faults.scaledFor(FaultKind::hostSlow, 2, 10) == 10);  // a host that was added after the faults began
   CHECK(faults.survival(FaultKind::netLoss, 0.5) == 0.375);
   CHECK(faults.affects(FaultKind::hostSlow, 1));
   CHECK(faults.remove(1).fault == &slower);
@@ -198,7 +198,7 @@
   CHECK(faults.affects(FaultKind::hostSlow, 0));
 }
 
-TEST_CASE("network: a cut zone reaches no other, and a delay stays within its bounds") {
+TEST_CASE("network: a partitioned zone reaches no other zone, and delays stay within their bounds") {
   const Scenario scenario =
       readScenario(kBaseScenario, "s.toml", {"network.delay=2ms", "network.jitter=1ms"});
   Fault cut{FaultKind::zoneCut, {0, 0}, {1, 1}, 1, 1, 1};
@@ -218,8 +218,7 @@
   CHECK_FALSE(network.isPartitioned(1, 1));
 }
 
-TEST_CASE(
-    "front load balancer: a customer keeps to its set of gateways, and to those of it that are listed") {
+TEST_CASE("front load balancer: a customer uses only its subset of gateways, and prefers the listed ones") {
   FrontLoadBalancer front(readScenario(kBaseScenario, "s.toml"));  // 3 gateways, 2 for each customer
   const std::uint32_t first = front.choose(7, 0);
   const std::uint32_t second = front.choose(7, 0.99);
@@ -227,12 +226,12 @@
   front.setListed(first, false);
   CHECK(front.choose(7, 0) == second);
   front.setListed(second, false);
-  CHECK(front.choose(7, 0) == first);  // none is listed: it is used all the same
+  CHECK(front.choose(7, 0) == first);  // none is listed: unlisted gateways are used
   front.setListed(first, true);
   CHECK(front.choose(7, 0.99) == first);
 }
 
-TEST_CASE("a scenario is read whole, and what is written reads as the same") {
+TEST_CASE("a scenario is read completely, and a written scenario reads back unchanged") {
   const Scenario scenario =
       readScenario(kBaseScenario + fault("host_slow", "1s", "2s", "factor = 5"), "s.toml");
   CHECK(scenario.gateways == 3);
@@ -246,7 +245,7 @@
         readScenario(kBaseScenario, "s.toml").hash);
 }
 
-TEST_CASE("a bad scenario is reported by place and by what was expected") {
+TEST_CASE("an invalid scenario is reported with its position and the expected value") {
   const auto replaced = [](const std::string& before, const std::string& after) {
     std::string text = kBaseScenario;
     return text.replace(text.find(before), before.size(), after);
@@ -268,7 +267,8 @@
         "such as [\"1s\", \"3s\"], "
         "found '-1s'");
   CHECK(errorMessage(kBaseScenario + "[[fault]]\nkind=\"host_slow\"\nfrom=[\"3s\",\"2s\"]\n") != "");
-  CHECK(errorMessage(kBaseScenario + fault("host_slow", "7s", "1s")) != "");  // after all is over
+  CHECK(errorMessage(kBaseScenario + fault("host_slow", "7s", "1s")) !=
+        "");  // starts after the end of the run
   CHECK(errorMessage(kBaseScenario + fault("earthquake", "1s", "1s")).find("expected one of gateway_kill,") !=
         std::string::npos);
   CHECK(errorMessage(kBaseScenario, {"fleet.gateways"}) == "change 'fleet.gateways': expected path=value");
@@ -279,7 +279,7 @@
         "");
 }
 
-TEST_CASE("a key under its old name is still read, with one warning that names both") {
+TEST_CASE("a renamed key is still read under its old name, with one warning that gives both names") {
   const std::string text = writeScenario(readScenario(kBaseScenario, "s.toml"));
   CHECK(readScenario(text, "s.toml").warnings.empty());
   REQUIRE(renamedKeys().size() == 16);
@@ -302,7 +302,7 @@
     CHECK(read.warnings == std::vector<std::string>{warning});
     CHECK(writeScenario(read) == text);
 
-    // The value under the old name is used, be it in the text or in a change of it.
+    // The value under the old name takes effect, both in the file and in a path=value change.
     const std::size_t begin = line + newName.size() + 3;
     const std::string value = text.substr(begin, text.find('\n', begin) - begin);
     const std::string other = value == "true"    ? "false"
@@ -326,7 +326,7 @@
   }
 }
 
-TEST_CASE("one seed gives one run, another seed another, and every policy meets the same clients") {
+TEST_CASE("runs are reproducible by seed, and every policy gets the same client requests") {
   const Scenario scenario = readScenario(kBaseScenario + fault("gateway_restart", "1s", "2s", "steps = 3") +
                                              fault("host_replace", "2s", "1s", "share = 0.5"),
                                          "s.toml");
@@ -344,7 +344,7 @@
   CHECK(first.inTime > first.asked / 2);
 }
 
-TEST_CASE("every breach of a rule is reported, with time, request and rule") {
+TEST_CASE("every violation of an invariant is reported with its time, attempt and invariant") {
   struct Case {
     Invariant rule;
     std::string faults;
@@ -375,12 +375,13 @@
                               (violation.attemptId.value > 0 || testCase.rule == Invariant::slowStart) &&
                               !violation.what.empty());
     CHECK(reported);
-    CHECK(play(scenario, 1, Policy::gatewayCore).broken() == 0);  // who keeps the rules is not blamed
+    CHECK(play(scenario, 1, Policy::gatewayCore).broken() == 0);  // no false violations
   }
 }
 
-TEST_CASE("quotas count over the whole fleet, and what is inside them is served all the same") {
-  // Customers ask for twice their quotas, evenly over all gateways. Few gateways see each often, many seldom.
+TEST_CASE("quotas hold across the whole fleet, and requests inside their quota are still served") {
+  // Customers request twice their quotas, spread evenly over all gateways. With 3 gateways each sees a
+  // customer often, with 60 seldom.
   const auto [gateways, maxRatio] = GENERATE(table<std::string, double>({{"3", 0.15}, {"60", 0.8}}));
   const Scenario scenario =
       readScenario(kBaseScenario, "s.toml",
@@ -391,15 +392,15 @@
   const Metrics gatewayCore = play(scenario, 3, Policy::gatewayCore);
   const Metrics admitAll = play(scenario, 3, Policy::admitAll);
   const Metrics omniscient = play(scenario, 3, Policy::omniscient);
-  CHECK(overQuotaShare(admitAll) > 0.3);  // else it would show nothing
+  CHECK(overQuotaShare(admitAll) > 0.3);  // the load must exceed the quotas for the test to be meaningful
   CHECK(overQuotaShare(omniscient) < 0.02);
   CHECK(overQuotaShare(gatewayCore) < maxRatio * overQuotaShare(admitAll));
   CHECK(gatewayCore.utilityServed > 0.9 * omniscient.utilityServed);
   CHECK(gatewayCore.broken() == 0);
 }
 
-TEST_CASE("an answer's time counts from when the gateway had the whole of the request") {
-  const Scenario scenario = readScenario(kBaseScenario, "s.toml");  // the slack is 50 ms
+TEST_CASE("the time limit for an answer counts from when the gateway has received the whole request") {
+  const Scenario scenario = readScenario(kBaseScenario, "s.toml");  // the answer slack is 50 ms
   InvariantChecker checker(scenario);
   const auto answeredAfter = [&](std::uint64_t id, TimePoint taken, TimePoint answered) {
     checker.taken(taken, {id}, {{0}, 0, 0, 1, 1, TimePoint(2s)});
@@ -407,12 +408,12 @@
     return checker.count(Invariant::lost);
   };
   CHECK(answeredAfter(1, TimePoint(1s), TimePoint(2s) + 50ms) == 0);
-  CHECK(answeredAfter(2, TimePoint(2s) + 80ms, TimePoint(2s) + 80ms) == 0);  // it came late itself
+  CHECK(answeredAfter(2, TimePoint(2s) + 80ms, TimePoint(2s) + 80ms) == 0);  // received after its deadline
   CHECK(answeredAfter(3, TimePoint(1s), TimePoint(2s) + 51ms) == 1);
   CHECK(answeredAfter(4, TimePoint(2s) + 80ms, TimePoint(2s) + 131ms) == 2);
 }
 
-TEST_CASE("the module keeps the rules under every kind of fault, alone and together") {
+TEST_CASE("the gateway core keeps all invariants under every kind of fault, alone and combined") {
   const std::vector<std::string> kinds{
       "gateway_kill",   "gateway_restart", "host_kill",        "host_hang",        "host_slow",
       "host_err",       "host_vanish",     "host_replace",     "zone_cut",         "zone_loss",
@@ -439,7 +440,7 @@
   CHECK(metrics.broken() == 0);
 }
 
-TEST_CASE("scenarios at the edge are played to their end") {
+TEST_CASE("scenarios with extreme settings run to their end") {
   const auto playWith = [](const std::vector<std::string>& changes, const std::string& extraText = "") {
     return play(readScenario(kBaseScenario + extraText, "s.toml", changes), 1, Policy::gatewayCore);
   };
@@ -450,12 +451,12 @@
   CHECK(withoutCounter.counterCalls == 0);
   CHECK(withoutCounter.broken() == 0);
   CHECK(playWith({"clients.rate=0"}).asked == 0);
-  CHECK(playWith({}, fault("host_kill", "2s", "0s", "share = 1")).broken() == 0);  // over as it begins
+  CHECK(playWith({}, fault("host_kill", "2s", "0s", "share = 1")).broken() == 0);  // ends as it begins
   CHECK(playWith({}, fault("gateway_kill", "2s", "0s", "share = 1")).broken() == 0);
   CHECK(playWith({"clients.abandon_probability=0.5"}).abandoned > 0);
 }
 
-TEST_CASE("what is remembered is bounded by what is in flight") {
+TEST_CASE("the invariant checker remembers only requests in flight") {
   const Scenario scenario = readScenario(kBaseScenario, "s.toml", {"length=30s", "clients.rate=300"});
   const Metrics metrics = play(scenario, 1, Policy::gatewayCore);
   CHECK(metrics.asked > 8'000);
