--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -197,7 +197,7 @@
   };
   callsIn(300);
   const int callsWhileFast = callsIn(300);
-  fleet.faults.counterAnswerLate = 1;
+  fleet.faults.counterResponseLate = 1;
   callsIn(300);
   CHECK(callsIn(300) < callsWhileFast / 4);
 }
--- a/tests/faults/fault_plan.hpp
+++ b/tests/faults/fault_plan.hpp
@@ -44,11 +44,11 @@
 
 /// The faults of one call. Every `every`-th call fails with `error`, until `times` of them have failed.
 struct Fault {
-  std::atomic<int> error;   ///< The errno of a failed call.
-  std::atomic<int> times;   ///< Calls that are still to fail.
-  std::atomic<int> every;   ///< 1: each call fails.
-  std::atomic<int> seen;    ///< Calls made since fail() was called.
-  std::atomic<int> failed;  ///< Calls that have failed since the plan was made.
+  std::atomic<int> error;      ///< The errno of a failed call.
+  std::atomic<int> remaining;  ///< Calls that are still to fail.
+  std::atomic<int> every;      ///< 1: each call fails.
+  std::atomic<int> calls;      ///< Calls made since fail() was called.
+  std::atomic<int> failed;     ///< Calls that have failed since the plan was made.
 };
 
 using FaultTable = std::array<Fault, static_cast<std::size_t>(FaultyCall::count)>;
@@ -80,11 +80,11 @@
     Fault& fault = at(call);
     fault.error = error;
     fault.every = every;
-    fault.seen = 0;
-    fault.times = times;  // last, since it arms the fault
+    fault.calls = 0;
+    fault.remaining = times;  // last, since it arms the fault
   }
   /// From now on, `call` succeeds.
-  void stop(FaultyCall call) { at(call).times = 0; }
+  void stop(FaultyCall call) { at(call).remaining = 0; }
   /// Returns the number of calls that have failed.
   int failed(FaultyCall call) { return at(call).failed; }
 
--- a/tests/faults/system_call_faults.cpp
+++ b/tests/faults/system_call_faults.cpp
@@ -37,15 +37,15 @@
 /// Returns true if this call has to fail, and sets errno in that case.
 bool fails(FaultyCall call) {
   // Opening the plan makes calls that are interposed here, too.
-  static thread_local bool asking = false;
-  if (asking) return false;
-  asking = true;
+  static thread_local bool openingPlan = false;
+  if (openingPlan) return false;
+  openingPlan = true;
   FaultPlan* const faults = plan();
-  asking = false;
+  openingPlan = false;
   if (!faults) return false;
   Fault& fault = faults->at(call);
-  if (fault.times <= 0 || ++fault.seen % std::max(1, fault.every.load()) != 0) return false;
-  --fault.times;
+  if (fault.remaining <= 0 || ++fault.calls % std::max(1, fault.every.load()) != 0) return false;
+  --fault.remaining;
   ++fault.failed;
   errno = fault.error;
   return true;
--- a/tests/process_log_test.cpp
+++ b/tests/process_log_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 std::string debugLevel(const Program& program) {
-  return program.file("own.toml", "[log]\nlevel = \"debug\"\n");
+  return program.writeFile("own.toml", "[log]\nlevel = \"debug\"\n");
 }
 
 /// Whether the log contains all of these texts, in this order.
@@ -46,20 +46,20 @@
 TEST_CASE("a start that fails logs one error event and exits with 1 or 2") {
   Program program;
   program.startReady();
-  const std::string config = program.file("orders.json", program.config());
-  auto [text, status] = program.response({"serve", "--config", config});
+  const std::string config = program.writeFile("orders.json", program.config());
+  auto [text, status] = program.runCommand({"serve", "--config", config});
   CHECK(status == 1);
   CHECK_THAT(text, Catch::Contains(
                        "error: fatal_error: merlinbridge cannot start or continue step=open_gateway error="));
   CHECK_THAT(text, Catch::Contains("Address already in use"));
-  std::tie(text, status) = program.response({"serve", "--orders", "/nowhere.json"});
+  std::tie(text, status) = program.runCommand({"serve", "--orders", "/nowhere.json"});
   CHECK(status == 2);
   CHECK_THAT(text, Catch::Contains("warning: setting_renamed: a setting was given under its old name "
                                    "detail=\"option --orders is now called --config\"\n"));
   CHECK_THAT(text, Catch::Contains("error: config_invalid: platform configuration is invalid "
                                    "error=\"cannot read /nowhere.json\"\n"));
-  std::tie(text, status) = program.response(
-      {"serve", "--config", config, "--operator-config", program.file("own.toml", "[log]\nlevle = 1\n")});
+  std::tie(text, status) = program.runCommand(
+      {"serve", "--config", config, "--operator-config", program.writeFile("own.toml", "[log]\nlevle = 1\n")});
   CHECK(status == 2);
   CHECK_THAT(text,
              Catch::Contains("error: operator_config_invalid: operator configuration is invalid error="));
@@ -71,7 +71,7 @@
   Program program;
   program.start(program.config(), debugLevel(program));
   REQUIRE(program.logHolds("info: ready"));
-  program.write("{");
+  program.writeConfig("{");
   program.signal(SIGHUP);
   const std::string error = "error=\"the file is not a JSON object\" ";
   CHECK(program.logHolds("warning: config_rejected: configuration rejected, keeping the previous one " +
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -18,7 +18,7 @@
   REQUIRE(within([&] { return program.host.accept(host); }));
   REQUIRE(within([&] { return host->hasReceived("\r\n\r\n"); }));
   PeerListener discovery, counter;
-  program.write(gatewayConfigText("127.0.0.1:" + std::to_string(program.listenPort), discovery.address(),
+  program.writeConfig(gatewayConfigText("127.0.0.1:" + std::to_string(program.listenPort), discovery.address(),
                                   counter.address(), endpointJson(program.host.port, "h1", "in_service"),
                                   128));
   for (int count = 0; count < 5; ++count) program.signal(SIGHUP);
@@ -31,7 +31,7 @@
   client.send(meteredRequest(1));
   CHECK(within([&] { return counter.accept(counterPeer); }));
   CHECK(within([&] { return counterPeer->hasReceived("POST /tally/u1."); }));
-  CHECK(program.runs());
+  CHECK(program.isRunning());
 }
 
 TEST_CASE(
@@ -54,15 +54,15 @@
       bad.replace(bad.find("\"rules\""), 7, "\"ruled\"");
       break;
   }
-  program.write(bad);
+  program.writeConfig(bad);
   for (int count = 0; count < 3; ++count) program.signal(SIGHUP);
   REQUIRE(program.logHolds("warning: config_rejected: configuration rejected, keeping the previous one "));
   std::optional<TestPeer> watch, moved;
   CHECK(program.discovery.accept(watch));
   CHECK_FALSE(watch->isClosedByRemote());
-  program.write(good);  // the file is completely written now
+  program.writeConfig(good);  // the file is completely written now
   CHECK(within([&] { return discovery.accept(moved); }));
-  CHECK(program.runs());
+  CHECK(program.isRunning());
   const std::string log = program.log();
   CHECK(log.find("config_rejected") == log.rfind("config_rejected"));
 }
@@ -117,7 +117,7 @@
   program.signal(SIGTERM);
   program.signal(SIGHUP);
   const auto signalledAt = std::chrono::steady_clock::now();
-  CHECK(within([&] { return serve(), !program.runs(); }));
+  CHECK(within([&] { return serve(), !program.isRunning(); }));
   CHECK(std::chrono::steady_clock::now() - signalledAt < 2700ms);  // longest deadline + 0.7 s acceptFor
   CHECK(program.exitStatus() == 0);
   CHECK(unanswered <= 8);  // sent while the connection was being closed: a client would retry them
@@ -127,14 +127,14 @@
 TEST_CASE(
     "SIGTERM and SIGHUP while the configuration is read: it serves, shuts down gracefully and exits with 0") {
   Program program;
-  const std::string path = program.pipe();
+  const std::string path = program.makeConfigPipe();
   program.start("");
   {
     std::ofstream pipe(path);  // blocks until the program opens the file
     program.signal(SIGHUP);
     program.signal(SIGTERM);
     program.signal(SIGTERM);
-    program.replacePipe();
+    program.replaceConfigPipe();
     pipe << program.config();
   }
   CHECK(program.logHolds("info: draining: "));
@@ -219,10 +219,10 @@
 
 TEST_CASE("check reports each error with its place and starts nothing") {
   Program program;
-  const std::string config = program.file("orders.json", program.config());
+  const std::string config = program.writeFile("orders.json", program.config());
   const auto check = [&](const std::string& own) {
-    return program.response(
-        {"check", "--config", config, "--operator-config", program.file("own.toml", own)});
+    return program.runCommand(
+        {"check", "--config", config, "--operator-config", program.writeFile("own.toml", own)});
   };
   auto [text, status] = check("[log]\nform = \"json\"\n[end]\nstill_coming = \"1s\"\n");
   CHECK(status == 0);
@@ -235,19 +235,19 @@
         std::string::npos);
   CHECK(check("[end]\nstill_coming = \"9s\"\nmost_life = \"1s\"\n").second == 2);
   CHECK(check("[end\n").second == 2);
-  CHECK(program.response({"check", "--config", program.file("orders.json", "{")}).second == 2);
-  CHECK(program.response({"check"}).second == 2);
-  CHECK(program.response({"serve"}).second == 2);
-  CHECK(program.response({"unknown"}).second == 2);
-  CHECK(program.response({"--help"}).second == 0);
-  CHECK(program.response({"version"}).first.starts_with("merlinbridge "));
+  CHECK(program.runCommand({"check", "--config", program.writeFile("orders.json", "{")}).second == 2);
+  CHECK(program.runCommand({"check"}).second == 2);
+  CHECK(program.runCommand({"serve"}).second == 2);
+  CHECK(program.runCommand({"unknown"}).second == 2);
+  CHECK(program.runCommand({"--help"}).second == 0);
+  CHECK(program.runCommand({"version"}).first.starts_with("merlinbridge "));
 }
 
 TEST_CASE("old names of options and keys are read, each with one warning that names both") {
   Program program;
-  const std::string config = program.file("orders.json", program.config());
+  const std::string config = program.writeFile("orders.json", program.config());
   const auto check = [&](const std::string& option, const std::string& own) {
-    return program.response({"check", option, config, "--operator-config", program.file("own.toml", own)});
+    return program.runCommand({"check", option, config, "--operator-config", program.writeFile("own.toml", own)});
   };
   const auto countOf = [](const std::string& text, const std::string& part) {
     int count = 0;
@@ -264,7 +264,7 @@
   CHECK(countOf(text, "table end with still_coming and most_life is now called shutdown") == 1);
   CHECK(countOf(text, "key reload.looks is now called reload.retries") == 1);
   std::tie(text, status) =
-      program.response({"check", "--config", config, "--own", program.file("own.toml", "")});
+      program.runCommand({"check", "--config", config, "--own", program.writeFile("own.toml", "")});
   CHECK(status == 0);
   CHECK(countOf(text, "--own is now called --operator-config") == 1);
   CHECK(check("--config", "[end]\n[shutdown]\n").second == 2);  // the old and the new name together
@@ -276,9 +276,9 @@
 
 TEST_CASE("an address in use fails the start with 1, and [log] form = json makes lines JSON objects") {
   Program program;
-  program.start(program.config(), program.file("own.toml", "[log]\nform = \"json\"\n"));
+  program.start(program.config(), program.writeFile("own.toml", "[log]\nform = \"json\"\n"));
   REQUIRE(program.logHolds(R"({"level":"info","event":"ready","text":"accepting clients"})"));
-  CHECK(program.response({"serve", "--config", program.file("orders.json", program.config())}).second == 1);
+  CHECK(program.runCommand({"serve", "--config", program.writeFile("orders.json", program.config())}).second == 1);
   program.signal(SIGTERM);
   CHECK(program.exitStatus() == 0);
   CHECK(program.log().find(R"("event":"stopped")") != std::string::npos);
@@ -328,5 +328,5 @@
   ask->closeWithReset();
   REQUIRE(within([&] { return back.accept(next); }));
   CHECK(within([&] { return next->hasReceived("from=60 "); }));
-  CHECK(program.runs());
+  CHECK(program.isRunning());
 }
--- a/tests/program.hpp
+++ b/tests/program.hpp
@@ -29,7 +29,7 @@
   return done();
 }
 
-inline std::string textOf(const std::string& path) {
+inline std::string readFile(const std::string& path) {
   std::ifstream file(path);
   return {std::istreambuf_iterator<char>(file), {}};
 }
@@ -56,9 +56,9 @@
                              counter.address(),
                              known.empty() ? endpointJson(host.port, "h1", "in_service") : known, 128);
   }
-  void write(const std::string& text) const { std::ofstream(folder_ + "/config.json") << text; }
+  void writeConfig(const std::string& text) const { std::ofstream(folder_ + "/config.json") << text; }
   void start(const std::string& text, const std::string& own = "") {
-    if (!piped_) write(text);
+    if (!configIsPipe_) writeConfig(text);
     const std::string ownSetting = "GW_OWN=" + own;
     const std::string setting = "GW_CONFIG=" + folder_ + "/config.json";
     const std::string log = folder_ + "/log";
@@ -81,7 +81,7 @@
   }
   /// Read by the program with faults alone.
   std::string faultPlanFile() const { return folder_ + "/faults"; }
-  std::string log() const { return textOf(folder_ + "/log"); }
+  std::string log() const { return readFile(folder_ + "/log"); }
   bool logHolds(const std::string& line) const {
     return within([&] { return log().find(line) != std::string::npos; });
   }
@@ -92,7 +92,7 @@
     REQUIRE(::prlimit(pid_, RLIMIT_NOFILE, &limit, nullptr) == 0);
   }
   // Another start of it, to its end: what it said, and its exit status.
-  std::pair<std::string, int> response(const std::vector<std::string>& words) const {
+  std::pair<std::string, int> runCommand(const std::vector<std::string>& words) const {
     const std::string out = folder_ + "/said";
     posix_spawn_file_actions_t files;
     posix_spawn_file_actions_init(&files);
@@ -107,29 +107,29 @@
     REQUIRE(posix_spawn(&pid, MERLINBRIDGE_PROGRAM, &files, nullptr, argv.data(), env) == 0);
     posix_spawn_file_actions_destroy(&files);
     ::waitpid(pid, &status, 0);
-    return {textOf(out), WIFEXITED(status) ? WEXITSTATUS(status) : -1};
+    return {readFile(out), WIFEXITED(status) ? WEXITSTATUS(status) : -1};
   }
-  std::string file(const std::string& name, const std::string& text) const {
+  std::string writeFile(const std::string& name, const std::string& text) const {
     std::ofstream(folder_ + "/" + name) << text;
     return folder_ + "/" + name;
   }
   // The configuration come through a pipe at first, so that the program waits in the middle of reading them.
-  std::string pipe() {
-    piped_ = true;
+  std::string makeConfigPipe() {
+    configIsPipe_ = true;
     REQUIRE(::mkfifo((folder_ + "/config.json").c_str(), 0600) == 0);
     return folder_ + "/config.json";
   }
-  void replacePipe() {
+  void replaceConfigPipe() {
     std::ofstream(folder_ + "/orders.json") << config();
     std::rename((folder_ + "/orders.json").c_str(), (folder_ + "/config.json").c_str());
   }
-  bool runs() {
+  bool isRunning() {
     if (pid_ > 0 && ::waitpid(pid_, &status_, WNOHANG) == pid_) pid_ = 0;
     return pid_ > 0;
   }
   // Its exit status, -1 where it ended by a signal or did not end.
   int exitStatus() {
-    if (!within([&] { return !runs(); })) return -1;
+    if (!within([&] { return !isRunning(); })) return -1;
     return WIFEXITED(status_) ? WEXITSTATUS(status_) : -1;
   }
   TestPeer client() const { return TestPeer::connectTo(listenPort); }
@@ -141,7 +141,7 @@
  private:
   std::string program_;
   std::string folder_;
-  bool piped_ = false;
+  bool configIsPipe_ = false;
   pid_t pid_ = 0;
   int status_ = 0;
 };
--- a/tests/support/policy_invariant_checker.cpp
+++ b/tests/support/policy_invariant_checker.cpp
@@ -42,7 +42,8 @@
     violations.insert("a second execution of a non-idempotent request");
   if (method.idempotency != Idempotency::deduplicated) return;
   for (const auto& [previousHost, startedAt] : request.possibleExecutions) {
-    if (method.deduplicationScope == DeduplicationScope::zone && hosts_[previousHost.value].zone != hosts_[host.value].zone)
+    if (method.deduplicationScope == DeduplicationScope::zone &&
+        hosts_[previousHost.value].zone != hosts_[host.value].zone)
       violations.insert("a repeat outside the group");
     if (now > startedAt + method.deduplicationWindow) violations.insert("a repeat after the window");
     if (writeBy > startedAt + method.deduplicationWindow)
@@ -82,12 +83,13 @@
   request.rejected = rejected;
   const bool mayHaveRun = !request.possibleExecutions.empty() || request.attemptsInFlight > 0;
   const bool mustNotRunAgain = method.idempotency == Idempotency::nonIdempotent ||
-                               (method.idempotency == Idempotency::deduplicated && method.deduplicationScope != DeduplicationScope::all);
+                               (method.idempotency == Idempotency::deduplicated &&
+                                method.deduplicationScope != DeduplicationScope::all);
   if (rejected && mayHaveRun && mustNotRunAgain)
     violations.insert("a rejection though the request may have run");
 }
 
-void PolicyInvariantChecker::answerDue(const SimulatedRequest& request) {
+void PolicyInvariantChecker::checkAnswered(const SimulatedRequest& request) {
   if (request.finalAnswers == 0) violations.insert("a request was not answered in time");
 }
 
--- a/tests/support/policy_invariant_checker.hpp
+++ b/tests/support/policy_invariant_checker.hpp
@@ -32,7 +32,7 @@
   void requestAnswered(SimulatedRequest& request, FinalAnswer answer, TimePoint now);
 
   /// Judges `request` at a time at which it must have been answered.
-  void answerDue(const SimulatedRequest& request);
+  void checkAnswered(const SimulatedRequest& request);
 
   std::set<std::string> violations;
 
--- a/tests/support/simulated_fleet.cpp
+++ b/tests/support/simulated_fleet.cpp
@@ -10,10 +10,10 @@
 constexpr std::uint32_t kHosts = 6;
 constexpr std::uint32_t kZones = 3;
 constexpr Duration kServiceTime = 60ms;
-constexpr Duration kConnectionRefusedAfter = 1ms;
-constexpr Duration kRejectedAfter = 2ms;
-constexpr Duration kCancelledAfter = 1ms;
-constexpr Duration kCounterAnswersAfter = 2ms;
+constexpr Duration kConnectionRefusedDelay = 1ms;
+constexpr Duration kRejectionDelay = 2ms;
+constexpr Duration kCancelDelay = 1ms;
+constexpr Duration kCounterResponseDelay = 2ms;
 constexpr Duration kAnswerSlack = 16ms;  // by which an answer may come after the deadline
 constexpr int kMaxActionsAtOneTime = 100'000;
 constexpr std::uint32_t kNoGateway = 99;
@@ -59,15 +59,14 @@
     request.hostByAttempt[end.attemptNumber] = host;
     ++fleet_.hosts[host.value].attemptsInFlight;
     ++fleet_.hosts[host.value].attemptsReceived;
-    scheduleEnd(fleet_.now + end.took, end);
+    scheduleEnd(fleet_.now + end.duration, end);
   }
 
   void cancel(RequestId requestId, AttemptNumber attempt) override {
     const SimulatedRequest& request = fleet_.requests[requestId.value];
     const auto inFlight = request.hostByAttempt.find(attempt.value);
     if (inFlight == request.hostByAttempt.end()) return;
-    scheduleEnd(fleet_.now,
-                {requestId, attempt.value, inFlight->second, Outcome::cancelled, kCancelledAfter});
+    scheduleEnd(fleet_.now, {requestId, attempt.value, inFlight->second, Outcome::cancelled, kCancelDelay});
   }
 
   void reject(RequestId requestId, Duration /*retryAfter*/) override {
@@ -77,23 +76,23 @@
 
   void addToCounter(const CounterKey& key, double units, Duration /*keepFor*/) override {
     ++fleet_.counterCalls;
-    const bool late = fleet_.bernoulli(fleet_.faults.counterAnswerLate);
+    const bool late = fleet_.bernoulli(fleet_.faults.counterResponseLate);
     const bool lost = fleet_.bernoulli(fleet_.faults.counterCallLost);
     const std::string name = std::to_string(key.customer.value) + '.' + std::to_string(key.slot.value);
     const double total = lost ? 0 : fleet_.counters[name] += units;
     const bool timesOut = lost || late;
     const CounterCallOutcome outcome = timesOut ? CounterCallOutcome::unknown : CounterCallOutcome::ok;
-    const Duration after = timesOut ? fleet_.settings.counterTimeout : kCounterAnswersAfter;
+    const Duration after = timesOut ? fleet_.settings.counterTimeout : kCounterResponseDelay;
     fleet_.schedule(fleet_.now + after,
-                    [&fleet = fleet_, gateway = gateway_, generation = incarnation, key, total, outcome] {
-                      if (DecisionEngine* const engine = fleet.engineOf(gateway, generation))
-                        engine->counterCallEnded(fleet.now, key, outcome, total, kCounterAnswersAfter);
+                    [&fleet = fleet_, gateway = gateway_, number = incarnation, key, total, outcome] {
+                      if (DecisionEngine* const engine = fleet.engineOf(gateway, number))
+                        engine->counterCallEnded(fleet.now, key, outcome, total, kCounterResponseDelay);
                     });
   }
 
   void setTimer(TimePoint when, TimerId timer) override {
-    fleet_.schedule(when, [&fleet = fleet_, gateway = gateway_, generation = incarnation, timer] {
-      if (DecisionEngine* const engine = fleet.engineOf(gateway, generation))
+    fleet_.schedule(when, [&fleet = fleet_, gateway = gateway_, number = incarnation, timer] {
+      if (DecisionEngine* const engine = fleet.engineOf(gateway, number))
         engine->timerFired(fleet.now, timer);
     });
   }
@@ -104,8 +103,8 @@
 
  private:
   void scheduleEnd(TimePoint when, const AttemptEnd& end) {
-    fleet_.schedule(when, [&fleet = fleet_, gateway = gateway_, generation = incarnation, end] {
-      fleet.endAttempt(gateway, generation, end);
+    fleet_.schedule(when, [&fleet = fleet_, gateway = gateway_, number = incarnation, end] {
+      fleet.endAttempt(gateway, number, end);
     });
   }
   void finish(RequestId requestId, PolicyInvariantChecker::FinalAnswer answer) {
@@ -196,7 +195,7 @@
   record.request = {id, {customer}, {plan}, {method}, now + timeout, units, settings.gateways};
   record.gateway = gateway;
   record.arrivedAt = now;
-  schedule(now + timeout + kAnswerSlack, [this, id] { invariants.answerDue(requests[id.value]); });
+  schedule(now + timeout + kAnswerSlack, [this, id] { invariants.checkAnswered(requests[id.value]); });
   gateways_[gateway].engine->requestArrived(now, record.request);
   return record;
 }
@@ -222,18 +221,18 @@
   AttemptEnd end{request.request.requestId, request.attemptsStarted, host, Outcome::ok, target.serviceTime};
   if (target.unreachable) {
     end.outcome = Outcome::noConnection;
-    end.took = kConnectionRefusedAfter;
+    end.duration = kConnectionRefusedDelay;
   } else if (target.rejectedPlan == request.request.plan.value || bernoulli(faults.hostRejects)) {
     end.outcome = Outcome::rejected;
-    end.took = kRejectedAfter;
+    end.duration = kRejectionDelay;
   } else if (bernoulli(faults.attemptLost)) {
     end.outcome = bernoulli(0.5) ? Outcome::lost : Outcome::noConnection;
   } else if (target.failingMethod == request.request.method.value || bernoulli(faults.hostError)) {
     end.outcome = Outcome::error;
   }
-  if (target.unresponsive || bernoulli(faults.hostUnresponsive) || now + end.took > abandonAt) {
+  if (target.unresponsive || bernoulli(faults.hostUnresponsive) || now + end.duration > abandonAt) {
     end.outcome = Outcome::noResponse;
-    end.took = abandonAt - now;
+    end.duration = abandonAt - now;
   }
   return end;
 }
@@ -248,20 +247,20 @@
   request.hostByAttempt.erase(end.attemptNumber);
   --request.attemptsInFlight;
   const bool certainlyNotRun = end.outcome == Outcome::rejected || end.outcome == Outcome::noConnection;
-  if (!certainlyNotRun) request.possibleExecutions.emplace_back(end.host, now - end.took);
+  if (!certainlyNotRun) request.possibleExecutions.emplace_back(end.host, now - end.duration);
   if (end.outcome == Outcome::ok && request.finalAnswers == 0) {
     ++request.finalAnswers;
     request.served = true;
     request.answeredAt = now;
   }
-  const double trueUnits = end.outcome == Outcome::ok ? request.request.units : 0;
+  const double usedUnits = end.outcome == Outcome::ok ? request.request.units : 0;
   engine->attemptEnded(now, {end.requestId,
                              {end.attemptNumber},
                              end.host,
                              end.outcome,
                              request.finalAnswers > 0,
-                             end.took,
-                             trueUnits,
+                             end.duration,
+                             usedUnits,
                              host.reportedLoad});
 }
 
--- a/tests/support/simulated_fleet.hpp
+++ b/tests/support/simulated_fleet.hpp
@@ -35,12 +35,12 @@
  public:
   /// Probabilities, 0 to 1, of what may happen to each attempt and each counter call from now on.
   struct FaultProbabilities {
-    double attemptLost = 0;        ///< The connection fails, half of the times after the request was written.
-    double hostError = 0;          ///< The host answers with an error.
-    double hostUnresponsive = 0;   ///< The host never answers.
-    double hostRejects = 0;        ///< The host declines the request.
-    double counterCallLost = 0;    ///< The counter does not receive the call; it times out.
-    double counterAnswerLate = 0;  ///< The counter adds the units, but the call times out.
+    double attemptLost = 0;       ///< The connection fails, half of the times after the request was written.
+    double hostError = 0;         ///< The host answers with an error.
+    double hostUnresponsive = 0;  ///< The host never answers.
+    double hostRejects = 0;       ///< The host declines the request.
+    double counterCallLost = 0;   ///< The counter does not receive the call; it times out.
+    double counterResponseLate = 0;  ///< The counter adds the units, but the call times out.
   };
 
   /// Starts `settings.gateways` gateways. `seed` decides all random draws, the engines' seeds included.
@@ -97,7 +97,7 @@
     std::uint32_t attemptNumber;
     HostId host;
     Outcome outcome;
-    Duration took;
+    Duration duration;
   };
 
   bool bernoulli(double probability);
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -78,7 +78,7 @@
 }
 
 bool exitsWithin(Program& program, Duration timeout) {
-  return within([&] { return !program.runs(); }, timeout);
+  return within([&] { return !program.isRunning(); }, timeout);
 }
 
 /// A pipe whose buffer is full, so that every further write blocks. Owns both ends.
@@ -303,7 +303,7 @@
   program.faults.fail(failure.call, failure.error, kBriefFailures);
   program.start(program.config());
   CHECK(logged(program, "info: ready", 2s));
-  REQUIRE(program.runs());
+  REQUIRE(program.isRunning());
   CHECK(program.faults.failed(failure.call) == kBriefFailures);
   TestPeer client = program.client();
   client.send(clientRequest("look"));
--- a/tests/test_services/emulator_validation.cpp
+++ b/tests/test_services/emulator_validation.cpp
@@ -37,9 +37,9 @@
 }
 
 /// Compares the figures of two runs and prints one line of CSV for each.
-class FigureComparison {
+class MetricComparison {
  public:
-  FigureComparison(std::uint64_t seed, const Metrics& emulated, const Metrics& real)
+  MetricComparison(std::uint64_t seed, const Metrics& emulated, const Metrics& real)
       : seed_(seed), emulated_(emulated), real_(real) {}
 
   /// Returns whether all figures agree.
@@ -53,7 +53,7 @@
   static void printTitles() { std::cout << "seed,figure,emulated,sockets,may_differ,verdict\n"; }
 
  private:
-  void printFigure(const char* name, double emulated, double real, double tolerance) {
+  void printMetric(const char* name, double emulated, double real, double tolerance) {
     const bool holds = std::abs(emulated - real) <= tolerance;
     agrees_ = agrees_ && holds;
     std::cout << fmt::format("{},{},{:.5g},{:.5g},{:.4g},{}\n", seed_, name, emulated, real, tolerance,
@@ -61,14 +61,14 @@
   }
   template <class Count>
   void printShare(const char* name, Count Metrics::*part, Count Metrics::*whole) {
-    printFigure(name, ratio(double(emulated_.*part), double(emulated_.*whole)),
+    printMetric(name, ratio(double(emulated_.*part), double(emulated_.*whole)),
                 ratio(double(real_.*part), double(real_.*whole)), kShareTolerance);
   }
   template <class Count>
   void printRatio(const char* name, Count Metrics::*part, Count Metrics::*whole) {
     const double emulated = ratio(double(emulated_.*part), double(emulated_.*whole));
     const double real = ratio(double(real_.*part), double(real_.*whole));
-    printFigure(name, emulated, real, kRatioTolerance * emulated);
+    printMetric(name, emulated, real, kRatioTolerance * emulated);
   }
   void printShares() {
     printShare("in_time", &Metrics::inTime, &Metrics::asked);
@@ -79,14 +79,14 @@
   void printRatios() {
     printRatio("client_attempts", &Metrics::tries, &Metrics::asked);
     printRatio("attempts", &Metrics::attempts, &Metrics::tries);
-    printFigure("units_sent", emulated_.unitsSent, real_.unitsSent, kRatioTolerance * emulated_.unitsSent);
+    printMetric("units_sent", emulated_.unitsSent, real_.unitsSent, kRatioTolerance * emulated_.unitsSent);
   }
   void printLatencies() {
     constexpr double kMedian = 0.5;
     constexpr double kP99 = 0.99;
-    printFigure("p50_ms", latencyMs(emulated_, kMedian), latencyMs(real_, kMedian), kMedianToleranceMs);
+    printMetric("p50_ms", latencyMs(emulated_, kMedian), latencyMs(real_, kMedian), kMedianToleranceMs);
     const double p99 = latencyMs(emulated_, kP99);
-    printFigure("p99_ms", p99, latencyMs(real_, kP99),
+    printMetric("p99_ms", p99, latencyMs(real_, kP99),
                 std::max(kP99ToleranceMs, kP99RelativeTolerance * p99));
   }
 
@@ -103,13 +103,13 @@
   if (!scenario.faults.empty())
     throw lab::LabError("only a scenario without faults is compared with daemons on sockets");
   bool agrees = true;
-  FigureComparison::printTitles();
+  MetricComparison::printTitles();
   std::istringstream words(seeds);
   for (std::string word; std::getline(words, word, ',');) {
     const std::uint64_t seed = std::stoull(word);
     const Metrics emulated = emulator::play(scenario, seed, emulator::Policy::module);
     const Metrics real = playOnLoopback(scenario, seed, program);
-    agrees = FigureComparison(seed, emulated, real).print() && agrees;
+    agrees = MetricComparison(seed, emulated, real).print() && agrees;
   }
   return agrees ? ExitCode::agrees : ExitCode::differs;
 }
--- a/tests/test_services/loopback_run.cpp
+++ b/tests/test_services/loopback_run.cpp
@@ -57,18 +57,18 @@
 }
 
 /// What all daemons of a run are told alike.
-struct Surroundings {
+struct Environment {
   std::string discovery;
   std::string counter;
   std::string endpoints;
 };
 
 std::string configurationOf(const Scenario& scenario, std::uint64_t seed, std::uint32_t gateway,
-                            std::uint16_t port, const Surroundings& surroundings) {
-  const std::string counter = scenario.counter ? fmt::format(R"("counter":"{}",)", surroundings.counter) : "";
+                            std::uint16_t port, const Environment& environment) {
+  const std::string counter = scenario.counter ? fmt::format(R"("counter":"{}",)", environment.counter) : "";
   return fmt::format(
       R"({{"name":"n{}","listen":"127.0.0.1:{}","discovery":"{}","seed":"{:x}","limits":{{"sockets":1024}},{}"known":{},"settings":{}}})",
-      gateway, port, surroundings.discovery, seed * 1000 + gateway, counter, surroundings.endpoints,
+      gateway, port, environment.discovery, seed * 1000 + gateway, counter, environment.endpoints,
       platformSettings(scenario, gateway));
 }
 
@@ -80,14 +80,13 @@
   const Hosts hosts = makeHosts(io, scenario, workStream);
   CounterService counter(io, scenario.counterService);
   DiscoveryService discovery(io);
-  const Surroundings surroundings{discovery.address(), counter.address(),
-                                  endpointList(hosts, scenario.zones)};
-  discovery.publish(surroundings.endpoints);
+  const Environment environment{discovery.address(), counter.address(), endpointList(hosts, scenario.zones)};
+  discovery.publish(environment.endpoints);
   DaemonProcesses daemons(program);
   std::vector<Tcp::endpoint> gateways;
   for (std::uint32_t gateway = 0; gateway < scenario.gateways; ++gateway) {
     gateways.emplace_back(asio::ip::address_v4::loopback(), freePort());
-    daemons.start(configurationOf(scenario, seed, gateway, gateways.back().port(), surroundings));
+    daemons.start(configurationOf(scenario, seed, gateway, gateways.back().port(), environment));
   }
   io.run_for(kStartTime);
   const ValidationClients clients(io, scenario, seed, gateways);
--- a/tests/test_services/service_host.hpp
+++ b/tests/test_services/service_host.hpp
@@ -91,8 +91,8 @@
     ++answered_;
     const auto now = WallClock::now();
     // The rate of answers decays with a time constant of one second.
-    answersPerSecond_ = answersPerSecond_ * std::exp(-seconds(now - lastAnswerAt_)) + 1;
-    lastAnswerAt_ = now;
+    responsesPerSecond_ = responsesPerSecond_ * std::exp(-seconds(now - lastResponseAt_)) + 1;
+    lastResponseAt_ = now;
     connection.send(behaviour_ == Behaviour::errors ? httpResponse(500, "")
                                                     : httpResponse(200, "ok", loadHeader()));
     startQueued();
@@ -100,7 +100,7 @@
   std::string loadHeader() const {
     if (reports_ == LoadReports::none) return "";
     return fmt::format("Srv-Load: inflight={},queue={},qps={:.3f}\r\n",
-                       busyCores_ + static_cast<int>(queue_.size()), queue_.size(), answersPerSecond_);
+                       busyCores_ + static_cast<int>(queue_.size()), queue_.size(), responsesPerSecond_);
   }
 
   asio::io_context& io_;
@@ -109,8 +109,8 @@
   const WorkOf workOf_;
   Behaviour behaviour_ = Behaviour::healthy;
   int busyCores_ = 0;
-  double answersPerSecond_ = 0;
-  WallClock::time_point lastAnswerAt_{};
+  double responsesPerSecond_ = 0;
+  WallClock::time_point lastResponseAt_{};
   std::deque<QueuedRequest> queue_;
   std::uint64_t requests_ = 0;
   std::uint64_t answered_ = 0;
--- a/tests/test_services/validation_clients.cpp
+++ b/tests/test_services/validation_clients.cpp
@@ -70,12 +70,12 @@
   arrivalTimer_.expires_at(startedAt_ + nextArrival_);
   arrivalTimer_.async_wait([this](const Error& error) {
     if (error) return;
-    arrive();
+    startRequest();
     scheduleArrival();
   });
 }
 
-void ValidationClients::arrive() {
+void ValidationClients::startRequest() {
   const auto request = std::make_shared<ClientRequest>();
   request->customer = indexAt(customerWeights_, arrivals_.uniform01()) + 1;
   request->method = indexAt(methodWeights_, arrivals_.uniform01());
--- a/tests/test_services/validation_clients.hpp
+++ b/tests/test_services/validation_clients.hpp
@@ -56,7 +56,7 @@
   enum class MayRetry { no, yes };
 
   void scheduleArrival();
-  void arrive();
+  void startRequest();
   void startAttempt(const RequestPtr&);
   std::string attemptText(const ClientRequest&, std::uint32_t firstGateway, std::uint32_t spread);
   void startTimeout(const RequestPtr&, const ConnectionPtr&);
