--- a/scripts/check_headers.sh
+++ b/scripts/check_headers.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Compiles every header of src/ by itself: each must include what it uses, whatever is included before it.
+# Compiles every header of src/ by itself: each must include everything that it uses.
 #   check_headers.sh [ROOT]
 set -euo pipefail
 cd "${1:-$(dirname "$0")/..}"
--- a/scripts/check_layout.sh
+++ b/scripts/check_layout.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks what the formatter and clang-tidy do not: the length of files, one member a declaration, and documented types.
+# Checks rules that clang-format and clang-tidy do not cover: file length, one member per declaration, documented types.
 #   check_layout.sh [ROOT]
 set -euo pipefail
 cd "${1:-$(dirname "$0")/..}"
@@ -24,7 +24,7 @@
 
 mapfile -t headers < <(find src -name '*.hpp' | sort)
 
-# readability-isolate-declaration of clang-tidy 14 looks at local variables only.
+# readability-isolate-declaration of clang-tidy 14 checks local variables only.
 while IFS= read -r line; do
   fail "several members in one declaration: $line"
 done < <(grep -vHnE '^ +using ' "${headers[@]}" |
--- a/scripts/check_policy.sh
+++ b/scripts/check_policy.sh
@@ -13,7 +13,7 @@
 
 mapfile -t listed < <(sed -n 's/^policy = \[\(.*\)\]$/\1/p' deploy/balancer.toml | tr -d '" ' | tr ',' '\n')
 mapfile -t sources < <(find src/policy -name '*.cpp' | sort)
-mapfile -t helpers < <(find src/util -name '*.?pp' ! -name 'log.hpp' ! -name 'json_escape.hpp' | sort)  # those are the log's
+mapfile -t helpers < <(find src/util -name '*.?pp' ! -name 'log.hpp' ! -name 'json_escape.hpp' | sort)  # those two belong to the log
 mapfile -t headers < <(find src/policy src/policy_api -name '*.hpp' | sort)
 [[ "${listed[*]}" == "${sources[*]}" ]] || finding "deploy/balancer.toml lists other files than src/policy/*.cpp"
 
@@ -36,6 +36,6 @@
 lines=$(cat "${sources[@]}" | grep -cv '^[[:space:]]*$' || true)
 while IFS= read -r line; do
   finding "over $max_columns columns: $line"
-done < <(awk -v most=$max_columns 'length > most { print FILENAME ":" FNR }' "${sources[@]}" "${headers[@]}")
+done < <(awk -v max=$max_columns 'length > max { print FILENAME ":" FNR }' "${sources[@]}" "${headers[@]}")
 ((failed)) || echo "check_policy: $lines lines in ${#sources[@]} sources, no I/O"
 exit "$failed"
--- a/scripts/compare_results.sh
+++ b/scripts/compare_results.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Shows whether two builds of the laboratory decide alike: the first build's results are recorded, then the
+# Shows whether two builds of the laboratory make the same decisions: the first build's results are recorded, then the
 # second's, then the two records are compared.
 #
 #   compare_results.sh record LAB FOLDER SCENARIO...   runs each scenario on seeds 1 to 10 and keeps the results
@@ -9,10 +9,10 @@
 # runs.csv and timeline.csv, as lines "row title value". The summary's fingerprint covers every event of the run in order,
 # so a single changed decision shows even where no figure changes.
 #
-# Before two records are compared, both are normalized; all that remains must be equal word by word:
+# Before two records are compared, both are normalized; the rest must be equal word by word:
 #   - Titles that a later version renamed get their new names (renamed_titles.txt, "old new" a line), so that a record of
-#     an earlier version can be compared with one of today.
-#   - Lines with the scenario's hash or the program's version go: both change without a changed decision.
+#     an earlier version can be compared with a current one.
+#   - Lines with the scenario's hash or the program's version are removed: both can change without a changed decision.
 #   - Runs of spaces become one, and lines are sorted: the width and the order of columns are not results.
 set -euo pipefail
 
@@ -35,11 +35,11 @@
   ' "$1"
 }
 
-# record_run LAB SCENARIO SEED FILE: plays one run and writes its record.
+# record_run LAB SCENARIO SEED FILE: executes one run and writes its record.
 record_run() {
   local lab=$1 scenario=$2 seed=$3 file=$4 folder
   folder=$(mktemp -d)
-  # Exit code 1 says that the run violated an invariant; it is recorded like any other.
+  # Exit code 1 means that the run violated an invariant; it is recorded like any other.
   "$lab" run "$scenario" --seed "$seed" --out "$folder" >"$folder/summary.txt" || (($? == 1))
   {
     cat "$folder/summary.txt"
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -8,10 +8,10 @@
 clang-format --dry-run --Werror "${sources[@]}"
 echo "clang-format: ${#sources[@]} files are formatted"
 
-# A clean report counts only if planted findings are reported.
+# A clean report is trusted only if the configuration reports planted findings.
 tests/lint_config_test.sh
 
-# The database of compile commands is all that clang-tidy needs; g++ checks conversions, and clang means more by -Wconversion.
+# clang-tidy needs only the compile commands. Conversions are left to g++, since -Wconversion of clang reports more.
 cmake -B build-lint -DMERLINBRIDGE_TESTS=ON -DMERLINBRIDGE_EMULATOR_VALIDATION=ON -DMERLINBRIDGE_TEST_SERVICES=ON -DCMAKE_BUILD_TYPE=Debug >/dev/null
 report=$(mktemp)
 trap 'rm -f "$report"' EXIT
--- a/tests/check_layout_test.sh
+++ b/tests/check_layout_test.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Test of scripts/check_layout.sh: it passes a tree that keeps the rules, and fails on each planted finding.
+# Test of scripts/check_layout.sh: it must accept a tree that follows the rules and report each planted violation.
 set -euo pipefail
 script=$(cd "$(dirname "$0")/.." && pwd)/scripts/check_layout.sh
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
 failed=0
 
-fresh() {
+make_tree() {
   rm -rf "$folder/tree"
   mkdir -p "$folder/tree/src" "$folder/tree/tests"
   cat >"$folder/tree/src/point.hpp" <<'HEADER'
@@ -20,18 +20,18 @@
 };
 HEADER
 }
-# expect STATUS TEXT: checks the tree, and puts it back as it was.
+# expect STATUS TEXT: checks the tree and then restores it.
 expect() {
   local status=$1 text=$2 got=0
   "$script" "$folder/tree" >"$folder/out" 2>&1 || got=$?
   if [[ $got != "$status" ]] || ! grep -Fq -- "$text" "$folder/out"; then
-    echo "expected $status and '$text', got $got and:" && cat "$folder/out"
+    echo "expected status $status and '$text', got $got and:" && cat "$folder/out"
     failed=1
   fi
-  fresh
+  make_tree
 }
 
-fresh
+make_tree
 expect 0 "files are short"
 seq 401 | sed 's#.*#// line#' >"$folder/tree/src/long.cpp"
 expect 1 "src/long.cpp has 401 lines, 400 at most"
--- a/tests/check_policy_test.sh
+++ b/tests/check_policy_test.sh
@@ -1,28 +1,28 @@
 #!/usr/bin/env bash
-# Test of scripts/check_policy.sh: it passes the tree as it is, and fails on each planted finding.
+# Test of scripts/check_policy.sh: it must accept the current tree and report each planted violation.
 set -euo pipefail
 root=$(cd "$(dirname "$0")/.." && pwd)
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
-bad=0
+failed=0
 
-# expect STATUS TEXT: checks the copy, and puts it back as it was.
+# expect STATUS TEXT: checks the copy and then restores it.
 expect() {
   local status=$1 text=$2 got=0
   "$root/scripts/check_policy.sh" "$folder/tree" >"$folder/out" 2>&1 || got=$?
   if [[ $got != "$status" ]] || ! grep -Fq -- "$text" "$folder/out"; then
-    echo "wanted $status and '$text', got $got and:" && cat "$folder/out"
-    bad=1
+    echo "expected status $status and '$text', got $got and:" && cat "$folder/out"
+    failed=1
   fi
-  fresh
+  restore_copy
 }
-fresh() {
+restore_copy() {
   rm -rf "$folder/tree"
   mkdir -p "$folder/tree"
   cp -r "$root/src" "$root/deploy" "$folder/tree"
 }
 
-fresh
+restore_copy
 expect 0 'no I/O'
 for header in '<fstream>' '<iostream>' '<sys/socket.h>' '<simdjson.h>' '<thread>' '"util/log.hpp"' '"net/connection.hpp"' '<boost/asio.hpp>'; do
   echo "#include $header" >>"$folder/tree/src/policy/slow_start.cpp"
@@ -37,9 +37,9 @@
 echo 'inline double half() { return 0.5; }' >>"$folder/tree/src/policy/slow_start.hpp"
 expect 1 'a constant in a header'
 for ((n = 0; n < 100; ++n)); do echo 'int unused;'; done >>"$folder/tree/src/policy/slow_start.cpp"
-expect 0 'no I/O' # the number of lines has no bound
+expect 0 'no I/O' # the number of lines is not limited
 printf '// %0120d\n' 0 >>"$folder/tree/src/policy/slow_start.cpp"
 expect 1 'over 110 columns'
 touch "$folder/tree/src/policy/another.cpp"
 expect 1 'lists other files'
-exit "$bad"
+exit "$failed"
--- a/tests/compare_results_test.sh
+++ b/tests/compare_results_test.sh
@@ -15,7 +15,7 @@
   local status=$1 text=$2 got=0
   "$script" compare "$folder/before" "$folder/after" >"$folder/out" 2>&1 || got=$?
   if [[ $got != "$status" ]] || ! grep -Fq -- "$text" "$folder/out"; then
-    echo "wanted $status and '$text', got $got and:" && cat "$folder/out"
+    echo "expected status $status and '$text', got $got and:" && cat "$folder/out"
     failed=1
   fi
 }
@@ -26,7 +26,7 @@
 cp -r "$folder/before" "$folder/after"
 expect 0 "10 runs are equal"
 
-# A title of an earlier version in place of the present one, or the other way round, and wider columns: still equal.
+# A title of an earlier version in place of the current one, or the other way round, and wider columns: still equal.
 sed -Ei -e 's/  +/     /' -e 's/utility_served/worth/;t' -e 's/worth/utility_served/' "$folder/after/short-7.txt"
 ! cmp -s "$folder/before/short-7.txt" "$folder/after/short-7.txt"
 expect 0 "10 runs are equal"
@@ -37,7 +37,7 @@
 expect 1 "short-7 differs"
 cp "$folder/before/short-7.txt" "$folder/after/"
 
-# A program that decides otherwise: every gateway admits all, as the policy "all" does.
+# Different decisions in all runs: every gateway admits all requests, under the policy "all".
 cat >"$folder/other_lab" <<END
 #!/usr/bin/env bash
 exec "$lab" "\$@" --policy all
--- a/tests/faults/fault_plan.hpp
+++ b/tests/faults/fault_plan.hpp
@@ -12,8 +12,8 @@
 #include <string>
 
 /// \file
-/// The plan by which system calls of the program under test fail. A test writes it and the program reads it,
-/// through a file that both map into memory, so a test can change it while the program runs.
+/// Defines which system calls of the program under test fail. The test and the program map the same file into
+/// memory, so that a test can change the plan while the program runs.
 namespace merlinbridge::testing {
 
 /// A system call, or a group of calls, that can be made to fail.
@@ -42,13 +42,13 @@
   count
 };
 
-/// The faults of one call. Every `every`-th call fails with `error`, until `times` of them have failed.
+/// The fault of one call: every `every`-th call fails with `error` while `remaining` is above 0.
 struct Fault {
-  std::atomic<int> error;      ///< The errno of a failed call.
-  std::atomic<int> remaining;  ///< Calls that are still to fail.
-  std::atomic<int> every;      ///< 1: each call fails.
-  std::atomic<int> calls;      ///< Calls made since fail() was called.
-  std::atomic<int> failed;     ///< Calls that have failed since the plan was made.
+  std::atomic<int> error;      ///< The errno value that a failing call sets.
+  std::atomic<int> remaining;  ///< Number of calls that are still to fail.
+  std::atomic<int> every;      ///< With 1, each call fails.
+  std::atomic<int> calls;      ///< Number of calls made since fail() was called.
+  std::atomic<int> failed;     ///< Number of calls that have failed since the plan was made.
 };
 
 using FaultTable = std::array<Fault, static_cast<std::size_t>(FaultyCall::count)>;
@@ -60,14 +60,15 @@
 /// several threads and processes at once.
 class FaultPlan {
  public:
-  /// Maps the file `path`, which is made if it does not exist. Throws std::runtime_error if that fails.
+  /// Maps the file `path`, which is created if it does not exist. Throws std::runtime_error if that fails.
   explicit FaultPlan(const std::string& path) {
     const int file = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-    if (file < 0 || ::ftruncate(file, sizeof(FaultTable)) != 0) throw std::runtime_error("no fault plan");
+    if (file < 0 || ::ftruncate(file, sizeof(FaultTable)) != 0)
+      throw std::runtime_error("cannot open or resize the fault plan " + path);
     void* const at = ::mmap(nullptr, sizeof(FaultTable), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
     ::close(file);
-    if (at == MAP_FAILED) throw std::runtime_error("no fault plan");
-    table_ = static_cast<FaultTable*>(at);  // zeros are a table without faults
+    if (at == MAP_FAILED) throw std::runtime_error("cannot map the fault plan " + path);
+    table_ = static_cast<FaultTable*>(at);  // zeros mean a table without faults
   }
   FaultPlan(const FaultPlan&) = delete;
   FaultPlan& operator=(const FaultPlan&) = delete;
--- a/tests/faults/system_call_faults.cpp
+++ b/tests/faults/system_call_faults.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Interposes the C library's system calls in the program under test. Each call fails as the plan says that
-/// is in the file named by MERLINBRIDGE_FAULT_PLAN; without that variable every call goes through.
+/// Interposes the C library's system calls in the program under test. Calls fail as set in the fault plan,
+/// the file named by MERLINBRIDGE_FAULT_PLAN; without that variable no call fails.
 #include <dlfcn.h>
 #include <poll.h>
 #include <sys/epoll.h>
@@ -25,7 +25,7 @@
 using merlinbridge::testing::FaultPlan;
 using merlinbridge::testing::FaultyCall;
 
-/// The plan of this process; null without one.
+/// The fault plan of this process; null if none is configured.
 FaultPlan* plan() {
   static const std::unique_ptr<FaultPlan> mapped = [] {
     const char* const path = std::getenv(merlinbridge::testing::kFaultPlanVariable);
@@ -36,7 +36,7 @@
 
 /// Returns true if this call has to fail, and sets errno in that case.
 bool fails(FaultyCall call) {
-  // Opening the plan makes calls that are interposed here, too.
+  // Opening the plan makes system calls that are themselves interposed here; those must not fail.
   static thread_local bool openingPlan = false;
   if (openingPlan) return false;
   openingPlan = true;
@@ -51,7 +51,7 @@
   return true;
 }
 
-/// The C library's function of that name, which the one in this file hides.
+/// The C library's function `name`, which the definition in this file overrides.
 template <class Function>
 Function* next(const char* name) {
   return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
@@ -95,8 +95,8 @@
   }
 }
 
-/// Returns true if this accept has to fail. A failure counts only if a connection waits to be accepted. For
-/// an error that says that the connection was aborted, that connection is closed.
+/// Returns true if this accept has to fail. Without a pending connection it neither fails
+/// nor counts. For ECONNABORTED and EPROTO, the pending connection is closed.
 bool acceptFails(int listener) {
   pollfd at{listener, POLLIN, 0};
   static auto* const realPoll = next<int(pollfd*, nfds_t, int)>("poll");
--- a/tests/lint_config_test.sh
+++ b/tests/lint_config_test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Test of .clang-tidy: each kind of finding that the project does not allow is planted once and has to be reported.
+# Test of .clang-tidy: each kind of forbidden code is planted once and must be reported.
 # Needs clang-tidy; scripts/lint.sh runs it before it trusts a clean report.
 set -euo pipefail
 config=$(cd "$(dirname "$0")/.." && pwd)/.clang-tidy
@@ -7,7 +7,7 @@
 trap 'rm -rf "$folder"' EXIT
 failed=0
 
-# expect CHECK: the source on standard input has a finding of that check.
+# expect CHECK: clang-tidy must report CHECK for the source on standard input.
 expect() {
   cat >"$folder/planted.cpp"
   clang-tidy --quiet --config-file="$config" "$folder/planted.cpp" -- -std=c++20 >"$folder/out" 2>/dev/null || true
--- a/tests/support/gateway_under_test.hpp
+++ b/tests/support/gateway_under_test.hpp
@@ -12,7 +12,7 @@
 #include "test_peer.hpp"
 
 /// \file
-/// A whole gateway in the test's own process, on loopback sockets and with a clock that the test moves.
+/// A complete gateway in the test's own process, on loopback sockets and with a clock that the test controls.
 namespace merlinbridge::testing {
 
 using namespace std::chrono_literals;
@@ -24,29 +24,30 @@
   TimePoint currentTime{1'700'000'000s};
 };
 
-/// The gateway's server with its event loop; the test plays its hosts, counter service, discovery and
-/// clients.
+/// The gateway's server with its event loop; the test acts as its hosts, counter service, discovery
+/// and clients.
 ///
 /// The gateway runs only inside the calls below, on the test's thread, so a test decides what has arrived
-/// before the gateway sees any of it. Sockets live in real time, timers by `clock`: runUntil() moves the
-/// sockets and leaves the clock alone, advanceClock() moves both.
+/// before the gateway sees any of it. Sockets work in real time, timers by `clock`: runUntil() handles
+/// socket events only, advanceClock() also moves the clock.
 class GatewayUnderTest {
  public:
-  /// Starts a gateway with `sockets` file descriptors that knows `endpoints`; if empty, the one host `host`,
-  /// named "h1". `search` and `replacement` change the configuration text in one place, see replaceOnce().
+  /// Starts a gateway with a limit of `sockets` file descriptors and the endpoint list `endpoints`; if that
+  /// is empty, the list holds only `host`, named "h1". `search` and `replacement` change the configuration
+  /// text in one place, see replaceOnce().
   explicit GatewayUnderTest(std::size_t sockets = 128, const std::string& endpoints = "",
                             const std::string& search = "", const std::string& replacement = "");
 
   /// Runs the event loop until `done` returns true. Returns false after 5 s of real time, which only a
   /// failing test reaches.
   bool runUntil(const std::function<bool()>& done);
-  /// Runs the event loop until `peer` has received `text`; as runUntil().
+  /// Runs the event loop until `peer` has received `text`; see runUntil().
   bool runUntilReceived(TestPeer& peer, std::string_view text);
-  /// Runs the event loop until the gateway has closed the connection of `peer`; as runUntil().
+  /// Runs the event loop until the gateway has closed the connection of `peer`; see runUntil().
   bool runUntilClosed(TestPeer& peer);
-  /// Runs the event loop until `listener` accepts a connection into `accepted`; as runUntil().
+  /// Runs the event loop until `listener` accepts a connection into `accepted`; see runUntil().
   bool runUntilAccepted(const PeerListener& listener, std::optional<TestPeer>& accepted);
-  /// As runUntil(), but asks `done` before each single handler, so that a test can act between two handlers
+  /// As runUntil(), but asks `done` before each handler, so that a test can act between two handlers
   /// of a turn.
   bool stepUntil(const std::function<bool()>& done);
   /// Runs 200 turns of the event loop: enough to handle everything that has arrived, with the clock standing
@@ -75,7 +76,7 @@
   net::Server server;
 };
 
-/// A client's request that has arrived at the gateway's host completely and waits for the host's response.
+/// A client's request that the host has received completely but not yet answered.
 struct ForwardedRequest {
   /// Connects a client, sends `message` and waits for the host to receive it, at most 5 s for each step.
   explicit ForwardedRequest(GatewayUnderTest& gateway, const std::string& message = clientRequest("look"));
@@ -84,8 +85,7 @@
   std::optional<TestPeer> host;  ///< The host's end of the connection; always set once constructed.
 };
 
-/// Reads, and returns the status line's first twelve characters that `client` has received, such as "HTTP/1.1
-/// 429".
+/// Reads, and returns the first twelve characters that `client` has received, such as "HTTP/1.1 429".
 std::string statusOf(TestPeer& client);
 
 }  // namespace merlinbridge::testing
--- a/tests/support/messages.hpp
+++ b/tests/support/messages.hpp
@@ -5,7 +5,7 @@
 #include <string>
 
 /// \file
-/// Texts that tests send to the gateway: HTTP messages, discovery's entries and gateway configuration.
+/// Inputs for the gateway under test: HTTP messages, endpoint lists and gateway configurations.
 namespace merlinbridge::testing {
 
 /// A client's request of `method` on the plan "free", customer 7. With a `body` it is a POST, without one a
@@ -22,7 +22,7 @@
 
 /// The end of a message's head.
 inline constexpr const char* kHeadEnd = "\r\n\r\n";
-/// Requests that the gateway answers by itself.
+/// Requests that the gateway answers without forwarding them.
 inline constexpr const char* kLiveProbe = "GET /health/live HTTP/1.1\r\n\r\n";
 inline constexpr const char* kReadyProbe = "GET /health/ready HTTP/1.1\r\n\r\n";
 /// A request whose head is not complete.
@@ -30,9 +30,9 @@
 /// Heads of responses without a length: the body ends with the connection, or with its last chunk.
 inline constexpr const char* kOkHead = "HTTP/1.1 200 OK\r\n\r\n";
 inline constexpr const char* kChunkedOkHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// A response that does not say whether the request was run.
+/// A response that leaves open whether the host executed the request.
 inline constexpr const char* kUnavailableResponse = "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n";
-/// A host's response that says that it has not run the request.
+/// A response that states that the host did not execute the request.
 inline constexpr const char* kDeclinedResponse =
     "HTTP/1.1 503 x\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
 
--- a/tests/support/policy_invariant_checker.cpp
+++ b/tests/support/policy_invariant_checker.cpp
@@ -23,7 +23,7 @@
   SimulatedHost& target = hosts_[host.value];
   checkAttemptLimits(request);
   checkRepetition(request, host, now, writeBy);
-  if (!target.serving) violations.insert("an attempt to a host that is draining or gone");
+  if (!target.serving) violations.insert("an attempt to a host that is draining or removed");
   if (request.attemptsStarted == 0) checkHardCeiling(request, now);
   if (target.startedAt) checkSlowStart(target, request.request.units, now);
 }
@@ -44,10 +44,11 @@
   for (const auto& [previousHost, startedAt] : request.possibleExecutions) {
     if (method.deduplicationScope == DeduplicationScope::zone &&
         hosts_[previousHost.value].zone != hosts_[host.value].zone)
-      violations.insert("a repeat outside the group");
-    if (now > startedAt + method.deduplicationWindow) violations.insert("a repeat after the window");
+      violations.insert("a repeat outside the deduplication scope");
+    if (now > startedAt + method.deduplicationWindow)
+      violations.insert("a repeat after the deduplication window");
     if (writeBy > startedAt + method.deduplicationWindow)
-      violations.insert("a repeat that may be written after the window");
+      violations.insert("a repeat that may be written after the deduplication window");
   }
 }
 
--- a/tests/support/policy_invariant_checker.hpp
+++ b/tests/support/policy_invariant_checker.hpp
@@ -11,27 +11,27 @@
 
 namespace merlinbridge::testing {
 
-/// A slow, plain model of the decision engine's five rules, which judges every attempt and every final
-/// answer: one final answer in time; attempts within the method's limits of repetition; attempts only to
-/// hosts that serve; no customer above its hard ceiling; no host in slow start above its overload limit.
+/// A simple, slow model of the decision engine's five rules, which checks every attempt and every final
+/// answer: exactly one final answer, in time; repeats only as the method allows; attempts only to serving
+/// hosts; no customer above its hard ceiling; no host in slow start above its overload limit.
 ///
-/// It shares no code with the decision engine. `violations` collects each kind of breach once, as text; a
-/// test compares the set with the empty one.
+/// It shares no code with the decision engine. `violations` holds a text for each kind of violation; tests
+/// require it to be empty.
 class PolicyInvariantChecker {
  public:
   /// Keeps a reference to `settings` and `hosts`, which must outlive the checker.
   PolicyInvariantChecker(const PolicySettings& settings, std::vector<SimulatedHost>& hosts);
 
-  /// Judges an attempt of `request` to `host` before the caller counts it. `writeBy` is the latest time at
+  /// Checks an attempt of `request` to `host` before the caller counts it. `writeBy` is the latest time at
   /// which the gateway may still write it.
   void attemptStarted(const SimulatedRequest& request, HostId host, TimePoint now, TimePoint writeBy);
 
   /// How a gateway ends a request without a host's response.
   enum class FinalAnswer { rejected, failed };
-  /// Judges a final answer of the gateway's own, and records it in `request`.
+  /// Checks a final answer that the gateway generated itself, and records it in `request`.
   void requestAnswered(SimulatedRequest& request, FinalAnswer answer, TimePoint now);
 
-  /// Judges `request` at a time at which it must have been answered.
+  /// Checks that `request` has been answered; called at the time by which it must be.
   void checkAnswered(const SimulatedRequest& request);
 
   std::set<std::string> violations;
--- a/tests/support/simulated_fleet.cpp
+++ b/tests/support/simulated_fleet.cpp
@@ -14,7 +14,7 @@
 constexpr Duration kRejectionDelay = 2ms;
 constexpr Duration kCancelDelay = 1ms;
 constexpr Duration kCounterResponseDelay = 2ms;
-constexpr Duration kAnswerSlack = 16ms;  // by which an answer may come after the deadline
+constexpr Duration kAnswerSlack = 16ms;  // an answer this long after the deadline is still in time
 constexpr int kMaxActionsAtOneTime = 100'000;
 constexpr std::uint32_t kNoGateway = 99;
 
@@ -43,8 +43,8 @@
   return settings;
 }
 
-/// Carries out what one incarnation of one gateway's engine decides. After a kill, a new incarnation gets a
-/// new sink, and what the old one has scheduled reaches no engine.
+/// Carries out the decisions of one incarnation of a gateway's engine. After a kill, the next incarnation
+/// gets a new sink, and actions that the old one scheduled reach no engine.
 class SimulatedFleet::EngineSink final : public DecisionSink {
  public:
   EngineSink(SimulatedFleet& fleet, std::uint32_t gateway, std::uint64_t incarnationNumber)
@@ -141,7 +141,7 @@
     const TimePoint dueAt = next.key().first;
     actionsAtThisTime = dueAt > now ? 0 : actionsAtThisTime + 1;
     if (actionsAtThisTime > kMaxActionsAtOneTime)
-      throw std::runtime_error("timers due at once, over and over");
+      throw std::runtime_error("more than 100,000 consecutive actions due at the same simulated time");
     now = std::max(now, dueAt);
     next.mapped()();
   }
--- a/tests/support/simulated_fleet.hpp
+++ b/tests/support/simulated_fleet.hpp
@@ -27,19 +27,19 @@
 PolicySettings testPolicySettings(std::uint32_t gateways = 3);
 
 /// Several gateways' decision engines, six hosts, a counter service and clients, all simulated in one event
-/// queue; a PolicyInvariantChecker judges all that the engines do. No sockets and no real time; the same seed
-/// gives the same run.
+/// queue; a PolicyInvariantChecker checks all their decisions. It uses no sockets and no real time; the same
+/// seed gives the same run.
 ///
 /// Times are simulated: `now` moves only within runUntil() and runFor().
 class SimulatedFleet {
  public:
-  /// Probabilities, 0 to 1, of what may happen to each attempt and each counter call from now on.
+  /// Probabilities, 0 to 1, of faults in each later attempt and counter call.
   struct FaultProbabilities {
-    double attemptLost = 0;       ///< The connection fails, half of the times after the request was written.
-    double hostError = 0;         ///< The host answers with an error.
-    double hostUnresponsive = 0;  ///< The host never answers.
-    double hostRejects = 0;       ///< The host declines the request.
-    double counterCallLost = 0;   ///< The counter does not receive the call; it times out.
+    double attemptLost = 0;  ///< The connection fails, in half of the cases after the request was written.
+    double hostError = 0;    ///< The host responds with an error.
+    double hostUnresponsive = 0;     ///< The host never responds.
+    double hostRejects = 0;          ///< The host declines the request.
+    double counterCallLost = 0;      ///< The counter does not receive the call; it times out.
     double counterResponseLate = 0;  ///< The counter adds the units, but the call times out.
   };
 
@@ -49,30 +49,30 @@
   SimulatedFleet& operator=(const SimulatedFleet&) = delete;
   ~SimulatedFleet();
 
-  /// Runs `action` at simulated time `when`; actions of one time run in the order of these calls.
+  /// Runs `action` at simulated time `when`; actions with the same time run in the order in which they were
+  /// scheduled.
   void schedule(TimePoint when, std::function<void()> action);
-  /// Runs all actions due by `end`. Throws std::runtime_error if 100,000 actions in a row are due at one
-  /// time.
+  /// Runs all actions due by `end`. Throws std::runtime_error if more than 100,000 consecutive
+  /// actions are due at the same time.
   void runUntil(TimePoint end);
   void runFor(Duration span) { runUntil(now + span); }
 
-  /// Starts gateway `gateway`, anew if it was killed: with a new engine that knows the hosts and nothing
-  /// else.
+  /// Starts gateway `gateway`, or restarts it after a kill, with a new engine that knows only the hosts.
   void startGateway(std::uint32_t gateway);
-  /// Ends gateway `gateway` at once. Its unanswered requests count as answered, since their clients see a
-  /// closed connection.
+  /// Kills gateway `gateway` immediately. Its unanswered requests count as answered, since their clients see
+  /// a closed connection.
   void killGateway(std::uint32_t gateway);
   bool isRunning(std::uint32_t gateway) const { return gateways_[gateway].engine != nullptr; }
-  /// Sends the present state of `hosts` to all gateways, as discovery does.
+  /// Sends the current state of `hosts` to all gateways, as discovery does.
   void publishHosts();
 
   /// Sends a request to `gateway`, which must be running, and checks at its deadline that it was answered.
-  /// The record stays valid as long as the fleet.
+  /// The returned record stays valid as long as the fleet.
   SimulatedRequest& sendRequest(std::uint32_t gateway, std::uint64_t customer, std::uint32_t plan,
                                 std::uint32_t method, double units, Duration timeout = 2s);
-  /// Each 10 ms for `steps` steps, sends each gateway one request of plan 0, from 40 customers in turn.
+  /// Sends each gateway one request of plan 0 every 10 ms, `steps` times, cycling through 40 customers.
   void applyUniformLoad(int steps);
-  /// Number of requests that a host's response has answered.
+  /// Number of requests that were answered with a host's response.
   int servedRequests() const;
 
   PolicySettings settings;
@@ -89,7 +89,7 @@
   class EngineSink;
   struct Gateway {
     std::unique_ptr<EngineSink> sink;
-    std::unique_ptr<DecisionEngine> engine;  ///< Null: killed.
+    std::unique_ptr<DecisionEngine> engine;  ///< Null if the gateway was killed.
   };
   /// An attempt's end, decided when the attempt starts.
   struct AttemptEnd {
--- a/tests/support/test_peer.cpp
+++ b/tests/support/test_peer.cpp
@@ -55,7 +55,7 @@
 TestPeer TestPeer::connectTo(std::uint16_t port) {
   const int socket = newSocket();
   const sockaddr_in address = loopbackAddress(port);
-  // A failure shows at the first read or write.
+  // A connect error is reported by the first read or write.
   (void)::connect(socket, reinterpret_cast<const sockaddr*>(&address), sizeof address);
   return TestPeer(socket);
 }
--- a/tests/support/test_peer.hpp
+++ b/tests/support/test_peer.hpp
@@ -7,12 +7,12 @@
 #include <string_view>
 
 /// \file
-/// The remote ends of the gateway's sockets: clients, hosts, the counter service and discovery, played by a
-/// test on loopback with plain non-blocking sockets.
+/// The remote ends of the gateway's sockets: clients, hosts, the counter service and discovery, simulated
+/// by a test on loopback with plain non-blocking sockets.
 ///
-/// No call here blocks. A test that has to wait for bytes repeats its question under a bound:
-/// GatewayUnderTest::runUntil() where the gateway runs in the test's own process, within() of program.hpp
-/// where it runs in a process of its own.
+/// No call here blocks. A test that waits for bytes polls with a time limit:
+/// GatewayUnderTest::runUntil() if the gateway runs in the test's own process, within() of program.hpp if it
+/// runs in a child process.
 namespace merlinbridge::testing {
 
 /// One end of a TCP connection, held by the test. Owns its socket and closes it on destruction.
@@ -52,7 +52,7 @@
   bool hasPendingReset() const;
 
   std::string receivedBytes;  ///< All bytes read so far. A test may clear it between two messages.
-  bool remoteClosed = false;  ///< The remote end has closed the connection, in good order or by a RST.
+  bool remoteClosed = false;  ///< The remote end has closed the connection, by a FIN or a RST.
   bool wasReset = false;      ///< The remote end has closed the connection by a RST.
 
  private:
--- a/tests/system_call_test.cpp
+++ b/tests/system_call_test.cpp
@@ -15,12 +15,12 @@
 
 namespace {
 
-/// The program with faults, and a host that answers every request when a test calls servedTo().
+/// The program with injected faults, and a host that answers every request when a test calls servedTo().
 class FaultyProgram : public Program {
  public:
   FaultyProgram() : Program(MERLINBRIDGE_WITH_FAULTS), faults(faultPlanFile()) {}
 
-  /// A client whose connection the gateway has accepted and used already, though not for a forwarded request.
+  /// A client whose connection has already carried a request that the gateway answered without forwarding.
   /// Fails the test after kTimeout.
   TestPeer establishedClient() const {
     TestPeer established = client();
@@ -42,7 +42,7 @@
     }
     return client.hasReceived("one");
   }
-  /// Repeats servedTo() for `timeout` of real time at most. Returns whether the response has come.
+  /// Repeats servedTo() for at most `timeout` of real time. Returns true if the response has arrived.
   bool servedWithin(TestPeer& client, Duration timeout) {
     return within([&] { return servedTo(client); }, timeout);
   }
@@ -63,11 +63,11 @@
 
 /// Bound for a response to a request whose deadline is 900 ms.
 constexpr Duration kAnsweredInTime = 700ms;
-/// Bound for the 408 that answers an incomplete request, from connecting.
+/// Bound from connecting to the 408 that answers an incomplete request.
 constexpr Duration kIncompleteAnsweredWithin = 2500ms;
-/// Bound for the exit after SIGTERM: the longest deadline of 2 s, and 0.7 s.
+/// Bound for the exit after SIGTERM: the longest deadline of 2 s plus 0.7 s.
 constexpr Duration kExitWithin = 2700ms;
-/// Number of calls that fail in a brief shortage.
+/// Number of calls that fail during a brief shortage.
 constexpr int kBriefFailures = 3;
 /// More calls than any test makes.
 constexpr int kUnlimitedFailures = 1'000'000;
--- a/tests/test_services/asio_names.hpp
+++ b/tests/test_services/asio_names.hpp
@@ -6,9 +6,8 @@
 #include <boost/asio.hpp>
 #include <chrono>
 
-/// Services for the real daemon to talk to on loopback: hosts, a counter service and discovery. All of them
-/// run on the one thread of the io_context that they are given, which must outlive them; their handlers run
-/// there.
+/// Loopback services for the real daemon: hosts, a counter service and discovery. All services and their
+/// handlers run on the single thread of the io_context passed to them, which must outlive them.
 namespace merlinbridge::test_services {
 
 namespace asio = boost::asio;
--- a/tests/test_services/counter_service.hpp
+++ b/tests/test_services/counter_service.hpp
@@ -12,15 +12,15 @@
 
 namespace merlinbridge::test_services {
 
-/// A counter service: adds to named numbers, one call after another.
+/// A counter service: keeps named totals and handles one call at a time.
 class CounterService {
  public:
   enum class Behaviour {
     healthy,
-    unresponsive  ///< Reads calls, adds nothing and answers none.
+    unresponsive  ///< Reads calls, adds nothing and never responds.
   };
 
-  /// `serviceTime`: for each call.
+  /// Each call takes `serviceTime`.
   CounterService(asio::io_context& io, Duration serviceTime)
       : io_(io),
         serviceTime_(serviceTime),
@@ -30,12 +30,12 @@
   std::uint64_t calls() const { return calls_; }
 
   void setBehaviour(Behaviour behaviour) { behaviour_ = behaviour; }
-  /// Acts as if an empty counter service took the place of this one.
+  /// Clears all totals, as if this service had been replaced by an empty one.
   void loseTotals() { totals_.clear(); }
   void die() { listener_.die(); }
 
  private:
-  /// A call is "/tally/NAME?n=UNITS".
+  /// The target of a call is "/tally/NAME?n=UNITS".
   static constexpr std::string_view kPathPrefix = "/tally/";
   static constexpr std::string_view kUnitsMark = "?n=";
 
--- a/tests/test_services/daemon_processes.cpp
+++ b/tests/test_services/daemon_processes.cpp
@@ -17,7 +17,7 @@
 
 DaemonProcesses::DaemonProcesses(std::string program) : program_(std::move(program)) {
   char folder[] = "/tmp/merlinbridge-validation-XXXXXX";
-  if (!mkdtemp(folder)) throw lab::LabError("no folder for the daemons' files");
+  if (!mkdtemp(folder)) throw lab::LabError("cannot create a temporary folder for the daemons' files");
   folder_ = folder;
 }
 
@@ -44,7 +44,7 @@
   pid_t pid = 0;
   const int error = posix_spawn(&pid, program_.c_str(), &files, nullptr, arguments, environment);
   posix_spawn_file_actions_destroy(&files);
-  if (error != 0) throw lab::LabError(program_ + " does not start");
+  if (error != 0) throw lab::LabError("cannot start " + program_);
   pids_.push_back(pid);
 }
 
--- a/tests/test_services/daemon_processes.hpp
+++ b/tests/test_services/daemon_processes.hpp
@@ -7,19 +7,19 @@
 
 namespace merlinbridge::test_services {
 
-/// Daemons as processes of their own, with their configurations and logs in a temporary folder. The
-/// destructor kills those that still run and removes the folder.
+/// Daemons in child processes, with their configurations and logs in a temporary folder. The
+/// destructor kills those that are still running and removes the folder.
 class DaemonProcesses {
  public:
-  /// `program`: the daemon's path. Throws lab::LabError if there is no temporary folder.
+  /// `program`: the daemon's path. Throws lab::LabError if the temporary folder cannot be created.
   explicit DaemonProcesses(std::string program);
   DaemonProcesses(const DaemonProcesses&) = delete;
   DaemonProcesses& operator=(const DaemonProcesses&) = delete;
   ~DaemonProcesses();
 
-  /// Starts one daemon with that text as its configuration. Throws lab::LabError if it cannot be started.
+  /// Starts one daemon with `configuration`. Throws lab::LabError if it cannot be started.
   void start(const std::string& configuration);
-  /// Sends SIGTERM to all daemons and waits until they have ended. Returns whether all exited with 0.
+  /// Sends SIGTERM to all daemons and waits until they have ended. Returns true if all exited with status 0.
   bool terminate();
 
  private:
--- a/tests/test_services/discovery_service.hpp
+++ b/tests/test_services/discovery_service.hpp
@@ -9,13 +9,13 @@
 
 namespace merlinbridge::test_services {
 
-/// Discovery: answers polls with the list of endpoints, sends each new list to those who watch, and a
-/// heartbeat in between.
+/// Discovery: answers polls with the endpoint list, and sends watching clients each new list and periodic
+/// heartbeats.
 class DiscoveryService {
  public:
   enum class Behaviour {
     healthy,
-    unresponsive  ///< Answers nothing and sends no heartbeat; lists still go to those who watch.
+    unresponsive  ///< Answers no poll and sends no heartbeats; watches still get new lists.
   };
 
   explicit DiscoveryService(asio::io_context& io)
@@ -26,7 +26,7 @@
   }
 
   std::string address() const { return listener_.address(); }
-  /// Publishes a list of endpoints, in the JSON of the discovery protocol.
+  /// Publishes an endpoint list, in the JSON of the discovery protocol.
   void publish(std::string endpoints) {
     endpoints_ = std::move(endpoints);
     for (const auto& watcher : watchers_) sendChunk(*watcher, endpoints_ + "\n");
--- a/tests/test_services/emulator_validation.cpp
+++ b/tests/test_services/emulator_validation.cpp
@@ -1,6 +1,5 @@
-// Plays one scenario twice, in the emulator and with the real daemon on loopback, and compares the figures.
-// How far each may differ is fixed here, before it is measured. Not part of CI: it takes as long as the
-// scenario lasts.
+// Runs one scenario in the emulator and with the real daemon on loopback, and compares the metrics. The
+// tolerances are fixed here, before any run. Not part of CI, since a run takes as long as the scenario lasts.
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -19,12 +18,12 @@
 using emulator::Metrics;
 using emulator::Scenario;
 
-/// How far a figure on sockets may differ from the emulated one. Latencies on sockets are longer by the
-/// kernel's own delays.
+/// Tolerances between metrics on sockets and emulated ones. Latencies on sockets include the kernel's
+/// own delays.
 constexpr double kShareTolerance = 0.05;  ///< Shares of requests or attempts, absolute.
-constexpr double kRatioTolerance = 0.1;   ///< Ratios and units, as a share of the emulated figure.
+constexpr double kRatioTolerance = 0.1;   ///< Ratios and units, relative to the emulated value.
 constexpr double kMedianToleranceMs = 4;
-constexpr double kP99ToleranceMs = 40;         ///< The greater of this
+constexpr double kP99ToleranceMs = 40;         ///< The larger of this
 constexpr double kP99RelativeTolerance = 0.3;  ///< and this share of the emulated p99.
 
 double ratio(double part, double whole) {
@@ -36,13 +35,13 @@
   return kMillisecondsPerSecond * metrics.latency.within(quantile);
 }
 
-/// Compares the figures of two runs and prints one line of CSV for each.
+/// Compares the metrics of two runs and prints one CSV line for each.
 class MetricComparison {
  public:
   MetricComparison(std::uint64_t seed, const Metrics& emulated, const Metrics& real)
       : seed_(seed), emulated_(emulated), real_(real) {}
 
-  /// Returns whether all figures agree.
+  /// Returns true if all metrics agree within their tolerances.
   bool print() {
     printShares();
     printRatios();
@@ -101,7 +100,8 @@
 ExitCode validate(const std::string& file, const std::string& seeds, const std::string& program) {
   const Scenario scenario = emulator::readScenario(emulator::textOfFile(file), file);
   if (!scenario.faults.empty())
-    throw lab::LabError("only a scenario without faults is compared with daemons on sockets");
+    throw lab::LabError(
+        "the scenario has faults; only one without faults can be compared with daemons on sockets");
   bool agrees = true;
   MetricComparison::printTitles();
   std::istringstream words(seeds);
@@ -122,9 +122,9 @@
   std::string seeds = "1,2,3";
   std::string program = "build/merlinbridge";
   app.add_option("scenario", file, "a scenario without faults")->required();
-  app.add_option("--seeds", seeds, "as 1,2,3")->capture_default_str();
-  app.add_option("--program", program, "the daemon")->capture_default_str();
-  app.footer("Exit codes: 0 all figures hold, 1 some differ, 2 nothing was played.");
+  app.add_option("--seeds", seeds, "comma-separated, such as 1,2,3")->capture_default_str();
+  app.add_option("--program", program, "path of the daemon")->capture_default_str();
+  app.footer("Exit codes: 0 all metrics agree, 1 some differ, 2 the comparison could not be run.");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
--- a/tests/test_services/listener.hpp
+++ b/tests/test_services/listener.hpp
@@ -11,20 +11,20 @@
 
 namespace merlinbridge::test_services {
 
-/// Accepts connections on a free port of loopback.
+/// Accepts connections on a free loopback port.
 class Listener {
  public:
-  /// `handler` gets the requests of all connections.
+  /// `handler` receives the requests of all connections.
   Listener(asio::io_context& io, ServerConnection::RequestHandler handler)
       : acceptor_(io, Tcp::endpoint(asio::ip::address_v4::loopback(), 0)), handler_(std::move(handler)) {
     accept();
   }
 
-  /// As "127.0.0.1:port".
+  /// The address in the form "127.0.0.1:port".
   std::string address() const { return fmt::format("127.0.0.1:{}", acceptor_.local_endpoint().port()); }
-  /// Connections accepted so far.
+  /// The number of connections accepted so far.
   std::size_t accepted() const { return accepted_; }
-  /// Acts as if the process behind the port died: open connections are reset, new ones refused.
+  /// Simulates the death of the process that owns the port: open connections are reset, new ones refused.
   void die() {
     Error ignored;
     acceptor_.close(ignored);
@@ -54,7 +54,7 @@
   std::size_t accepted_ = 0;
 };
 
-/// An HTTP/1.1 response with a body. `headerLines` each end with CRLF.
+/// An HTTP/1.1 response with a body. Each line of `headerLines` ends with CRLF.
 inline std::string httpResponse(int status, const std::string& body, const std::string& headerLines = "") {
   return fmt::format("HTTP/1.1 {} x\r\n{}Content-Length: {}\r\n\r\n{}", status, headerLines, body.size(),
                      body);
--- a/tests/test_services/loopback_run.cpp
+++ b/tests/test_services/loopback_run.cpp
@@ -18,12 +18,12 @@
 using emulator::Metrics;
 using emulator::Scenario;
 
-/// The daemons get so long to start and to learn of the hosts.
+/// Time for the daemons to start and to receive the endpoint list, before the clients start.
 constexpr std::chrono::milliseconds kStartTime{500};
-/// A run ends so long after the last deadline, even if a client still waits.
+/// Time after the last deadline at which a run ends even if a client still waits for a response.
 constexpr std::chrono::seconds kEndMargin{2};
 constexpr std::chrono::milliseconds kPollInterval{20};
-/// Hosts are spread over so many cells, as in the emulator.
+/// Number of cells over which the hosts are distributed, as in the emulator.
 constexpr std::uint32_t kCells = 8;
 
 using Hosts = std::vector<std::unique_ptr<ServiceHost>>;
@@ -56,7 +56,7 @@
   return Tcp::acceptor(io, Tcp::endpoint(asio::ip::address_v4::loopback(), 0)).local_endpoint().port();
 }
 
-/// What all daemons of a run are told alike.
+/// The part of the configuration that is the same for all daemons of a run.
 struct Environment {
   std::string discovery;
   std::string counter;
@@ -100,7 +100,7 @@
     metrics.unitsSent += host->units();
   }
   metrics.counterCalls = counter.calls();
-  if (!daemons.terminate()) throw lab::LabError("a daemon did not end with 0");
+  if (!daemons.terminate()) throw lab::LabError("a daemon did not exit with status 0 after SIGTERM");
   return metrics;
 }
 
--- a/tests/test_services/platform_settings.hpp
+++ b/tests/test_services/platform_settings.hpp
@@ -7,7 +7,7 @@
 
 namespace merlinbridge::test_services {
 
-/// The platform's settings, as JSON, that give a daemon what a scenario gives an emulated gateway.
+/// The platform's settings as JSON: they configure a daemon as `scenario` configures an emulated gateway.
 /// `gatewayNumber` counts from 0.
 std::string platformSettings(const emulator::Scenario&, std::uint32_t gatewayNumber);
 
--- a/tests/test_services/server_connection.hpp
+++ b/tests/test_services/server_connection.hpp
@@ -16,14 +16,14 @@
 /// shared pointer, so that the connection lives until its last operation has ended.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
  public:
-  /// Called for each complete request. The message is valid during the call only.
+  /// Called for each complete request. The message is valid only during the call.
   using RequestHandler =
       std::function<void(const std::shared_ptr<ServerConnection>&, const http::Message& request)>;
 
   ServerConnection(Tcp::socket socket, RequestHandler handler)
       : socket_(std::move(socket)), handler_(std::move(handler)) {}
 
-  /// Starts to read; called once.
+  /// Starts reading. Must be called exactly once.
   void read() {
     buffer_.resize(bufferedBytes_ + kReadSize);
     socket_.async_read_some(asio::buffer(buffer_.data() + bufferedBytes_, kReadSize),
--- a/tests/test_services/service_host.hpp
+++ b/tests/test_services/service_host.hpp
@@ -14,20 +14,21 @@
 
 namespace merlinbridge::test_services {
 
-/// A host of the service: some cores behind one queue. A request whose client has gone is not started.
+/// A host of the service: some cores behind one queue. A request whose client has disconnected is not
+/// started.
 class ServiceHost {
  public:
   enum class Behaviour {
     healthy,
-    hangs,   ///< Reads requests and answers none.
-    errors,  ///< Does the work and answers with 500.
+    hangs,   ///< Reads requests and never responds.
+    errors,  ///< Does the work and responds with 500.
     resets   ///< Resets the connection on each request.
   };
   enum class LoadReports { none, inHeader };
 
   struct Capacity {
     int cores = 1;
-    int queue = 0;  ///< Requests that may wait; more are declined with 503.
+    int queue = 0;  ///< Maximum number of waiting requests; further ones are declined with 503.
   };
   /// How long a request of that method (header Req-Kind) occupies a core.
   using WorkOf = std::function<Duration(std::string_view method)>;
@@ -90,7 +91,7 @@
     --busyCores_;
     ++answered_;
     const auto now = WallClock::now();
-    // The rate of answers decays with a time constant of one second.
+    // The response rate decays with a time constant of one second.
     responsesPerSecond_ = responsesPerSecond_ * std::exp(-seconds(now - lastResponseAt_)) + 1;
     lastResponseAt_ = now;
     connection.send(behaviour_ == Behaviour::errors ? httpResponse(500, "")
--- a/tests/test_services/test_services_main.cpp
+++ b/tests/test_services/test_services_main.cpp
@@ -1,5 +1,5 @@
-// Hosts, a counter service and discovery on loopback, to try a gateway by hand. Writes the gateway's
-// configuration and serves until SIGINT or SIGTERM, or until its time is up.
+// Hosts, a counter service and discovery on loopback, to try a gateway manually. Writes the
+// gateway's configuration and serves until SIGINT, SIGTERM or the end of --seconds.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <fstream>
@@ -78,13 +78,13 @@
   using namespace merlinbridge::test_services;
   Options options;
   CLI::App app{"merlinbridge_test_services: hosts, a counter service and discovery on loopback"};
-  app.add_option("--config", options.configFile, "where the gateway's configuration is written")
+  app.add_option("--config", options.configFile, "file to which the gateway's configuration is written")
       ->capture_default_str();
-  app.add_option("--port", options.port, "where the gateway is to listen")->capture_default_str();
-  app.add_option("--hosts", options.hosts, "how many hosts")
+  app.add_option("--port", options.port, "port on which the gateway will listen")->capture_default_str();
+  app.add_option("--hosts", options.hosts, "number of hosts")
       ->capture_default_str()
       ->check(CLI::Range(0, kMaxHosts));
-  app.add_option("--seconds", options.seconds, "ends after so long")->capture_default_str();
+  app.add_option("--seconds", options.seconds, "run time in seconds")->capture_default_str();
   CLI11_PARSE(app, argc, argv);
   serve(options);
 }
--- a/tests/test_services/validation_clients.cpp
+++ b/tests/test_services/validation_clients.cpp
@@ -13,9 +13,9 @@
 using emulator::Scenario;
 
 constexpr std::size_t kReadSize = 4096;
-/// The wait before a retry doubles at most so often.
+/// Maximum number of times that the wait before a retry is doubled.
 constexpr int kMaxDoublings = 10;
-/// As in the emulator: customers are spread unevenly over their gateways.
+/// As in the emulator, a customer's requests are distributed unevenly over its gateways.
 constexpr double kGatewaySkew = 1.5;
 constexpr std::uint64_t kGatewayHashFactor = 0xff51afd7ed558ccdu;
 constexpr std::uint64_t kPlanHashFactor = 0x9e3779b97f4a7c15u;
@@ -24,7 +24,7 @@
 constexpr int kStatusTooManyRequests = 429;
 constexpr int kStatusUnavailable = 503;
 
-/// The index whose range of the summed weights holds that share (0 to 1) of the whole.
+/// Returns the index whose interval in the cumulative weights contains `share` (0 to 1) of their total.
 std::size_t indexAt(const std::vector<double>& summedWeights, double share) {
   const auto above =
       std::upper_bound(summedWeights.begin(), summedWeights.end(), share * summedWeights.back());
@@ -82,8 +82,8 @@
   request->plan = indexAt(planWeights_, double((request->customer * kPlanHashFactor) >> 11) * 0x1p-53);
   request->units = std::clamp(std::round(arrivals_.exponential(scenario_.units)),
                               std::min(1.0, scenario_.units), std::max(1.0, 4 * scenario_.units));
-  // The emulator draws here whether the client leaves early; these clients do not, but the stream stays in
-  // step.
+  // The emulator draws here whether the client disconnects early. These clients never do; the draw keeps the
+  // random stream in step with the emulator.
   arrivals_.bernoulli(scenario_.abandonProbability);
   request->arrivedAt = WallClock::now();
   request->deadline = request->arrivedAt + scenario_.methods[request->method].deadline;
--- a/tests/test_services/validation_clients.hpp
+++ b/tests/test_services/validation_clients.hpp
@@ -20,13 +20,13 @@
   ValidationClients(asio::io_context& io, const emulator::Scenario& scenario, std::uint64_t seed,
                     std::vector<Tcp::endpoint> gateways);
 
-  /// Whether no request is still to come and none is unanswered.
+  /// Returns true once the last request has arrived and all requests are answered.
   bool finished() const { return lastArrivalPassed_ && unansweredRequests_ == 0; }
-  /// What the clients have seen so far; figures of hosts and services are left 0.
+  /// The clients' metrics so far; those of hosts and services are 0.
   const emulator::Metrics& metrics() const { return metrics_; }
 
  private:
-  /// What a client wants; one or more attempts serve it.
+  /// A request as the client sees it, sent in one or more attempts.
   struct ClientRequest {
     std::uint64_t customer = 0;
     std::size_t plan = 0;
@@ -38,7 +38,7 @@
     int attemptsMade = 0;
     bool ended = false;
   };
-  /// A connection to a gateway, with the attempt that it carries.
+  /// A connection to a gateway, with the attempt in progress.
   struct Connection {
     Connection(asio::io_context& io, std::size_t gatewayIndex)
         : socket(io), timeout(io), gateway(gatewayIndex) {}
@@ -80,7 +80,7 @@
   WallClock::time_point startedAt_;
   Duration nextArrival_{0};  ///< Since startedAt_.
   std::uint64_t attemptCount_ = 0;
-  /// Sums of the weights up to each customer, method and plan.
+  /// Cumulative weights of customers, methods and plans.
   std::vector<double> customerWeights_;
   std::vector<double> methodWeights_;
   std::vector<double> planWeights_;
