--- a/src/emulator/gateway_process.cpp
+++ b/src/emulator/gateway_process.cpp
@@ -160,7 +160,7 @@
   const SlotRef ref = attempts_.add(UpstreamAttempt{requestId, attemptNumber, client, *clientAttemptId, host,
                                                     hosts.incarnationOf(host), connection});
   run.checker().attemptStarted(run.now(), *clientAttemptId, attemptNumber.value, {host}, hosts.zoneOf(host),
-                     hosts.cellOf(host));
+                               hosts.cellOf(host));
   ++run.metrics().attempts;
   ++run.currentSecond().attempts;
   if (attemptNumber.value > 0) ++run.metrics().retries;
@@ -231,7 +231,8 @@
 // The first attempt of a request that reaches a host charges the request's units to the customer's quota.
 void GatewayProcess::countUnits(const UpstreamAttempt& attempt) {
   RunContext& run = environment_.run;
-  const auto inside = run.checker().requestDelivered(run.now(), attempt.clientAttemptId, attempt.attemptNumber.value);
+  const auto inside =
+      run.checker().requestDelivered(run.now(), attempt.clientAttemptId, attempt.attemptNumber.value);
   if (!inside) return;
   const ClientRequest* const request = environment_.clients.requestOf(attempt.clientAttempt);
   const double units = request ? request->units : 0;
--- a/src/emulator/host_fleet.cpp
+++ b/src/emulator/host_fleet.cpp
@@ -128,7 +128,8 @@
 
 bool HostFleet::openConnection(std::uint32_t host) {
   EmulatedHost& hostState = hosts_[host];
-  if (hostState.state != State::up || hostState.connections >= run_.scenario().maxConnectionsPerHost) return false;
+  if (hostState.state != State::up || hostState.connections >= run_.scenario().maxConnectionsPerHost)
+    return false;
   ++hostState.connections;
   return true;
 }
@@ -164,7 +165,7 @@
   const EmulatedHost& hostState = hosts_[arrival.host];
   return hostState.startedDuringRun &&
          run_.checker().hostReceivedRequest(run_.now(), {arrival.host}, hostState.startedAt, work,
-                                  arrival.startAnnounced);
+                                            arrival.startAnnounced);
 }
 
 void HostFleet::cancel(SlotRef ref) {
@@ -190,8 +191,8 @@
   EmulatedHost& hostState = hosts_[job.host];
   job.running = true;
   ++hostState.running;
-  run_.checker().executionStarted(run_.now(), job.clientAttemptId, job.attemptNumber.value, {job.host}, hostState.zone,
-                     hostState.cell);
+  run_.checker().executionStarted(run_.now(), job.clientAttemptId, job.attemptNumber.value, {job.host},
+                                  hostState.zone, hostState.cell);
   if (isHanging(job.host)) return;
   const double slowdown = faults_.scaledFor(FaultKind::hostSlow, job.host, 1 / speedFactor(hostState));
   run_.events().after(scaled(job.work, slowdown), [this, ref] { finish(ref); });
--- a/src/emulator/invariant_checker.cpp
+++ b/src/emulator/invariant_checker.cpp
@@ -171,11 +171,10 @@
   // twice.
   for (const Attempt& attempt : open->attempts) {
     if (!attempt.ran || method.idempotency == Idempotency::idempotent) continue;
-    const bool discarded =
-        method.idempotency == Idempotency::deduplicated &&
+    const bool discarded = method.idempotency == Idempotency::deduplicated &&
                            now < attempt.sentAt + method.deduplicationWindow &&
-        (method.deduplicationScope == DeduplicationScope::all ||
-         (method.deduplicationScope == DeduplicationScope::zone ? attempt.zone == zone
+                           (method.deduplicationScope == DeduplicationScope::all ||
+                            (method.deduplicationScope == DeduplicationScope::zone ? attempt.zone == zone
                                                                                    : attempt.cell == cell));
     if (discarded) return;
     ++duplicateExecutions_;
--- a/src/emulator/scenario.hpp
+++ b/src/emulator/scenario.hpp
@@ -59,11 +59,11 @@
   Idempotency idempotency{};
   DeduplicationScope deduplicationScope{};  ///< Hosts among which repeats of a request are discarded.
   Duration deduplicationWindow{};           ///< How long repeats are discarded.
-  Duration softDeadline{};             ///< An answer after it is worth less.
-  Duration deadline{};         ///< How long a client waits.
-  Duration work{};             ///< Mean core time of one request.
-  double share = 1;            ///< Weight among the methods.
-  double utility = 1;          ///< Utility of one unit.
+  Duration softDeadline{};                  ///< An answer after it is worth less.
+  Duration deadline{};                      ///< How long a client waits.
+  Duration work{};                          ///< Mean core time of one request.
+  double share = 1;                         ///< Weight among the methods.
+  double utility = 1;                       ///< Utility of one unit.
 };
 
 /// A quota plan that customers are on.
--- a/src/lab/commands/shrink_command.cpp
+++ b/src/lab/commands/shrink_command.cpp
@@ -69,7 +69,8 @@
     const std::optional<Invariant> invariant = parseInvariant(invariant_);
     const auto violates = [this, policy, invariant](const Scenario& candidate) {
       const emulator::Metrics metrics = ExperimentRunner::play({candidate, {}, seed_, policy});
-      return invariant ? metrics.violations[static_cast<std::size_t>(*invariant)] > 0 : metrics.violationCount() > 0;
+      return invariant ? metrics.violations[static_cast<std::size_t>(*invariant)] > 0
+                       : metrics.violationCount() > 0;
     };
     const auto [smallest, runs] = shrink(scenario, violates, maxRuns_);
     replaceFile(outputFile_, emulator::writeScenario(smallest));
--- a/src/lab/experiment_runner.hpp
+++ b/src/lab/experiment_runner.hpp
@@ -42,8 +42,8 @@
 /// Reads a scenario file and plays runs of it in the emulator.
 class ExperimentRunner {
  public:
-  /// `changes` have the form "path=value" and override the file in every run. Throws emulator::ScenarioError if
-  /// the file cannot be read.
+  /// `changes` have the form "path=value" and override the file in every run. Throws emulator::ScenarioError
+  /// if the file cannot be read.
   ExperimentRunner(std::string file, std::vector<std::string> changes);
 
   /// The scenario with the runner's changes and then `fields` applied. Throws emulator::ScenarioError.
--- a/src/net/client/client_connection.cpp
+++ b/src/net/client/client_connection.cpp
@@ -240,7 +240,7 @@
   return {closeCause_, halfClosedByPeer(), lastError()};
 }
 
-// Calls the core last: from clientLeft(), it may answer or start other requests.
+// Calls the core last: from clientDisconnected(), it may answer or start other requests.
 void ClientConnection::onClosed() {
   if (!allWritten() && !answeredRequestId_.empty())
     logIncompleteResponse(loop_.log, answeredRequestId_, connectionEnd());
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -388,7 +388,9 @@
                    {"fleet.gateways=" + gateways, "clients.spread=" + gateways, "length=8s",
                     "clients.rate=500", "clients.customers=60", "hosts.count=12", "hosts.cores=8",
                     "plan.0.rate=4", "plan.0.burst=12", "plan.0.ceiling_rate=0"});
-  const auto overQuotaShare = [](const Metrics& metrics) { return metrics.unitsOverQuota / metrics.unitsSent; };
+  const auto overQuotaShare = [](const Metrics& metrics) {
+    return metrics.unitsOverQuota / metrics.unitsSent;
+  };
   const Metrics gatewayCore = play(scenario, 3, Policy::gatewayCore);
   const Metrics admitAll = play(scenario, 3, Policy::admitAll);
   const Metrics omniscient = play(scenario, 3, Policy::omniscient);
@@ -436,7 +438,8 @@
     if (kind != "load_burst") allFaults += faultText;
   }
   const Metrics metrics = play(readScenario(kBaseScenario + allFaults, "s.toml"), 4, Policy::gatewayCore);
-  for (const Violation& violation : metrics.firstViolations) WARN(wordOf(violation.rule) << " " << violation.what);
+  for (const Violation& violation : metrics.firstViolations)
+    WARN(wordOf(violation.rule) << " " << violation.what);
   CHECK(metrics.violationCount() == 0);
 }
 
@@ -451,7 +454,8 @@
   CHECK(withoutCounter.counterCalls == 0);
   CHECK(withoutCounter.violationCount() == 0);
   CHECK(playWith({"clients.rate=0"}).requests == 0);
-  CHECK(playWith({}, fault("host_kill", "2s", "0s", "share = 1")).violationCount() == 0);  // ends as it begins
+  CHECK(playWith({}, fault("host_kill", "2s", "0s", "share = 1")).violationCount() ==
+        0);  // ends as it begins
   CHECK(playWith({}, fault("gateway_kill", "2s", "0s", "share = 1")).violationCount() == 0);
   CHECK(playWith({"clients.abandon_probability=0.5"}).abandoned > 0);
 }
--- a/tests/process_log_test.cpp
+++ b/tests/process_log_test.cpp
@@ -58,8 +58,8 @@
                                    "detail=\"option --orders is now called --config\"\n"));
   CHECK_THAT(text, Catch::Contains("error: config_invalid: platform configuration is invalid "
                                    "error=\"cannot read /nowhere.json\"\n"));
-  std::tie(text, status) = program.runCommand(
-      {"serve", "--config", config, "--operator-config", program.writeFile("own.toml", "[log]\nlevle = 1\n")});
+  std::tie(text, status) = program.runCommand({"serve", "--config", config, "--operator-config",
+                                               program.writeFile("own.toml", "[log]\nlevle = 1\n")});
   CHECK(status == 2);
   CHECK_THAT(text,
              Catch::Contains("error: operator_config_invalid: operator configuration is invalid error="));
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -18,9 +18,9 @@
   REQUIRE(within([&] { return program.host.accept(host); }));
   REQUIRE(within([&] { return host->hasReceived("\r\n\r\n"); }));
   PeerListener discovery, counter;
-  program.writeConfig(gatewayConfigText("127.0.0.1:" + std::to_string(program.listenPort), discovery.address(),
-                                  counter.address(), endpointJson(program.host.port, "h1", "in_service"),
-                                  128));
+  program.writeConfig(gatewayConfigText("127.0.0.1:" + std::to_string(program.listenPort),
+                                        discovery.address(), counter.address(),
+                                        endpointJson(program.host.port, "h1", "in_service"), 128));
   for (int count = 0; count < 5; ++count) program.signal(SIGHUP);
   REQUIRE(within([&] { return discovery.accept(moved); }));
   CHECK(within([&] { return moved->hasReceived("watch=1&from=45 "); }));
@@ -247,7 +247,8 @@
   Program program;
   const std::string config = program.writeFile("orders.json", program.config());
   const auto check = [&](const std::string& option, const std::string& own) {
-    return program.runCommand({"check", option, config, "--operator-config", program.writeFile("own.toml", own)});
+    return program.runCommand(
+        {"check", option, config, "--operator-config", program.writeFile("own.toml", own)});
   };
   const auto countOf = [](const std::string& text, const std::string& part) {
     int count = 0;
@@ -278,7 +279,9 @@
   Program program;
   program.start(program.config(), program.writeFile("own.toml", "[log]\nform = \"json\"\n"));
   REQUIRE(program.logHolds(R"({"level":"info","event":"ready","text":"accepting clients"})"));
-  CHECK(program.runCommand({"serve", "--config", program.writeFile("orders.json", program.config())}).second == 1);
+  CHECK(
+      program.runCommand({"serve", "--config", program.writeFile("orders.json", program.config())}).second ==
+      1);
   program.signal(SIGTERM);
   CHECK(program.exitStatus() == 0);
   CHECK(program.log().find(R"("event":"stopped")") != std::string::npos);
--- a/tests/test_services/loopback_run.cpp
+++ b/tests/test_services/loopback_run.cpp
@@ -29,7 +29,8 @@
 using Hosts = std::vector<std::unique_ptr<ServiceHost>>;
 
 Hosts makeHosts(asio::io_context& io, const Scenario& scenario, emulator::RandomStream& workStream) {
-  const auto reports = scenario.reportsLoad ? ServiceHost::LoadReports::inHeader : ServiceHost::LoadReports::none;
+  const auto reports =
+      scenario.reportsLoad ? ServiceHost::LoadReports::inHeader : ServiceHost::LoadReports::none;
   const auto workOf = [&scenario, &workStream](std::string_view name) {
     for (const auto& method : scenario.methods)
       if (method.name == name) return scaled(method.work, 0.5 + workStream.exponential(0.5));
@@ -65,7 +66,8 @@
 
 std::string configurationOf(const Scenario& scenario, std::uint64_t seed, std::uint32_t gateway,
                             std::uint16_t port, const Environment& environment) {
-  const std::string counter = scenario.hasCounter ? fmt::format(R"("counter":"{}",)", environment.counter) : "";
+  const std::string counter =
+      scenario.hasCounter ? fmt::format(R"("counter":"{}",)", environment.counter) : "";
   return fmt::format(
       R"({{"name":"n{}","listen":"127.0.0.1:{}","discovery":"{}","seed":"{:x}","limits":{{"sockets":1024}},{}"known":{},"settings":{}}})",
       gateway, port, environment.discovery, seed * 1000 + gateway, counter, environment.endpoints,
--- a/tests/test_services/platform_settings.cpp
+++ b/tests/test_services/platform_settings.cpp
@@ -40,9 +40,9 @@
   for (const auto& method : scenario.methods)
     classes += fmt::format(
         R"({}{{"name":"{}","effect":"{}","group":"{}","window":{},"promise":{},"hardLimit":{},"importance":{}}})",
-        classes.empty() ? "" : ",", method.name, effectOf(method.idempotency), groupName(method.deduplicationScope),
-        microseconds(method.deduplicationWindow), microseconds(method.softDeadline), microseconds(method.deadline),
-        method.utility);
+        classes.empty() ? "" : ",", method.name, effectOf(method.idempotency),
+        groupName(method.deduplicationScope), microseconds(method.deduplicationWindow),
+        microseconds(method.softDeadline), microseconds(method.deadline), method.utility);
   return classes;
 }
 
--- a/tests/test_services/validation_clients.cpp
+++ b/tests/test_services/validation_clients.cpp
@@ -205,8 +205,9 @@
 
 ValidationClients::MayRetry ValidationClients::mayRetryAfterFailure(const ClientRequest& request) const {
   const auto& method = scenario_.methods[request.method];
-  const bool safe = method.idempotency == Idempotency::idempotent ||
-                    (method.idempotency == Idempotency::deduplicated && method.deduplicationScope == DeduplicationScope::all);
+  const bool safe =
+      method.idempotency == Idempotency::idempotent || (method.idempotency == Idempotency::deduplicated &&
+                                                        method.deduplicationScope == DeduplicationScope::all);
   return safe ? MayRetry::yes : MayRetry::no;
 }
 
